--- a/crates/stage/src/draws.rs
+++ b/crates/stage/src/draws.rs
@@ -6,7 +6,7 @@
 use wagtailreel_spread::{Failure, Fetch, Source};
 
 use crate::manifest::ChunkManifest;
-use crate::{OriginTrouble, events};
+use crate::{OriginError, events};
 
 /// Tells of a draw that ended: there is one for each chunk and region, or little more. Fetches from other agents
 /// are many, and only counted.
@@ -34,13 +34,13 @@
 }
 
 /// Returns what an origin's trouble means for the plan.
-pub(crate) fn failure(trouble: &OriginTrouble) -> Failure {
+pub(crate) fn failure(trouble: &OriginError) -> Failure {
     match trouble {
-        OriginTrouble::Refused { retry_after, .. } => Failure::Busy {
+        OriginError::Refused { retry_after, .. } => Failure::Busy {
             retry_after: *retry_after,
         },
-        OriginTrouble::Gone => Failure::Absent,
-        OriginTrouble::Silent { .. } => Failure::Broken,
-        OriginTrouble::Unreadable { .. } => Failure::Corrupt,
+        OriginError::Gone => Failure::Absent,
+        OriginError::Silent { .. } => Failure::Broken,
+        OriginError::Unreadable { .. } => Failure::Corrupt,
     }
 }
--- a/crates/stage/src/engine.rs
+++ b/crates/stage/src/engine.rs
@@ -56,7 +56,7 @@
 /// An engine did not do, or may not have done, what it was asked.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
-pub enum EngineTrouble {
+pub enum EngineError {
     /// No answer came. An order may have been taken.
     #[snafu(display("the engine did not answer ({reason}): look at its state before repeating"))]
     Silent {
@@ -83,52 +83,52 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineTrouble`] if no whole answer came.
-    fn report(&self) -> impl Future<Output = Result<EngineReport, EngineTrouble>> + Send;
+    /// Returns an [`EngineError`] if no whole answer came.
+    fn report(&self) -> impl Future<Output = Result<EngineReport, EngineError>> + Send;
 
     /// Lists the chunks of `model` that are staged.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineTrouble`] if no whole answer came.
+    /// Returns an [`EngineError`] if no whole answer came.
     fn staged(
         &self,
         model: &str,
-    ) -> impl Future<Output = Result<Vec<ChunkIndex>, EngineTrouble>> + Send;
+    ) -> impl Future<Output = Result<Vec<ChunkIndex>, EngineError>> + Send;
 
     /// Reads a staged chunk; none if it isn't there. Its bytes may have been spoilt.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineTrouble`] if no whole answer came.
+    /// Returns an [`EngineError`] if no whole answer came.
     fn read_staged(
         &self,
         model: &str,
         chunk: ChunkIndex,
-    ) -> impl Future<Output = Result<Option<Bytes>, EngineTrouble>> + Send;
+    ) -> impl Future<Output = Result<Option<Bytes>, EngineError>> + Send;
 
     /// Stages a chunk in place of what was there.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineTrouble`] if the engine did not say that it took the chunk.
+    /// Returns an [`EngineError`] if the engine did not say that it took the chunk.
     fn stage(
         &self,
         model: &str,
         chunk: ChunkIndex,
         data: Bytes,
-    ) -> impl Future<Output = Result<(), EngineTrouble>> + Send;
+    ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
     /// Orders the engine to finish what runs and load what is staged as `version`, if it has begun
     /// `orders` orders so far.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineTrouble`] if it is not known what became of the order, or it was refused.
+    /// Returns an [`EngineError`] if it is not known what became of the order, or it was refused.
     fn load(
         &self,
         model: &str,
         version: WeightsVersion,
         orders: u64,
-    ) -> impl Future<Output = Result<OrderEnd, EngineTrouble>> + Send;
+    ) -> impl Future<Output = Result<OrderEnd, EngineError>> + Send;
 }
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -27,9 +27,9 @@
 mod status;
 mod suspects;
 
-pub use engine::{EngineReport, EngineTrouble, OrderEnd, StagedEngine};
+pub use engine::{EngineError, EngineReport, OrderEnd, StagedEngine};
 pub use manifest::{ChunkManifest, DigestKind};
-pub use origin::{ChunkOrigin, OriginTrouble};
+pub use origin::{ChunkOrigin, OriginError};
 pub use process::{StageError, StagingAgent};
 pub use rollout::{Rollout, Situation, Target, Todo};
 pub use shelf::Shelf;
--- a/crates/stage/src/origin.rs
+++ b/crates/stage/src/origin.rs
@@ -13,7 +13,7 @@
 /// The origin did not give what was asked for.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
-pub enum OriginTrouble {
+pub enum OriginError {
     /// The origin refused for now.
     #[snafu(display("the origin refused with {status}: it is asked again"))]
     Refused {
@@ -45,24 +45,24 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`OriginTrouble`] if no whole answer came.
+    /// Returns an [`OriginError`] if no whole answer came.
     fn manifest(
         &self,
         origin: SocketAddr,
         model: &ModelName,
         version: Option<WeightsVersion>,
-    ) -> impl Future<Output = Result<ChunkManifest, OriginTrouble>> + Send;
+    ) -> impl Future<Output = Result<ChunkManifest, OriginError>> + Send;
 
     /// Reads a chunk. Its bytes may have been spoilt.
     ///
     /// # Errors
     ///
-    /// Returns an [`OriginTrouble`] if no whole answer came.
+    /// Returns an [`OriginError`] if no whole answer came.
     fn chunk(
         &self,
         origin: SocketAddr,
         model: &ModelName,
         version: WeightsVersion,
         chunk: ChunkIndex,
-    ) -> impl Future<Output = Result<Bytes, OriginTrouble>> + Send;
+    ) -> impl Future<Output = Result<Bytes, OriginError>> + Send;
 }
--- a/crates/stage/tests/common/engine.rs
+++ b/crates/stage/tests/common/engine.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use wagtailreel_core::ChunkIndex;
 use wagtailreel_fleet::{LoadedModel, WeightsVersion};
-use wagtailreel_stage::{EngineReport, EngineTrouble, OrderEnd, StagedEngine};
+use wagtailreel_stage::{EngineError, EngineReport, OrderEnd, StagedEngine};
 
 use super::{CHUNKS, MODEL, chunk};
 
@@ -103,11 +103,11 @@
 }
 
 impl StagedEngine for TestEngine {
-    async fn report(&self) -> Result<EngineReport, EngineTrouble> {
+    async fn report(&self) -> Result<EngineReport, EngineError> {
         let state = self.lock();
         if state.is_silent {
             let reason = "it has not started".to_owned();
-            return Err(EngineTrouble::Silent { reason });
+            return Err(EngineError::Silent { reason });
         }
         let models = state.version.map(|version| LoadedModel {
             model: MODEL.to_owned(),
@@ -122,7 +122,7 @@
         })
     }
 
-    async fn staged(&self, _model: &str) -> Result<Vec<ChunkIndex>, EngineTrouble> {
+    async fn staged(&self, _model: &str) -> Result<Vec<ChunkIndex>, EngineError> {
         Ok(self.lock().staged.keys().copied().collect())
     }
 
@@ -130,16 +130,11 @@
         &self,
         _model: &str,
         chunk: ChunkIndex,
-    ) -> Result<Option<Bytes>, EngineTrouble> {
+    ) -> Result<Option<Bytes>, EngineError> {
         Ok(self.lock().staged.get(&chunk).cloned())
     }
 
-    async fn stage(
-        &self,
-        _model: &str,
-        chunk: ChunkIndex,
-        data: Bytes,
-    ) -> Result<(), EngineTrouble> {
+    async fn stage(&self, _model: &str, chunk: ChunkIndex, data: Bytes) -> Result<(), EngineError> {
         self.lock().staged.insert(chunk, data);
         Ok(())
     }
@@ -149,7 +144,7 @@
         _model: &str,
         version: WeightsVersion,
         orders: u64,
-    ) -> Result<OrderEnd, EngineTrouble> {
+    ) -> Result<OrderEnd, EngineError> {
         let mut state = self.lock();
         let fault = state.fault.take();
         if fault == Some(OrderFault::Unfit) || orders != state.orders {
@@ -160,7 +155,7 @@
         }
         match fault {
             None => Ok(OrderEnd::Begun),
-            Some(_) => Err(EngineTrouble::Silent {
+            Some(_) => Err(EngineError::Silent {
                 reason: "told to be".to_owned(),
             }),
         }
--- a/crates/stage/tests/common/origin.rs
+++ b/crates/stage/tests/common/origin.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use wagtailreel_core::ChunkIndex;
 use wagtailreel_fleet::{ModelName, WeightsVersion};
-use wagtailreel_stage::{ChunkManifest, ChunkOrigin, DigestKind, OriginTrouble};
+use wagtailreel_stage::{ChunkManifest, ChunkOrigin, DigestKind, OriginError};
 
 use super::{CHUNKS, chunk};
 
@@ -78,10 +78,10 @@
         self.state.lock().unwrap()
     }
 
-    fn check(&self) -> Result<(), OriginTrouble> {
+    fn check(&self) -> Result<(), OriginError> {
         if self.lock().is_away {
             let reason = "told to be away".to_owned();
-            return Err(OriginTrouble::Silent { reason });
+            return Err(OriginError::Silent { reason });
         }
         Ok(())
     }
@@ -93,7 +93,7 @@
         _origin: SocketAddr,
         model: &ModelName,
         version: Option<WeightsVersion>,
-    ) -> Result<ChunkManifest, OriginTrouble> {
+    ) -> Result<ChunkManifest, OriginError> {
         self.check()?;
         let version = version.unwrap_or(self.lock().newest);
         {
@@ -116,7 +116,7 @@
         _model: &ModelName,
         version: WeightsVersion,
         index: ChunkIndex,
-    ) -> Result<Bytes, OriginTrouble> {
+    ) -> Result<Bytes, OriginError> {
         self.check()?;
         let mut state = self.lock();
         state.given += 1;
