--- a/crates/stage/src/engine.rs
+++ b/crates/stage/src/engine.rs
@@ -38,7 +38,7 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// The engine has begun.
     #[display("begun")]
     Begun,
@@ -130,5 +130,5 @@
         model: &str,
         version: WeightsVersion,
         orders: u64,
-    ) -> impl Future<Output = Result<OrderEnd, EngineError>> + Send;
+    ) -> impl Future<Output = Result<OrderOutcome, EngineError>> + Send;
 }
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -27,7 +27,7 @@
 mod status;
 mod suspects;
 
-pub use engine::{EngineError, EngineReport, OrderEnd, StagedEngine};
+pub use engine::{EngineError, EngineReport, OrderOutcome, StagedEngine};
 pub use manifest::{ChunkManifest, DigestKind};
 pub use origin::{ChunkOrigin, OriginError};
 pub use process::{StageError, StagingAgent};
--- a/crates/stage/src/ordering.rs
+++ b/crates/stage/src/ordering.rs
@@ -8,7 +8,7 @@
 
 use crate::loading::Keeper;
 use crate::origin::ChunkOrigin;
-use crate::{OrderEnd, Rollout, StagedEngine, Target, events};
+use crate::{OrderOutcome, Rollout, StagedEngine, Target, events};
 
 /// Longest time between staging the first chunk and the order to load. Staged chunks may be spoilt
 /// at any time, and the engine doesn't compare them.
@@ -63,12 +63,12 @@
         let engine = &self.cx.engine;
         let ended = engine.load(&target.model, target.version, orders).await;
         match ended {
-            Ok(OrderEnd::Begun | OrderEnd::InEffect) => {
+            Ok(OrderOutcome::Begun | OrderOutcome::InEffect) => {
                 self.ordered_at = Some(Instant::now());
                 ("begun", String::new())
             }
-            Ok(OrderEnd::Unfit) => ("unfit", String::new()),
-            Ok(OrderEnd::Fenced) => ("fenced", String::new()),
+            Ok(OrderOutcome::Unfit) => ("unfit", String::new()),
+            Ok(OrderOutcome::Fenced) => ("fenced", String::new()),
             // It may have been taken: the engine's state will tell.
             Err(trouble) => {
                 self.ordered_at = Some(Instant::now());
--- a/crates/stage/tests/common/engine.rs
+++ b/crates/stage/tests/common/engine.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use wagtailreel_core::ChunkIndex;
 use wagtailreel_fleet::{LoadedModel, WeightsVersion};
-use wagtailreel_stage::{EngineError, EngineReport, OrderEnd, StagedEngine};
+use wagtailreel_stage::{EngineError, EngineReport, OrderOutcome, StagedEngine};
 
 use super::{CHUNKS, MODEL, chunk};
 
@@ -144,17 +144,17 @@
         _model: &str,
         version: WeightsVersion,
         orders: u64,
-    ) -> Result<OrderEnd, EngineError> {
+    ) -> Result<OrderOutcome, EngineError> {
         let mut state = self.lock();
         let fault = state.fault.take();
         if fault == Some(OrderFault::Unfit) || orders != state.orders {
-            return Ok(OrderEnd::Unfit);
+            return Ok(OrderOutcome::Unfit);
         }
         if fault != Some(OrderFault::LostAndNotTaken) {
             state.load(version);
         }
         match fault {
-            None => Ok(OrderEnd::Begun),
+            None => Ok(OrderOutcome::Begun),
             Some(_) => Err(EngineError::Silent {
                 reason: "told to be".to_owned(),
             }),
