--- a/crates/stage/src/shelf.rs
+++ b/crates/stage/src/chunk_store.rs
@@ -12,10 +12,10 @@
 
 /// Versions of one model that are kept. The one before the newest still serves agents that are
 /// behind; each takes the size of the weights in memory.
-const VERSIONS_KEPT: usize = 2;
+const MAX_VERSIONS: usize = 2;
 
 #[derive(Debug)]
-struct Held {
+struct StoredVersion {
     manifest: Arc<ChunkManifest>,
     have: ChunkSet,
     chunks: Vec<Option<Bytes>>,
@@ -25,16 +25,16 @@
 ///
 /// Invariant: what is here was compared with its digest when it came.
 #[derive(Debug, Default)]
-pub struct Shelf {
-    held: Mutex<BTreeMap<(ModelName, WeightsVersion), Held>>,
+pub struct ChunkStore {
+    versions: Mutex<BTreeMap<(ModelName, WeightsVersion), StoredVersion>>,
 }
 
-impl Shelf {
+impl ChunkStore {
     /// Makes room for the chunks of `manifest`, and lets the oldest versions go.
-    pub fn open(&self, manifest: &Arc<ChunkManifest>) {
+    pub fn add_version(&self, manifest: &Arc<ChunkManifest>) {
         let mut held = self.lock();
         let key = (manifest.model.clone(), manifest.version);
-        held.entry(key).or_insert_with(|| Held {
+        held.entry(key).or_insert_with(|| StoredVersion {
             manifest: Arc::clone(manifest),
             have: ChunkSet::new(manifest.count()),
             chunks: vec![None; manifest.digests.len()],
@@ -44,7 +44,7 @@
             .filter(|(model, _)| *model == manifest.model)
             .map(|(_, version)| *version)
             .collect();
-        let surplus = versions.len().saturating_sub(VERSIONS_KEPT);
+        let surplus = versions.len().saturating_sub(MAX_VERSIONS);
         for version in &versions[..surplus] {
             held.remove(&(manifest.model.clone(), *version));
         }
@@ -52,7 +52,7 @@
 
     /// Puts a chunk in its place if it is the right one; returns whether it is.
     pub fn put(&self, manifest: &ChunkManifest, chunk: ChunkIndex, data: Bytes) -> bool {
-        if !manifest.fits(chunk, &data) {
+        if !manifest.verify(chunk, &data) {
             return false;
         }
         let mut held = self.lock();
@@ -107,7 +107,7 @@
         self.have(model, version).is_some_and(|have| have.is_full())
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<(ModelName, WeightsVersion), Held>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<(ModelName, WeightsVersion), StoredVersion>> {
+        self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -85,11 +85,11 @@
     E: StagedEngine,
     O: ChunkOrigin,
 {
-    cx.shelf.open(&manifest);
+    cx.chunk_store.add_version(&manifest);
     if read_stage {
         read_own_stage(&cx, &manifest).await;
     }
-    let have = cx.shelf.have(&manifest.model, manifest.version);
+    let have = cx.chunk_store.have(&manifest.model, manifest.version);
     let have = have.unwrap_or_else(|| ChunkSet::new(manifest.count()));
     events::FETCH_BEGUN.emit(&[
         ("model", &manifest.model),
@@ -112,7 +112,7 @@
     };
     for chunk in staged {
         if let Ok(Some(data)) = cx.engine.read_staged(&manifest.model, chunk).await {
-            cx.shelf.put(manifest, chunk, data);
+            cx.chunk_store.put(manifest, chunk, data);
         }
     }
 }
@@ -322,7 +322,7 @@
 
     /// Keeps a chunk that is the right one.
     fn take_bytes(&mut self, fetch: &Fetch, data: Bytes) -> Event {
-        if self.cx.shelf.put(&self.manifest, fetch.chunk, data) {
+        if self.cx.chunk_store.put(&self.manifest, fetch.chunk, data) {
             let is_far = self.is_far(&fetch.from);
             let from = match fetch.from {
                 Source::Origin => "origin",
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod askers;
 mod beliefs;
+mod chunk_store;
 mod draws;
 mod engine;
 pub mod events;
@@ -23,13 +24,12 @@
 mod resolve;
 mod rollout;
 mod serve;
-mod shelf;
 mod status;
 mod suspects;
 
+pub use chunk_store::ChunkStore;
 pub use engine::{EngineError, EngineReport, OrderOutcome, StagedEngine};
 pub use manifest::{ChunkManifest, DigestKind};
 pub use origin::{ChunkOrigin, OriginError};
 pub use process::{StageError, StagingAgent};
 pub use rollout::{Rollout, Situation, Target, Todo};
-pub use shelf::Shelf;
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -157,7 +157,7 @@
         self.ordered_at = None;
         self.cx.board.set_switching(false);
         if let (true, Some(version)) = (is_done, held) {
-            self.cx.shelf.release(model, version);
+            self.cx.chunk_store.release(model, version);
         }
     }
 
@@ -227,7 +227,7 @@
         if self.is_loaded(Some(target.version)) {
             return true;
         }
-        let have = self.cx.shelf.have(&target.model, target.version);
+        let have = self.cx.chunk_store.have(&target.model, target.version);
         let share = have.map_or(0.0, |have| {
             f64::from(have.count()) / f64::from(have.capacity().max(1))
         });
@@ -280,7 +280,7 @@
         version: Option<WeightsVersion>,
         origin: Option<SocketAddr>,
     ) -> Option<Arc<ChunkManifest>> {
-        if let Some(manifest) = self.cx.shelf.manifest(model, version) {
+        if let Some(manifest) = self.cx.chunk_store.manifest(model, version) {
             return Some(manifest);
         }
         let Some(resolving) = &mut self.resolving else {
@@ -296,7 +296,7 @@
         self.resolving = None;
         // A task that failed is started again with the next look.
         let manifest = resolved.ok().flatten()?;
-        self.cx.shelf.open(&manifest);
+        self.cx.chunk_store.add_version(&manifest);
         Some(manifest)
     }
 
@@ -331,7 +331,7 @@
     /// Returns since when all chunks of the target are there.
     fn whole_since(&mut self) -> Option<Instant> {
         let target = self.target.as_ref()?;
-        if !self.cx.shelf.is_full(&target.model, target.version) {
+        if !self.cx.chunk_store.is_full(&target.model, target.version) {
             self.whole = None;
             return None;
         }
@@ -356,7 +356,7 @@
             version,
             named_at,
         };
-        if version > target.version && !self.cx.shelf.is_full(&ahead.model, version) {
+        if version > target.version && !self.cx.chunk_store.is_full(&ahead.model, version) {
             self.fetch(&ahead, wanted).await;
         }
     }
--- a/crates/stage/src/manifest.rs
+++ b/crates/stage/src/manifest.rs
@@ -40,7 +40,7 @@
 
 impl ChunkManifest {
     /// Says whether `data` is the chunk `index`.
-    pub fn fits(&self, index: ChunkIndex, data: &[u8]) -> bool {
+    pub fn verify(&self, index: ChunkIndex, data: &[u8]) -> bool {
         let digest = self.digests.get(index as usize);
         digest.is_some_and(|digest| *digest == self.kind.of(data))
     }
--- a/crates/stage/src/ordering.rs
+++ b/crates/stage/src/ordering.rs
@@ -78,10 +78,10 @@
     }
 
     fn chunks(&self, target: &Target) -> Option<Vec<Bytes>> {
-        let shelf = &self.cx.shelf;
-        let manifest = shelf.manifest(&target.model, Some(target.version))?;
+        let chunk_store = &self.cx.chunk_store;
+        let manifest = chunk_store.manifest(&target.model, Some(target.version))?;
         let count = manifest.count();
-        let chunks = (0..count).map(|chunk| shelf.get(&target.model, target.version, chunk));
+        let chunks = (0..count).map(|chunk| chunk_store.get(&target.model, target.version, chunk));
         chunks.collect()
     }
 
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -22,11 +22,11 @@
 use wagtailreel_telemetry::{encode_metrics, lines_dropped};
 
 use crate::beliefs::Beliefs;
+use crate::chunk_store::ChunkStore;
 use crate::loading::Keeper;
 use crate::metrics::Metrics;
 use crate::origin::ChunkOrigin;
 use crate::serve::{Giving, router};
-use crate::shelf::Shelf;
 use crate::status::{PeerChunks, StatusBoard};
 use crate::{StagedEngine, events};
 
@@ -78,7 +78,7 @@
     pub(crate) client: HttpClient,
     pub(crate) metrics: Metrics,
     pub(crate) beliefs: Arc<Beliefs>,
-    pub(crate) shelf: Arc<Shelf>,
+    pub(crate) chunk_store: Arc<ChunkStore>,
     pub(crate) board: Arc<StatusBoard>,
     pub(crate) peer_chunks: Mutex<UnboundedReceiver<PeerChunks>>,
     /// The other agents of the service, as of the last read of the registry.
@@ -121,7 +121,7 @@
         let calls = CallCounters::register(&prometheus).context(MetricsSnafu)?;
         let counters = ConnectionCounters::register(&prometheus).context(MetricsSnafu)?;
         let (tx, rx) = unbounded_channel();
-        let shelf = Arc::new(Shelf::default());
+        let chunk_store = Arc::new(ChunkStore::default());
         let neighbours = Arc::new(Neighbours::of_a_guest());
         let registry = Nearby::new(
             registry,
@@ -131,13 +131,13 @@
         .with_seeds(Seeds::new(addr, &settings.seeds))
         .with_counters(calls);
         let board = Arc::new(StatusBoard::new(
-            Arc::clone(&shelf),
+            Arc::clone(&chunk_store),
             socket,
             neighbours,
             settings.weights,
         ));
         let beliefs = Arc::new(Beliefs::new(settings.service.clone()));
-        let giving = Giving::new(Arc::clone(&shelf), engine.clone(), settings.link);
+        let giving = Giving::new(Arc::clone(&chunk_store), engine.clone(), settings.link);
         let cx = Arc::new(Surroundings {
             settings,
             registry: registry.clone(),
@@ -146,7 +146,7 @@
             client: HttpClient::new(),
             metrics: metrics.clone(),
             beliefs: Arc::clone(&beliefs),
-            shelf,
+            chunk_store,
             board: Arc::clone(&board),
             peer_chunks: Mutex::new(rx),
             peers: watch::Sender::new(Vec::new()),
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -16,7 +16,7 @@
 use wagtailreel_fleet::{ModelName, WeightsVersion};
 
 use crate::StagedEngine;
-use crate::shelf::Shelf;
+use crate::chunk_store::ChunkStore;
 
 /// Chunks that are given at once. A chunk of 48 KB holds a link of 9.4 Mbit/s for 42 ms, and events
 /// of live answers wait behind it.
@@ -55,7 +55,7 @@
 /// What the listener for other agents needs.
 #[derive(Debug)]
 pub(crate) struct Giving<E> {
-    pub(crate) shelf: Arc<Shelf>,
+    pub(crate) chunk_store: Arc<ChunkStore>,
     pub(crate) engine: E,
     gives: Arc<Semaphore>,
     pacer: Arc<Pacer>,
@@ -63,9 +63,9 @@
 
 impl<E> Giving<E> {
     /// Makes the giving of a VM whose link carries `link` bits a second.
-    pub(crate) fn new(shelf: Arc<Shelf>, engine: E, link: f64) -> Self {
+    pub(crate) fn new(chunk_store: Arc<ChunkStore>, engine: E, link: f64) -> Self {
         Self {
-            shelf,
+            chunk_store,
             engine,
             gives: Arc::new(Semaphore::new(GIVES_AT_ONCE)),
             pacer: Arc::new(Pacer {
@@ -97,7 +97,7 @@
     Path(model): Path<ModelName>,
     Query(wanted): Query<Wanted>,
 ) -> Response {
-    match giving.shelf.manifest(&model, wanted.version) {
+    match giving.chunk_store.manifest(&model, wanted.version) {
         Some(manifest) => Json(manifest.as_ref().clone()).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
@@ -113,7 +113,7 @@
     let Ok(permit) = Arc::clone(&giving.gives).try_acquire_owned() else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
-    if let Some(data) = giving.shelf.get(&model, version, chunk) {
+    if let Some(data) = giving.chunk_store.get(&model, version, chunk) {
         return give(data, permit, &giving.pacer);
     }
     // What was loaded is no longer in memory; whoever asked compares it with its digest.
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -18,7 +18,7 @@
 use crate::EngineReport;
 use crate::askers::Askers;
 use crate::beliefs::{Beliefs, HeardWeights};
-use crate::shelf::Shelf;
+use crate::chunk_store::ChunkStore;
 use crate::suspects::Suspects;
 
 /// Longest datagram in bytes.
@@ -52,7 +52,7 @@
     askers: Askers,
     /// The entries of the data centre, to read the registry through.
     neighbours: Arc<Neighbours>,
-    shelf: Arc<Shelf>,
+    chunk_store: Arc<ChunkStore>,
     suspects: Suspects,
     permits: Mutex<Permits>,
     socket: UdpSocket,
@@ -70,7 +70,7 @@
 impl StatusBoard {
     /// Makes the board of an agent whose weights may be used for `bound` after newer ones were named.
     pub(crate) fn new(
-        shelf: Arc<Shelf>,
+        chunk_store: Arc<ChunkStore>,
         socket: UdpSocket,
         neighbours: Arc<Neighbours>,
         bound: Duration,
@@ -79,7 +79,7 @@
             known: Mutex::default(),
             askers: Askers::default(),
             neighbours,
-            shelf,
+            chunk_store,
             suspects: Suspects::default(),
             permits: Mutex::default(),
             socket,
@@ -343,7 +343,7 @@
 
     /// Returns the chunks that can be given: those in memory, or all that the engine has staged.
     fn chunks(&self, model: &str, version: WeightsVersion) -> Option<HeldChunks> {
-        let have = self.shelf.have(model, version);
+        let have = self.chunk_store.have(model, version);
         let is_loaded = {
             let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
             let report = known.report.as_ref();
