--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -6,7 +6,6 @@
 //! tells entries and other agents, by datagrams, how loaded the engine is and which chunks it can
 //! give. What it does next is decided by [`Rollout`], apart from sockets.
 
-mod askers;
 mod beliefs;
 mod chunk_store;
 mod draws;
@@ -25,6 +24,7 @@
 mod rollout;
 mod serve;
 mod status;
+mod subscribers;
 mod suspects;
 
 pub use chunk_store::ChunkStore;
--- a/crates/stage/src/resolve.rs
+++ b/crates/stage/src/resolve.rs
@@ -19,7 +19,7 @@
 
 /// Agents of the own data centre that ask the origin at once. Of 75 agents that all do, each with
 /// chunks on the way from the origin too, those of one data centre got no answer for 20 s.
-const ORIGIN_ASKERS: usize = 2;
+const MAX_ORIGIN_REQUESTERS: usize = 2;
 
 /// Rounds in which an agent asks only others before it asks the origin in place of the first.
 const PATIENT_ROUNDS: u32 = 6;
@@ -44,7 +44,7 @@
                 return Some(Arc::new(manifest));
             }
         }
-        if order.ahead < ORIGIN_ASKERS || round >= PATIENT_ROUNDS {
+        if order.ahead < MAX_ORIGIN_REQUESTERS || round >= PATIENT_ROUNDS {
             break;
         }
         tokio::time::sleep(MANIFEST_PAUSE).await;
@@ -98,8 +98,8 @@
     /// Returns whom to ask in a round: those that ask the origin, one more, and one far away.
     fn asked_in(&self, round: u32) -> impl Iterator<Item = SocketAddr> + '_ {
         let round = round as usize;
-        let first = self.near.iter().take(ORIGIN_ASKERS);
-        let another = self.near.iter().skip(ORIGIN_ASKERS + round).take(1);
+        let first = self.near.iter().take(MAX_ORIGIN_REQUESTERS);
+        let another = self.near.iter().skip(MAX_ORIGIN_REQUESTERS + round).take(1);
         let afar = self.far.iter().skip(round).take(1);
         first.chain(another).chain(afar).copied()
     }
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -16,9 +16,9 @@
 use wagtailreel_route::direct::{Permits, Places};
 
 use crate::EngineReport;
-use crate::askers::Askers;
 use crate::beliefs::{Beliefs, HeardWeights};
 use crate::chunk_store::ChunkStore;
+use crate::subscribers::Subscribers;
 use crate::suspects::Suspects;
 
 /// Longest datagram in bytes.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct StatusBoard {
     known: Mutex<Known>,
-    askers: Askers,
+    subscribers: Subscribers,
     /// The entries of the data centre, to read the registry through.
     neighbours: Arc<Neighbours>,
     chunk_store: Arc<ChunkStore>,
@@ -77,7 +77,7 @@
     ) -> Self {
         Self {
             known: Mutex::default(),
-            askers: Askers::default(),
+            subscribers: Subscribers::default(),
             neighbours,
             chunk_store,
             suspects: Suspects::default(),
@@ -153,7 +153,7 @@
     /// Tells all askers the engine's state without being asked.
     pub(crate) fn tell_all(&self) {
         let now = Instant::now();
-        self.tell(&self.askers.recent(now), now);
+        self.tell(&self.subscribers.active(now), now);
     }
 
     /// Takes that an entry is about to send a request, and tells the other entries of the data centre
@@ -164,12 +164,12 @@
             let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
             known.places.take(reading, now);
         }
-        let mut near = self.askers.near(now);
+        let mut near = self.subscribers.local(now);
         near.retain(|entry| *entry != from);
         self.tell(&near, now);
     }
 
-    fn tell(&self, askers: &[SocketAddr], now: Instant) {
+    fn tell(&self, subscribers: &[SocketAddr], now: Instant) {
         let status = Status {
             nonce: 0,
             load: self.load(now),
@@ -179,9 +179,9 @@
             entries: Vec::new(),
         };
         let datagram = Datagram::Status(status).to_bytes();
-        for asker in askers {
+        for subscriber in subscribers {
             // An asker that misses it asks again.
-            let _ = self.socket.try_send_to(&datagram, *asker);
+            let _ = self.socket.try_send_to(&datagram, *subscriber);
         }
     }
 
@@ -234,8 +234,8 @@
             let received = tokio::select! {
                 received = self.socket.recv_from(&mut buf) => received,
                 _ = tell_again.tick() => {
-                    let askers = self.askers.recent(Instant::now());
-                    self.tell_of(&self.suspects.again(), &askers);
+                    let subscribers = self.subscribers.active(Instant::now());
+                    self.tell_of(&self.suspects.again(), &subscribers);
                     continue;
                 }
             };
@@ -265,8 +265,8 @@
                 }
                 Ok(Datagram::AskPermit(ask)) => self.give_permit(&ask, from),
                 Ok(Datagram::Ended(told)) => {
-                    let askers = self.askers.recent(Instant::now());
-                    self.tell_of(&self.suspects.hear(&told), &askers);
+                    let subscribers = self.subscribers.active(Instant::now());
+                    self.tell_of(&self.suspects.hear(&told), &subscribers);
                 }
                 // Whoever speaks otherwise is no part of the system.
                 Ok(Datagram::Permit(_)) | Err(_) => {}
@@ -276,13 +276,13 @@
 
     fn answer(&self, query: &Query, from: SocketAddr) {
         let now = Instant::now();
-        if query.chunks.is_none() && self.askers.note(from, query.is_near, now) {
+        if query.chunks.is_none() && self.subscribers.record(from, query.is_near, now) {
             self.tell_of(&self.suspects.all(), &[from]);
         }
         let chunks = query.chunks.as_ref();
         // Other agents have no use for them.
         let entries = if query.chunks.is_none() {
-            let mut entries = self.askers.near(now);
+            let mut entries = self.subscribers.local(now);
             if query.is_near {
                 self.hear_one(&entries);
             }
