--- a/crates/stage/src/beliefs.rs
+++ b/crates/stage/src/known_settings.rs
@@ -20,7 +20,7 @@
     model: Option<ModelName>,
     origin: Option<SocketAddr>,
     draw_time: Option<Duration>,
-    named: BTreeMap<ModelName, HeardWeights>,
+    named: BTreeMap<ModelName, KnownNaming>,
     read: ReadNamings,
     /// The moment of which the last read of the settings speaks.
     confirmed_as_of: Option<BootTime>,
@@ -28,20 +28,20 @@
 
 /// Weights that were named, as an agent heard of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct HeardWeights {
+pub(crate) struct KnownNaming {
     pub(crate) version: WeightsVersion,
     /// When the agent takes them to be named; none if that was before its start, or can't be known.
     pub(crate) named_at: Option<Instant>,
     /// The latest moment at which they are proved not to have been named. Entries count their bound
     /// from it, so that a guess would let requests begin on older weights for too long.
-    pub(crate) after: Option<BootTime>,
+    pub(crate) named_after: Option<BootTime>,
     /// When the agent heard of them first.
-    pub(crate) heard_at: BootTime,
+    pub(crate) received_at: BootTime,
 }
 
 /// What an agent believes of its service.
 #[derive(Debug)]
-pub(crate) struct Beliefs {
+pub(crate) struct KnownSettings {
     service: ServiceName,
     inner: Mutex<Inner>,
     pub(crate) changed: Notify,
@@ -49,16 +49,16 @@
 
 /// What is to be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Wanted {
+pub(crate) struct DesiredWeights {
     pub(crate) model: ModelName,
     /// The weights that were named; none if none were.
-    pub(crate) named: Option<HeardWeights>,
+    pub(crate) named: Option<KnownNaming>,
     pub(crate) origin: Option<SocketAddr>,
     /// How long the origin's link takes for one chunk.
     pub(crate) draw_time: Option<Duration>,
 }
 
-impl Beliefs {
+impl KnownSettings {
     pub(crate) fn new(service: ServiceName) -> Self {
         Self {
             service,
@@ -68,12 +68,12 @@
     }
 
     /// Returns what is to be served, once the settings were read.
-    pub(crate) fn wanted(&self) -> Option<Wanted> {
+    pub(crate) fn desired(&self) -> Option<DesiredWeights> {
         let inner = self.lock();
         let model = inner.model.clone();
         let model = model.filter(|_| inner.confirmed_as_of.is_some())?;
         let named = inner.named.get(&model).copied();
-        Some(Wanted {
+        Some(DesiredWeights {
             model,
             named,
             origin: inner.origin,
@@ -86,27 +86,27 @@
     ///
     /// The time that the engine has to load is counted from the age, which any entry knows that heard of the
     /// naming: without one all engines load at once, and callers find all of them closed.
-    pub(crate) fn hear(
+    pub(crate) fn merge_report(
         &self,
         weights: &NamedWeights,
         age: Option<Duration>,
-        after: Option<BootTime>,
+        named_after: Option<BootTime>,
     ) {
         let now = BootTime::now();
-        let after = after.filter(|after| *after <= now);
-        let age = age.or_else(|| after.map(|after| now.since(after)));
-        let heard = HeardWeights {
+        let named_after = named_after.filter(|named_after| *named_after <= now);
+        let age = age.or_else(|| named_after.map(|named_after| now.since(named_after)));
+        let naming = KnownNaming {
             version: weights.version,
             named_at: age.and_then(|age| Instant::now().checked_sub(age)),
-            after,
-            heard_at: now,
+            named_after,
+            received_at: now,
         };
-        if self.take(&weights.model, heard) {
+        if self.merge(&weights.model, naming) {
             self.changed.notify_one();
         }
     }
 
-    fn take_directory(&self, directory: &Directory) {
+    fn apply_directory(&self, directory: &Directory) {
         let mut inner = self.lock();
         if inner
             .config
@@ -124,43 +124,49 @@
     }
 
     /// Takes weights that the registry names.
-    fn take_weights(&self, weights: &NamedWeights) {
+    fn apply_weights(&self, weights: &NamedWeights) {
         // What the first read brings was named before the start.
         let before = {
             let mut inner = self.lock();
             let confirmed_as_of = inner.confirmed_as_of;
             inner.read.take(weights, confirmed_as_of)
         };
-        let heard = HeardWeights {
+        let naming = KnownNaming {
             version: weights.version,
             named_at: before.map(|_| Instant::now()),
-            after: before,
-            heard_at: BootTime::now(),
+            named_after: before,
+            received_at: BootTime::now(),
         };
-        self.take(&weights.model, heard);
+        self.merge(&weights.model, naming);
     }
 
     /// Takes weights that are named; returns whether that says more than was known.
-    fn take(&self, model: &ModelName, heard: HeardWeights) -> bool {
+    fn merge(&self, model: &ModelName, naming: KnownNaming) -> bool {
         let mut inner = self.lock();
         let known = inner.named.get(model).copied();
         if let Some(known) = known
-            && known.version >= heard.version
+            && known.version >= naming.version
         {
             // They were named after each moment that is proved, so that the latest says most.
-            let says_more = known.version == heard.version && heard.after > known.after;
-            if says_more {
-                let heard_at = known.heard_at;
-                let heard = HeardWeights { heard_at, ..heard };
-                inner.named.insert(model.clone(), heard);
+            let is_newer_proof =
+                known.version == naming.version && naming.named_after > known.named_after;
+            if is_newer_proof {
+                let received_at = known.received_at;
+                let naming = KnownNaming {
+                    received_at,
+                    ..naming
+                };
+                inner.named.insert(model.clone(), naming);
             }
-            return says_more;
+            return is_newer_proof;
         }
-        inner.named.insert(model.clone(), heard);
-        let age = heard.after.map(|after| BootTime::now().since(after));
+        inner.named.insert(model.clone(), naming);
+        let age = naming
+            .named_after
+            .map(|named_after| BootTime::now().since(named_after));
         events::WEIGHTS_NAMED.emit(&[
             ("model", model),
-            ("version", &heard.version.to_string()),
+            ("version", &naming.version.to_string()),
             (
                 "before",
                 &known.map_or(0, |known| known.version).to_string(),
@@ -178,11 +184,11 @@
     }
 }
 
-impl Sink for Beliefs {
+impl Sink for KnownSettings {
     fn apply(&self, change: Change) {
         match change {
-            Change::Config(directory) => self.take_directory(&directory),
-            Change::Weights(weights) => self.take_weights(&weights),
+            Change::Config(directory) => self.apply_directory(&directory),
+            Change::Weights(weights) => self.apply_weights(&weights),
             // Upstreams are read when a fetch begins; what can't be read was told of.
             Change::Upstream(_) | Change::Gone(_) | Change::Unreadable { .. } => return,
         }
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -6,12 +6,12 @@
 //! tells entries and other agents, by datagrams, how loaded the engine is and which chunks it can
 //! give. What it does next is decided by [`Rollout`], apart from sockets.
 
-mod beliefs;
 mod chunk_store;
 mod draws;
 mod engine;
 pub mod events;
 mod fetch;
+mod known_settings;
 mod listing;
 mod loading;
 mod manifest;
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -9,7 +9,7 @@
 use wagtailreel_core::rank_score;
 use wagtailreel_fleet::{ModelName, NamedWeights, Registry, UpstreamStart, WeightsVersion};
 
-use crate::beliefs::{HeardWeights, Wanted};
+use crate::known_settings::{DesiredWeights, KnownNaming};
 use crate::manifest::ChunkManifest;
 use crate::origin::ChunkOrigin;
 use crate::process::Surroundings;
@@ -78,22 +78,22 @@
         loop {
             tokio::select! {
                 _ = looks.tick() => {}
-                () = cx.beliefs.changed.notified() => {}
+                () = cx.known_settings.changed.notified() => {}
             }
-            let wanted = cx.beliefs.wanted();
-            self.look(wanted.as_ref()).await;
-            let Some(wanted) = wanted else {
+            let desired = cx.known_settings.desired();
+            self.look(desired.as_ref()).await;
+            let Some(desired) = desired else {
                 continue;
             };
-            self.aim(&wanted).await;
-            self.act(&wanted).await;
+            self.aim(&desired).await;
+            self.act(&desired).await;
         }
     }
 
     /// Asks the engine for its state and tells of it.
-    async fn look(&mut self, wanted: Option<&Wanted>) {
-        let model = wanted
-            .map(|wanted| wanted.model.as_str())
+    async fn look(&mut self, desired: Option<&DesiredWeights>) {
+        let model = desired
+            .map(|desired| desired.model.as_str())
             .unwrap_or_default();
         let asked_at = Instant::now();
         let report = self.cx.engine.report().await;
@@ -162,21 +162,21 @@
     }
 
     /// Sets the target by what was named, or by the newest manifest if nothing was.
-    async fn aim(&mut self, wanted: &Wanted) {
-        let known = self.target.as_ref().filter(|it| it.model == wanted.model);
+    async fn aim(&mut self, desired: &DesiredWeights) {
+        let known = self.target.as_ref().filter(|it| it.model == desired.model);
         let known = known.map(|target| target.version);
-        if let Some(named) = wanted.named {
-            let HeardWeights {
+        if let Some(named) = desired.named {
+            let KnownNaming {
                 version, named_at, ..
             } = named;
-            let model = wanted.model.clone();
+            let model = desired.model.clone();
             let weights = NamedWeights { model, version };
             self.cx.board.set_naming(weights, named);
             if known != Some(version) && self.may_move_on() {
                 // The bound of the weights that are skipped goes on to count.
                 let skipped = self.target.take().filter(|_| !self.is_loaded(known));
                 self.target = Some(Target {
-                    model: wanted.model.clone(),
+                    model: desired.model.clone(),
                     version,
                     named_at: skipped.and_then(|target| target.named_at).or(named_at),
                 });
@@ -187,9 +187,9 @@
         let holds = self
             .report
             .as_ref()
-            .and_then(|it| it.version_of(&wanted.model));
+            .and_then(|it| it.version_of(&desired.model));
         if let Some(held) = holds {
-            self.learn_manifest(&wanted.model, held, wanted.origin)
+            self.learn_manifest(&desired.model, held, desired.origin)
                 .await;
             return;
         }
@@ -197,13 +197,13 @@
             return;
         }
         let origin = match self.report {
-            Some(_) => wanted.origin,
+            Some(_) => desired.origin,
             // Other agents know what an engine that starts beside them will lack. Where all start together none
             // does, and what their engines hold must not be drawn from the origin.
             None if self.engine_start.is_none() => None,
             None => return,
         };
-        if let Some(manifest) = self.resolve(&wanted.model, None, origin).await {
+        if let Some(manifest) = self.resolve(&desired.model, None, origin).await {
             self.target = Some(Target {
                 model: manifest.model.clone(),
                 version: manifest.version,
@@ -300,7 +300,7 @@
         Some(manifest)
     }
 
-    async fn act(&mut self, wanted: &Wanted) {
+    async fn act(&mut self, desired: &DesiredWeights) {
         let whole_since = self.whole_since();
         let has_all = whole_since.is_some();
         let situation = Situation {
@@ -318,11 +318,11 @@
             return;
         };
         match todo {
-            Todo::Wait if has_all => self.fetch_ahead(&target, wanted).await,
+            Todo::Wait if has_all => self.fetch_ahead(&target, desired).await,
             // An engine that started meanwhile holds what was fetched for it.
             Todo::Wait if self.is_loaded(Some(target.version)) => self.fetching = None,
             Todo::Wait => {}
-            Todo::Fetch => self.fetch(&target, wanted).await,
+            Todo::Fetch => self.fetch(&target, desired).await,
             Todo::Load if self.ordered_at.is_none() => self.load(&target).await,
             Todo::Load => {}
         }
@@ -344,30 +344,30 @@
     }
 
     /// Fetches newer weights while those before wait for their turn to be loaded.
-    async fn fetch_ahead(&mut self, target: &Target, wanted: &Wanted) {
-        let Some(HeardWeights {
+    async fn fetch_ahead(&mut self, target: &Target, desired: &DesiredWeights) {
+        let Some(KnownNaming {
             version, named_at, ..
-        }) = wanted.named
+        }) = desired.named
         else {
             return;
         };
         let ahead = Target {
-            model: wanted.model.clone(),
+            model: desired.model.clone(),
             version,
             named_at,
         };
         if version > target.version && !self.cx.chunk_store.is_full(&ahead.model, version) {
-            self.fetch(&ahead, wanted).await;
+            self.fetch(&ahead, desired).await;
         }
     }
 
-    async fn fetch(&mut self, target: &Target, wanted: &Wanted) {
+    async fn fetch(&mut self, target: &Target, desired: &DesiredWeights) {
         let running = self.fetching.as_ref();
         if running.is_some_and(|it| it.version == target.version && !it.task.is_finished()) {
             return;
         }
         self.fetching = None;
-        let manifest = self.resolve(&target.model, Some(target.version), wanted.origin);
+        let manifest = self.resolve(&target.model, Some(target.version), desired.origin);
         let Some(manifest) = manifest.await else {
             return;
         };
@@ -377,8 +377,8 @@
         let read_stage = serves.is_none();
         let cx = Arc::clone(&self.cx);
         let from = fetch::FromOrigin {
-            origin: wanted.origin,
-            draw_time: wanted.draw_time,
+            origin: desired.origin,
+            draw_time: desired.draw_time,
         };
         let task = tokio::spawn(fetch::bring(cx, manifest, from, read_stage));
         self.fetching = Some(Fetching {
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -21,8 +21,8 @@
 use wagtailreel_settings::StagingAgentSettings;
 use wagtailreel_telemetry::{encode_metrics, lines_dropped};
 
-use crate::beliefs::Beliefs;
 use crate::chunk_store::ChunkStore;
+use crate::known_settings::KnownSettings;
 use crate::loading::Keeper;
 use crate::metrics::Metrics;
 use crate::origin::ChunkOrigin;
@@ -77,7 +77,7 @@
     pub(crate) origin: O,
     pub(crate) client: HttpClient,
     pub(crate) metrics: Metrics,
-    pub(crate) beliefs: Arc<Beliefs>,
+    pub(crate) known_settings: Arc<KnownSettings>,
     pub(crate) chunk_store: Arc<ChunkStore>,
     pub(crate) board: Arc<StatusBoard>,
     pub(crate) peer_chunks: Mutex<UnboundedReceiver<PeerChunks>>,
@@ -136,7 +136,7 @@
             neighbours,
             settings.weights,
         ));
-        let beliefs = Arc::new(Beliefs::new(settings.service.clone()));
+        let known_settings = Arc::new(KnownSettings::new(settings.service.clone()));
         let giving = Giving::new(Arc::clone(&chunk_store), engine.clone(), settings.link);
         let cx = Arc::new(Surroundings {
             settings,
@@ -145,15 +145,15 @@
             origin,
             client: HttpClient::new(),
             metrics: metrics.clone(),
-            beliefs: Arc::clone(&beliefs),
+            known_settings: Arc::clone(&known_settings),
             chunk_store,
             board: Arc::clone(&board),
             peer_chunks: Mutex::new(rx),
             peers: watch::Sender::new(Vec::new()),
         });
         let mut tasks = JoinSet::new();
-        tasks.spawn(board.run(tx, Arc::clone(&beliefs)));
-        tasks.spawn(follow(registry, beliefs, settings_follow()));
+        tasks.spawn(board.run(tx, Arc::clone(&known_settings)));
+        tasks.spawn(follow(registry, known_settings, settings_follow()));
         tasks.spawn(Keeper::new(cx).run());
         let routes = router(Arc::new(giving)).merge(metrics_route(prometheus, metrics));
         let server = Server::start("listen", listener, Routes::new(routes), counters);
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -88,16 +88,16 @@
 }
 
 #[derive(Deserialize)]
-struct Wanted {
+struct ManifestQuery {
     version: Option<WeightsVersion>,
 }
 
 async fn manifest<E>(
     State(giving): State<Arc<Giving<E>>>,
     Path(model): Path<ModelName>,
-    Query(wanted): Query<Wanted>,
+    Query(query): Query<ManifestQuery>,
 ) -> Response {
-    match giving.chunk_store.manifest(&model, wanted.version) {
+    match giving.chunk_store.manifest(&model, query.version) {
         Some(manifest) => Json(manifest.as_ref().clone()).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -16,8 +16,8 @@
 use wagtailreel_route::direct::{Permits, Places};
 
 use crate::EngineReport;
-use crate::beliefs::{Beliefs, HeardWeights};
 use crate::chunk_store::ChunkStore;
+use crate::known_settings::{KnownNaming, KnownSettings};
 use crate::subscribers::Subscribers;
 use crate::suspects::Suspects;
 
@@ -36,7 +36,7 @@
     report: Option<(EngineReport, Instant)>,
     model: String,
     is_switching: bool,
-    naming: Option<(NamedWeights, HeardWeights)>,
+    naming: Option<(NamedWeights, KnownNaming)>,
     /// Requests on their way to the engine.
     places: Places,
 }
@@ -113,25 +113,25 @@
     }
 
     /// Takes weights that were named, as the agent heard of them.
-    pub(crate) fn set_naming(&self, weights: NamedWeights, heard: HeardWeights) {
+    pub(crate) fn set_naming(&self, weights: NamedWeights, naming: KnownNaming) {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.naming = Some((weights, heard));
+        known.naming = Some((weights, naming));
     }
 
     /// Returns the agent's clock while it wants to hear when the newest weights were not named yet.
     fn clock(&self) -> Option<u64> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let (_, heard) = known.naming.as_ref()?;
+        let (_, naming) = known.naming.as_ref()?;
         let now = BootTime::now();
-        let is_wanted = now.since(heard.heard_at) <= self.naming_told;
-        is_wanted.then(|| now.as_millis())
+        let is_recent = now.since(naming.received_at) <= self.naming_told;
+        is_recent.then(|| now.as_millis())
     }
 
     /// Returns the weights that were named lately.
     fn naming(&self) -> Option<HeardNaming> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let (weights, heard) = known.naming.as_ref()?;
-        let age = BootTime::now().since(heard.after?);
+        let (weights, naming) = known.naming.as_ref()?;
+        let age = BootTime::now().since(naming.named_after?);
         (age <= self.naming_told).then(|| HeardNaming {
             weights: weights.clone(),
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
@@ -225,7 +225,7 @@
     pub(crate) async fn run(
         self: Arc<Self>,
         chunks: UnboundedSender<PeerChunks>,
-        beliefs: Arc<Beliefs>,
+        known_settings: Arc<KnownSettings>,
     ) {
         let mut buf = vec![0; DATAGRAM];
         let mut tell_again = tokio::time::interval(TELL_AGAIN);
@@ -253,7 +253,7 @@
                         let after = query.weights_after_ms.map(BootTime::from_millis);
                         let age = query.weights_age_ms.map(u64::from);
                         let age = age.map(Duration::from_millis);
-                        beliefs.hear(weights, age, after);
+                        known_settings.merge_report(weights, age, after);
                     }
                 }
                 Ok(Datagram::Status(status)) => {
