--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -14,7 +14,7 @@
 use crate::origin::ChunkOrigin;
 use crate::process::Surroundings;
 use crate::resolve::ask_manifest;
-use crate::{EngineReport, Rollout, Situation, StagedEngine, Target, Todo, events, fetch};
+use crate::{EngineReport, Rollout, RolloutState, StagedEngine, Step, Target, events, fetch};
 
 /// Time between two looks at the engine. Its figures are some hundred milliseconds old as it is.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
@@ -233,13 +233,13 @@
         });
         let is_empty = !self.is_loaded(Some(0));
         let now = Instant::now();
-        self.ordered_at.is_none() && self.rollout.skips(target, share, is_empty, now)
+        self.ordered_at.is_none() && self.rollout.may_skip(target, share, is_empty, now)
     }
 
     /// Returns the engine's place among those of its data centre, 0 to 1.
     ///
     /// All agents compute the same order from the same list, without talking to each other.
-    fn place(&self, version: WeightsVersion) -> f64 {
+    fn position(&self, version: WeightsVersion) -> f64 {
         let settings = &self.cx.settings;
         let own = settings.listen.ip().to_string();
         let score = |vm: &str| rank_score(&version.to_be_bytes(), vm);
@@ -251,8 +251,8 @@
         let before = near.iter().filter(|it| **it > score(&own)).count();
         // Engines of one data centre are few enough for a float.
         #[allow(clippy::cast_precision_loss)]
-        let place = (before as f64 + 0.5) / (near.len() as f64 + 1.0);
-        place
+        let position = (before as f64 + 0.5) / (near.len() as f64 + 1.0);
+        position
     }
 
     /// Asks for the manifest of what the engine holds, so that engines that are added find one also
@@ -301,35 +301,35 @@
     }
 
     async fn act(&mut self, desired: &DesiredWeights) {
-        let whole_since = self.whole_since();
-        let has_all = whole_since.is_some();
-        let situation = Situation {
+        let complete_since = self.complete_since();
+        let has_all = complete_since.is_some();
+        let state = RolloutState {
             report: self.report.as_ref(),
-            is_new: self.engine_start.is_none(),
+            is_starting: self.engine_start.is_none(),
             target: self.target.as_ref(),
-            whole_since,
-            place: self
+            complete_since,
+            position: self
                 .target
                 .as_ref()
-                .map_or(0.0, |it| self.place(it.version)),
+                .map_or(0.0, |it| self.position(it.version)),
         };
-        let todo = self.rollout.next(situation, Instant::now());
+        let step = self.rollout.next(state, Instant::now());
         let Some(target) = self.target.clone() else {
             return;
         };
-        match todo {
-            Todo::Wait if has_all => self.fetch_ahead(&target, desired).await,
+        match step {
+            Step::Wait if has_all => self.fetch_ahead(&target, desired).await,
             // An engine that started meanwhile holds what was fetched for it.
-            Todo::Wait if self.is_loaded(Some(target.version)) => self.fetching = None,
-            Todo::Wait => {}
-            Todo::Fetch => self.fetch(&target, desired).await,
-            Todo::Load if self.ordered_at.is_none() => self.load(&target).await,
-            Todo::Load => {}
+            Step::Wait if self.is_loaded(Some(target.version)) => self.fetching = None,
+            Step::Wait => {}
+            Step::Fetch => self.fetch(&target, desired).await,
+            Step::Load if self.ordered_at.is_none() => self.load(&target).await,
+            Step::Load => {}
         }
     }
 
     /// Returns since when all chunks of the target are there.
-    fn whole_since(&mut self) -> Option<Instant> {
+    fn complete_since(&mut self) -> Option<Instant> {
         let target = self.target.as_ref()?;
         if !self.cx.chunk_store.is_full(&target.model, target.version) {
             self.whole = None;
--- a/crates/stage/src/ordering.rs
+++ b/crates/stage/src/staging.rs
@@ -34,7 +34,7 @@
         self.cx.board.set_switching(true);
         let held = self.report.as_ref();
         let held = held.and_then(|it| it.version_of(&target.model));
-        tokio::time::sleep(Rollout::notice(held)).await;
+        tokio::time::sleep(Rollout::load_notice(held)).await;
         let took = started.elapsed();
         let orders = self.report.as_ref().map_or(0, |report| report.orders);
         let (outcome, reason) = if took > STAGING {
--- a/crates/stage/tests/rollout.rs
+++ b/crates/stage/tests/rollout.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use wagtailreel_fleet::LoadedModel;
-use wagtailreel_stage::{EngineReport, Rollout, Situation, Target, Todo};
+use wagtailreel_stage::{EngineReport, Rollout, RolloutState, Step, Target};
 
 const BOUND: Duration = Duration::from_millis(7100);
 
@@ -37,37 +37,37 @@
     target: &Target,
     has_all: bool,
     now: Instant,
-) -> Todo {
-    let situation = Situation {
+) -> Step {
+    let state = RolloutState {
         report: Some(report),
-        is_new: false,
+        is_starting: false,
         target: Some(target),
-        whole_since: has_all.then_some(now),
-        place: 0.5,
+        complete_since: has_all.then_some(now),
+        position: 0.5,
     };
-    rollout.next(situation, now)
+    rollout.next(state, now)
 }
 
 /// Entries send nothing to an engine that holds nothing, and so needn't be told that it loads.
 #[rstest]
 fn notice_of_load() {
-    assert_eq!(Rollout::notice(None), Duration::ZERO);
-    assert!(Rollout::notice(Some(1)) > Duration::ZERO);
+    assert_eq!(Rollout::load_notice(None), Duration::ZERO);
+    assert!(Rollout::load_notice(Some(1)) > Duration::ZERO);
 }
 
 #[rstest]
-#[case::holds_it(Some(2), false, true, Todo::Wait)]
-#[case::holds_newer(Some(3), false, true, Todo::Wait)]
-#[case::lacks_chunks(Some(1), false, false, Todo::Fetch)]
-#[case::busy_without_chunks(Some(1), true, false, Todo::Fetch)]
-#[case::busy_with_chunks(Some(1), true, true, Todo::Wait)]
-#[case::empty_engine(None, false, true, Todo::Load)]
-#[case::before_its_turn(Some(1), false, true, Todo::Wait)]
+#[case::holds_it(Some(2), false, true, Step::Wait)]
+#[case::holds_newer(Some(3), false, true, Step::Wait)]
+#[case::lacks_chunks(Some(1), false, false, Step::Fetch)]
+#[case::busy_without_chunks(Some(1), true, false, Step::Fetch)]
+#[case::busy_with_chunks(Some(1), true, true, Step::Wait)]
+#[case::empty_engine(None, false, true, Step::Load)]
+#[case::before_its_turn(Some(1), false, true, Step::Wait)]
 fn next_step(
     #[case] held: Option<u64>,
     #[case] is_busy: bool,
     #[case] has_all: bool,
-    #[case] expected: Todo,
+    #[case] expected: Step,
 ) {
     let now = Instant::now();
     let rollout = Rollout::new(BOUND, now);
@@ -80,32 +80,32 @@
 fn engine_away() {
     let now = Instant::now();
     let target = target(2, None);
-    let situation = Situation {
+    let state = RolloutState {
         report: None,
-        is_new: false,
+        is_starting: false,
         target: Some(&target),
-        whole_since: Some(now),
-        place: 0.0,
+        complete_since: Some(now),
+        position: 0.0,
     };
-    assert_eq!(Rollout::new(BOUND, now).next(situation, now), Todo::Wait);
+    assert_eq!(Rollout::new(BOUND, now).next(state, now), Step::Wait);
 }
 
 /// What an engine will lack that is about to start is fetched meanwhile; one that fell silent has it.
 #[rstest]
-#[case::about_to_start(true, false, Todo::Fetch)]
-#[case::chunks_are_there(true, true, Todo::Wait)]
-#[case::fell_silent(false, false, Todo::Wait)]
-fn starting_engine(#[case] is_new: bool, #[case] has_all: bool, #[case] expected: Todo) {
+#[case::about_to_start(true, false, Step::Fetch)]
+#[case::chunks_are_there(true, true, Step::Wait)]
+#[case::fell_silent(false, false, Step::Wait)]
+fn starting_engine(#[case] is_starting: bool, #[case] has_all: bool, #[case] expected: Step) {
     let now = Instant::now();
     let target = target(2, None);
-    let situation = Situation {
+    let state = RolloutState {
         report: None,
-        is_new,
+        is_starting,
         target: Some(&target),
-        whole_since: has_all.then_some(now),
-        place: 0.0,
+        complete_since: has_all.then_some(now),
+        position: 0.0,
     };
-    assert_eq!(Rollout::new(BOUND, now).next(situation, now), expected);
+    assert_eq!(Rollout::new(BOUND, now).next(state, now), expected);
 }
 
 #[rstest]
@@ -114,7 +114,7 @@
     let rollout = Rollout::new(BOUND, now);
     let report = report(Some(1), false);
     let target = target(2, None);
-    assert_eq!(next(&rollout, &report, &target, true, now), Todo::Load);
+    assert_eq!(next(&rollout, &report, &target, true, now), Step::Load);
 }
 
 #[rstest]
@@ -124,9 +124,9 @@
     let report = report(None, false);
     let target = target(2, None);
     rollout.order_failed(now);
-    assert_eq!(next(&rollout, &report, &target, true, now), Todo::Wait);
+    assert_eq!(next(&rollout, &report, &target, true, now), Step::Wait);
     let later = now + Duration::from_secs(1);
-    assert_eq!(next(&rollout, &report, &target, true, later), Todo::Load);
+    assert_eq!(next(&rollout, &report, &target, true, later), Step::Load);
 }
 
 #[rstest]
@@ -136,7 +136,7 @@
     rollout.order_failed(now);
     rollout.restarted();
     let (report, target) = (report(None, false), target(2, None));
-    assert_eq!(next(&rollout, &report, &target, true, now), Todo::Load);
+    assert_eq!(next(&rollout, &report, &target, true, now), Step::Load);
 }
 
 #[rstest]
@@ -149,13 +149,13 @@
     #[case] after: u64,
     #[case] share: f64,
     #[case] is_empty: bool,
-    #[case] skips: bool,
+    #[case] may_skip: bool,
 ) {
     let now = Instant::now();
     let rollout = Rollout::new(BOUND, now);
     let target = target(2, Some(now));
     let later = now + Duration::from_millis(after);
-    assert_eq!(rollout.skips(&target, share, is_empty, later), skips);
+    assert_eq!(rollout.may_skip(&target, share, is_empty, later), may_skip);
 }
 
 /// Chunks that come late must not close half of the engines at once.
@@ -167,17 +167,17 @@
     let whole_at = now + Duration::from_millis(4500);
     let loads_by = |at: Instant| {
         let places = (0..27).map(|engine| (f64::from(engine) + 0.5) / 27.0);
-        let turns = places.map(|place| {
-            let situation = Situation {
+        let turns = places.map(|position| {
+            let state = RolloutState {
                 report: Some(&report),
-                is_new: false,
+                is_starting: false,
                 target: Some(&target),
-                whole_since: Some(whole_at),
-                place,
+                complete_since: Some(whole_at),
+                position,
             };
-            rollout.next(situation, at)
+            rollout.next(state, at)
         });
-        turns.filter(|todo| *todo == Todo::Load).count()
+        turns.filter(|step| *step == Step::Load).count()
     };
     assert_eq!(loads_by(whole_at), 0);
     assert_eq!(
@@ -191,18 +191,18 @@
 proptest! {
     /// Every engine begins to load within the bound, whatever its place.
     #[test]
-    fn turn_in_time(place in -1.0f64..2.0, late in 0.0f64..1.0) {
+    fn turn_in_time(position in -1.0f64..2.0, late in 0.0f64..1.0) {
         let now = Instant::now();
         let rollout = Rollout::new(BOUND, now);
         let report = report(Some(1), false);
         let target = target(2, Some(now));
-        let situation = Situation {
+        let state = RolloutState {
             report: Some(&report),
-                is_new: false,
+                is_starting: false,
             target: Some(&target),
-            whole_since: Some(now + BOUND.mul_f64(late)),
-            place,
+            complete_since: Some(now + BOUND.mul_f64(late)),
+            position,
         };
-        prop_assert_eq!(rollout.next(situation, now + BOUND), Todo::Load);
+        prop_assert_eq!(rollout.next(state, now + BOUND), Step::Load);
     }
 }
