--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -19,7 +19,7 @@
 use crate::listing::list_peers;
 use crate::manifest::ChunkManifest;
 use crate::origin::ChunkOrigin;
-use crate::process::Surroundings;
+use crate::process::AgentContext;
 use crate::status::{ALL_CHUNKS, PeerChunks};
 use crate::{StagedEngine, draws, events, peers};
 
@@ -76,7 +76,7 @@
 
 /// Brings all chunks of `manifest` into the shelf; ends only once they are there.
 pub(crate) async fn bring<R, E, O>(
-    cx: Arc<Surroundings<R, E, O>>,
+    cx: Arc<AgentContext<R, E, O>>,
     manifest: Arc<ChunkManifest>,
     from: FromOrigin,
     read_stage: bool,
@@ -102,7 +102,7 @@
 }
 
 /// Takes the chunks that the engine has staged and that are what they should be.
-async fn read_own_stage<R, E, O>(cx: &Surroundings<R, E, O>, manifest: &ChunkManifest)
+async fn read_own_stage<R, E, O>(cx: &AgentContext<R, E, O>, manifest: &ChunkManifest)
 where
     E: StagedEngine,
 {
@@ -119,7 +119,7 @@
 
 /// The shell round a planner.
 struct Bringing<R, E, O> {
-    cx: Arc<Surroundings<R, E, O>>,
+    cx: Arc<AgentContext<R, E, O>>,
     manifest: Arc<ChunkManifest>,
     origin: Option<SocketAddr>,
     planner: Planner,
@@ -143,7 +143,7 @@
     O: ChunkOrigin,
 {
     fn new(
-        cx: Arc<Surroundings<R, E, O>>,
+        cx: Arc<AgentContext<R, E, O>>,
         manifest: Arc<ChunkManifest>,
         from: FromOrigin,
         have: ChunkSet,
--- a/crates/stage/src/listing.rs
+++ b/crates/stage/src/listing.rs
@@ -7,14 +7,14 @@
 use wagtailreel_core::{VmEntry, VmRole, VmState};
 use wagtailreel_fleet::{Change, Registry, Topic, Upstream};
 
-use crate::process::Surroundings;
+use crate::process::AgentContext;
 
 /// How long the registry may take to list the upstreams.
 const LIST_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Returns the agents of the own service by the registry, the own one left out; those of before where it
 /// doesn't answer in time.
-pub(crate) async fn current_peers<R, E, O>(cx: &Surroundings<R, E, O>) -> Vec<VmEntry>
+pub(crate) async fn current_peers<R, E, O>(cx: &AgentContext<R, E, O>) -> Vec<VmEntry>
 where
     R: Registry,
 {
@@ -24,7 +24,7 @@
 }
 
 /// Reads the agents of the own service out of the registry, the own one left out.
-pub(crate) async fn list_peers<R, E, O>(cx: &Surroundings<R, E, O>) -> Option<Vec<VmEntry>>
+pub(crate) async fn list_peers<R, E, O>(cx: &AgentContext<R, E, O>) -> Option<Vec<VmEntry>>
 where
     R: Registry,
 {
@@ -45,7 +45,7 @@
     Some(peers)
 }
 
-fn entry<R, E, O>(upstream: &Upstream, cx: &Surroundings<R, E, O>) -> VmEntry {
+fn entry<R, E, O>(upstream: &Upstream, cx: &AgentContext<R, E, O>) -> VmEntry {
     let agent = SocketAddr::new(upstream.addr.ip(), cx.settings.listen.port());
     let regions = &cx.settings.regions;
     VmEntry {
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -12,49 +12,49 @@
 use crate::known_settings::{DesiredWeights, KnownNaming};
 use crate::manifest::ChunkManifest;
 use crate::origin::ChunkOrigin;
-use crate::process::Surroundings;
-use crate::resolve::ask_manifest;
+use crate::process::AgentContext;
+use crate::resolve::request_manifest;
 use crate::{EngineReport, Rollout, RolloutState, StagedEngine, Step, Target, events, fetch};
 
 /// Time between two looks at the engine. Its figures are some hundred milliseconds old as it is.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest time between the order to load and the engine's word that it is loading.
-const ORDER_SETTLES: Duration = Duration::from_millis(600);
+const ORDER_START_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Agents ask for the manifest of what their engines hold one after the other within this time, so
 /// that all but the first get it from each other.
-const LEARN_WITHIN: Duration = Duration::from_secs(3);
+const MANIFEST_REQUEST_SPREAD: Duration = Duration::from_secs(3);
 
 /// A fetch under way.
-struct Fetching {
+struct RunningFetch {
     version: WeightsVersion,
     task: AbortOnDropHandle<()>,
 }
 
 /// Looks after one engine.
-pub(crate) struct Keeper<R, E, O> {
-    pub(crate) cx: Arc<Surroundings<R, E, O>>,
+pub(crate) struct WeightsLoader<R, E, O> {
+    pub(crate) cx: Arc<AgentContext<R, E, O>>,
     pub(crate) rollout: Rollout,
     pub(crate) report: Option<EngineReport>,
     /// The start of the engine that its last state was from.
     engine_start: Option<UpstreamStart>,
     target: Option<Target>,
     /// The version of which all chunks are there, and since when.
-    whole: Option<(WeightsVersion, Instant)>,
-    fetching: Option<Fetching>,
+    complete: Option<(WeightsVersion, Instant)>,
+    fetching: Option<RunningFetch>,
     resolving: Option<AbortOnDropHandle<Option<Arc<ChunkManifest>>>>,
     pub(crate) ordered_at: Option<Instant>,
     started: Instant,
 }
 
-impl<R, E, O> Keeper<R, E, O>
+impl<R, E, O> WeightsLoader<R, E, O>
 where
     R: Registry,
     E: StagedEngine,
     O: ChunkOrigin,
 {
-    pub(crate) fn new(cx: Arc<Surroundings<R, E, O>>) -> Self {
+    pub(crate) fn new(cx: Arc<AgentContext<R, E, O>>) -> Self {
         let rollout = Rollout::new(cx.settings.weights, Instant::now());
         Self {
             cx,
@@ -62,7 +62,7 @@
             report: None,
             engine_start: None,
             target: None,
-            whole: None,
+            complete: None,
             fetching: None,
             resolving: None,
             ordered_at: None,
@@ -73,25 +73,25 @@
     /// Runs for as long as it is not dropped.
     pub(crate) async fn run(mut self) {
         let cx = Arc::clone(&self.cx);
-        let mut looks = tokio::time::interval(LOOK_EVERY);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut polls = tokio::time::interval(ENGINE_POLL_INTERVAL);
+        polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = looks.tick() => {}
+                _ = polls.tick() => {}
                 () = cx.known_settings.changed.notified() => {}
             }
             let desired = cx.known_settings.desired();
-            self.look(desired.as_ref()).await;
+            self.poll_engine(desired.as_ref()).await;
             let Some(desired) = desired else {
                 continue;
             };
-            self.aim(&desired).await;
-            self.act(&desired).await;
+            self.update_target(&desired).await;
+            self.run_step(&desired).await;
         }
     }
 
     /// Asks the engine for its state and tells of it.
-    async fn look(&mut self, desired: Option<&DesiredWeights>) {
+    async fn poll_engine(&mut self, desired: Option<&DesiredWeights>) {
         let model = desired
             .map(|desired| desired.model.as_str())
             .unwrap_or_default();
@@ -99,7 +99,7 @@
         let report = self.cx.engine.report().await;
         let reason = report.as_ref().err().map(ToString::to_string);
         self.report = report.ok();
-        self.note_start();
+        self.check_restart();
         let running = self.report.as_ref().map_or(0, |report| report.running);
         self.cx.metrics.running.set(i64::from(running));
         if self
@@ -118,12 +118,12 @@
             ]);
             self.cx.board.tell_all();
         }
-        self.settle(model);
+        self.check_order(model);
     }
 
     /// Takes which start of the engine its state is from. Another one holds nothing, has begun no
     /// order, and knows of none.
-    fn note_start(&mut self) {
+    fn check_restart(&mut self) {
         let Some(report) = &self.report else {
             return;
         };
@@ -142,7 +142,7 @@
     }
 
     /// Lets requests come again once the order to load was carried out, or came to nothing.
-    fn settle(&mut self, model: &str) {
+    fn check_order(&mut self, model: &str) {
         let Some(ordered_at) = self.ordered_at else {
             return;
         };
@@ -150,8 +150,8 @@
         let held = self.report.as_ref().and_then(|it| it.version_of(model));
         let target = self.target.as_ref().map(|target| target.version);
         let is_done = held.is_some() && held >= target;
-        let is_over = !is_busy && ordered_at.elapsed() > ORDER_SETTLES;
-        if !is_done && !is_over {
+        let has_expired = !is_busy && ordered_at.elapsed() > ORDER_START_TIMEOUT;
+        if !is_done && !has_expired {
             return;
         }
         self.ordered_at = None;
@@ -162,7 +162,7 @@
     }
 
     /// Sets the target by what was named, or by the newest manifest if nothing was.
-    async fn aim(&mut self, desired: &DesiredWeights) {
+    async fn update_target(&mut self, desired: &DesiredWeights) {
         let known = self.target.as_ref().filter(|it| it.model == desired.model);
         let known = known.map(|target| target.version);
         if let Some(named) = desired.named {
@@ -172,7 +172,7 @@
             let model = desired.model.clone();
             let weights = NamedWeights { model, version };
             self.cx.board.set_naming(weights, named);
-            if known != Some(version) && self.may_move_on() {
+            if known != Some(version) && self.may_replace_target() {
                 // The bound of the weights that are skipped goes on to count.
                 let skipped = self.target.take().filter(|_| !self.is_loaded(known));
                 self.target = Some(Target {
@@ -189,7 +189,7 @@
             .as_ref()
             .and_then(|it| it.version_of(&desired.model));
         if let Some(held) = holds {
-            self.learn_manifest(&desired.model, held, desired.origin)
+            self.request_held_manifest(&desired.model, held, desired.origin)
                 .await;
             return;
         }
@@ -220,7 +220,7 @@
     }
 
     /// Says whether newer weights may take the place of the target.
-    fn may_move_on(&self) -> bool {
+    fn may_replace_target(&self) -> bool {
         let Some(target) = &self.target else {
             return true;
         };
@@ -244,20 +244,20 @@
         let own = settings.listen.ip().to_string();
         let score = |vm: &str| rank_score(&version.to_be_bytes(), vm);
         let peers = self.cx.peers.borrow();
-        let near = peers
+        let local = peers
             .iter()
             .filter(|it| it.data_centre == settings.data_centre);
-        let near: Vec<u64> = near.map(|it| score(&it.vm)).collect();
-        let before = near.iter().filter(|it| **it > score(&own)).count();
+        let local: Vec<u64> = local.map(|it| score(&it.vm)).collect();
+        let before = local.iter().filter(|it| **it > score(&own)).count();
         // Engines of one data centre are few enough for a float.
         #[allow(clippy::cast_precision_loss)]
-        let position = (before as f64 + 0.5) / (near.len() as f64 + 1.0);
+        let position = (before as f64 + 0.5) / (local.len() as f64 + 1.0);
         position
     }
 
     /// Asks for the manifest of what the engine holds, so that engines that are added find one also
     /// while the origin is away.
-    async fn learn_manifest(
+    async fn request_held_manifest(
         &mut self,
         model: &ModelName,
         held: WeightsVersion,
@@ -268,7 +268,7 @@
         // A share of 2^64 needs no more digits than a float has.
         #[allow(clippy::cast_precision_loss)]
         let share = score as f64 / u64::MAX as f64;
-        if self.started.elapsed() >= LEARN_WITHIN.mul_f64(share) {
+        if self.started.elapsed() >= MANIFEST_REQUEST_SPREAD.mul_f64(share) {
             self.resolve(model, Some(held), origin).await;
         }
     }
@@ -285,8 +285,8 @@
         }
         let Some(resolving) = &mut self.resolving else {
             let cx = Arc::clone(&self.cx);
-            let asking = ask_manifest(cx, model.clone(), version, origin);
-            self.resolving = Some(AbortOnDropHandle::new(tokio::spawn(asking)));
+            let request = request_manifest(cx, model.clone(), version, origin);
+            self.resolving = Some(AbortOnDropHandle::new(tokio::spawn(request)));
             return None;
         };
         if !resolving.is_finished() {
@@ -300,9 +300,9 @@
         Some(manifest)
     }
 
-    async fn act(&mut self, desired: &DesiredWeights) {
+    async fn run_step(&mut self, desired: &DesiredWeights) {
         let complete_since = self.complete_since();
-        let has_all = complete_since.is_some();
+        let is_complete = complete_since.is_some();
         let state = RolloutState {
             report: self.report.as_ref(),
             is_starting: self.engine_start.is_none(),
@@ -318,7 +318,7 @@
             return;
         };
         match step {
-            Step::Wait if has_all => self.fetch_ahead(&target, desired).await,
+            Step::Wait if is_complete => self.prefetch(&target, desired).await,
             // An engine that started meanwhile holds what was fetched for it.
             Step::Wait if self.is_loaded(Some(target.version)) => self.fetching = None,
             Step::Wait => {}
@@ -332,19 +332,19 @@
     fn complete_since(&mut self) -> Option<Instant> {
         let target = self.target.as_ref()?;
         if !self.cx.chunk_store.is_full(&target.model, target.version) {
-            self.whole = None;
+            self.complete = None;
             return None;
         }
         let version = target.version;
-        let known = self.whole.filter(|(whole, _)| *whole == version);
+        let known = self.complete.filter(|(complete, _)| *complete == version);
         let (_, since) = *self
-            .whole
+            .complete
             .insert(known.unwrap_or((version, Instant::now())));
         Some(since)
     }
 
     /// Fetches newer weights while those before wait for their turn to be loaded.
-    async fn fetch_ahead(&mut self, target: &Target, desired: &DesiredWeights) {
+    async fn prefetch(&mut self, target: &Target, desired: &DesiredWeights) {
         let Some(KnownNaming {
             version, named_at, ..
         }) = desired.named
@@ -381,7 +381,7 @@
             draw_time: desired.draw_time,
         };
         let task = tokio::spawn(fetch::bring(cx, manifest, from, read_stage));
-        self.fetching = Some(Fetching {
+        self.fetching = Some(RunningFetch {
             version: target.version,
             task: AbortOnDropHandle::new(task),
         });
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -23,7 +23,7 @@
 
 use crate::chunk_store::ChunkStore;
 use crate::known_settings::KnownSettings;
-use crate::loading::Keeper;
+use crate::loading::WeightsLoader;
 use crate::metrics::Metrics;
 use crate::origin::ChunkOrigin;
 use crate::serve::{Giving, router};
@@ -70,7 +70,7 @@
 
 /// What all tasks of an agent share.
 #[derive(Debug)]
-pub(crate) struct Surroundings<R, E, O> {
+pub(crate) struct AgentContext<R, E, O> {
     pub(crate) settings: StagingAgentSettings,
     pub(crate) registry: Nearby<R>,
     pub(crate) engine: E,
@@ -138,7 +138,7 @@
         ));
         let known_settings = Arc::new(KnownSettings::new(settings.service.clone()));
         let giving = Giving::new(Arc::clone(&chunk_store), engine.clone(), settings.link);
-        let cx = Arc::new(Surroundings {
+        let cx = Arc::new(AgentContext {
             settings,
             registry: registry.clone(),
             engine,
@@ -154,7 +154,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(board.run(tx, Arc::clone(&known_settings)));
         tasks.spawn(follow(registry, known_settings, settings_follow()));
-        tasks.spawn(Keeper::new(cx).run());
+        tasks.spawn(WeightsLoader::new(cx).run());
         let routes = router(Arc::new(giving)).merge(metrics_route(prometheus, metrics));
         let server = Server::start("listen", listener, Routes::new(routes), counters);
         events::STARTED.emit(&[("vm", &vm), ("listen", &addr.to_string())]);
--- a/crates/stage/src/resolve.rs
+++ b/crates/stage/src/resolve.rs
@@ -11,7 +11,7 @@
 use crate::listing::current_peers;
 use crate::manifest::ChunkManifest;
 use crate::origin::ChunkOrigin;
-use crate::process::Surroundings;
+use crate::process::AgentContext;
 use crate::{events, peers};
 
 /// Pause before a manifest is asked for again.
@@ -25,8 +25,8 @@
 const PATIENT_ROUNDS: u32 = 6;
 
 /// Asks other agents and then the origin for a manifest, until one has it or the origin fails.
-pub(crate) async fn ask_manifest<R, E, O>(
-    cx: Arc<Surroundings<R, E, O>>,
+pub(crate) async fn request_manifest<R, E, O>(
+    cx: Arc<AgentContext<R, E, O>>,
     model: ModelName,
     version: Option<WeightsVersion>,
     origin: Option<SocketAddr>,
--- a/crates/stage/src/staging.rs
+++ b/crates/stage/src/staging.rs
@@ -6,15 +6,15 @@
 use wagtailreel_core::ChunkIndex;
 use wagtailreel_fleet::Registry;
 
-use crate::loading::Keeper;
+use crate::loading::WeightsLoader;
 use crate::origin::ChunkOrigin;
 use crate::{OrderOutcome, Rollout, StagedEngine, Target, events};
 
 /// Longest time between staging the first chunk and the order to load. Staged chunks may be spoilt
 /// at any time, and the engine doesn't compare them.
-const STAGING: Duration = Duration::from_millis(2200);
+const MAX_STAGING_TIME: Duration = Duration::from_millis(2200);
 
-impl<R, E, O> Keeper<R, E, O>
+impl<R, E, O> WeightsLoader<R, E, O>
 where
     R: Registry,
     E: StagedEngine,
@@ -37,7 +37,7 @@
         tokio::time::sleep(Rollout::load_notice(held)).await;
         let took = started.elapsed();
         let orders = self.report.as_ref().map_or(0, |report| report.orders);
-        let (outcome, reason) = if took > STAGING {
+        let (outcome, reason) = if took > MAX_STAGING_TIME {
             ("staged-too-slowly", String::new())
         } else {
             self.order(target, orders).await
@@ -61,8 +61,8 @@
     /// Tells the engine to load; returns what became of the order, and why.
     async fn order(&mut self, target: &Target, orders: u64) -> (&'static str, String) {
         let engine = &self.cx.engine;
-        let ended = engine.load(&target.model, target.version, orders).await;
-        match ended {
+        let outcome = engine.load(&target.model, target.version, orders).await;
+        match outcome {
             Ok(OrderOutcome::Begun | OrderOutcome::InEffect) => {
                 self.ordered_at = Some(Instant::now());
                 ("begun", String::new())
