--- a/crates/stage/src/resolve.rs
+++ b/crates/stage/src/resolve.rs
@@ -15,14 +15,14 @@
 use crate::{events, peers};
 
 /// Pause before a manifest is asked for again.
-const MANIFEST_PAUSE: Duration = Duration::from_millis(100);
+const MANIFEST_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Agents of the own data centre that ask the origin at once. Of 75 agents that all do, each with
 /// chunks on the way from the origin too, those of one data centre got no answer for 20 s.
 const MAX_ORIGIN_REQUESTERS: usize = 2;
 
 /// Rounds in which an agent asks only others before it asks the origin in place of the first.
-const PATIENT_ROUNDS: u32 = 6;
+const PEER_ROUNDS: u32 = 6;
 
 /// Asks other agents and then the origin for a manifest, until one has it or the origin fails.
 pub(crate) async fn request_manifest<R, E, O>(
@@ -36,18 +36,18 @@
     O: ChunkOrigin,
 {
     let peers = current_peers(&cx).await;
-    let order = Order::new(&cx.settings, &peers, &model, version);
+    let order = RequestOrder::new(&cx.settings, &peers, &model, version);
     let mut round = 0;
     loop {
-        for peer in order.asked_in(round) {
+        for peer in order.peers_in_round(round) {
             if let Some(manifest) = peers::manifest(&cx.client, peer, &model, version).await {
                 return Some(Arc::new(manifest));
             }
         }
-        if order.ahead < MAX_ORIGIN_REQUESTERS || round >= PATIENT_ROUNDS {
+        if order.ahead < MAX_ORIGIN_REQUESTERS || round >= PEER_ROUNDS {
             break;
         }
-        tokio::time::sleep(MANIFEST_PAUSE).await;
+        tokio::time::sleep(MANIFEST_RETRY_INTERVAL).await;
         round += 1;
     }
     let reason = match origin {
@@ -58,22 +58,22 @@
         },
     };
     events::MANIFEST_MISSING.emit(&[("model", &model), ("reason", &reason)]);
-    tokio::time::sleep(MANIFEST_PAUSE).await;
+    tokio::time::sleep(MANIFEST_RETRY_INTERVAL).await;
     None
 }
 
 /// In which order agents are asked for a manifest; the same for all agents of a data centre, so that
 /// those asked first are those that ask the origin.
-struct Order {
+struct RequestOrder {
     /// Agents of the own data centre that ask the origin before this one does.
     ahead: usize,
-    near: Vec<SocketAddr>,
+    local: Vec<SocketAddr>,
     /// Agents of other data centres. Their bytes are dear, but a data centre whose agents the origin
     /// does not answer has no other way.
-    far: Vec<SocketAddr>,
+    remote: Vec<SocketAddr>,
 }
 
-impl Order {
+impl RequestOrder {
     fn new(
         settings: &StagingAgentSettings,
         peers: &[VmEntry],
@@ -85,22 +85,22 @@
         let own = score(&settings.listen.ip().to_string());
         let mut ranked: Vec<(u64, &VmEntry)> = peers.iter().map(|it| (score(&it.vm), it)).collect();
         ranked.sort_by_key(|(score, _)| std::cmp::Reverse(*score));
-        let is_near = |peer: &VmEntry| peer.data_centre == settings.data_centre;
-        let near = ranked.iter().filter(|(_, peer)| is_near(peer));
-        let far = ranked.iter().filter(|(_, peer)| !is_near(peer));
+        let is_local = |peer: &VmEntry| peer.data_centre == settings.data_centre;
+        let local = ranked.iter().filter(|(_, peer)| is_local(peer));
+        let remote = ranked.iter().filter(|(_, peer)| !is_local(peer));
         Self {
-            ahead: near.clone().filter(|(score, _)| *score > own).count(),
-            near: near.map(|(_, peer)| peer.data).collect(),
-            far: far.map(|(_, peer)| peer.data).collect(),
+            ahead: local.clone().filter(|(score, _)| *score > own).count(),
+            local: local.map(|(_, peer)| peer.data).collect(),
+            remote: remote.map(|(_, peer)| peer.data).collect(),
         }
     }
 
     /// Returns whom to ask in a round: those that ask the origin, one more, and one far away.
-    fn asked_in(&self, round: u32) -> impl Iterator<Item = SocketAddr> + '_ {
+    fn peers_in_round(&self, round: u32) -> impl Iterator<Item = SocketAddr> + '_ {
         let round = round as usize;
-        let first = self.near.iter().take(MAX_ORIGIN_REQUESTERS);
-        let another = self.near.iter().skip(MAX_ORIGIN_REQUESTERS + round).take(1);
-        let afar = self.far.iter().skip(round).take(1);
-        first.chain(another).chain(afar).copied()
+        let first = self.local.iter().take(MAX_ORIGIN_REQUESTERS);
+        let next_local = self.local.iter().skip(MAX_ORIGIN_REQUESTERS + round).take(1);
+        let remote_peer = self.remote.iter().skip(round).take(1);
+        first.chain(next_local).chain(remote_peer).copied()
     }
 }
