--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -25,24 +25,24 @@
 
 /// Time between two questions to neighbours about their chunks. A chunk takes 42 ms over a link of
 /// 9.4 Mbit/s.
-const ASK_EVERY: Duration = Duration::from_millis(50);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How many questions to neighbours of the own data centre there are for each one beyond, whose
 /// links are narrow.
-const FAR_EVERY: u32 = 3;
+const REMOTE_POLL_DIVISOR: u32 = 3;
 
 /// Time between two looks at what takes long.
-const TICK: Duration = Duration::from_millis(25);
+const PLANNER_TICK: Duration = Duration::from_millis(25);
 
 /// A neighbour that was silent for so long counts as lost, until it answers.
-const SILENT: Duration = Duration::from_millis(500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between two reads of the registry for agents that came or went.
-const PEERS_EVERY: Duration = Duration::from_millis(1500);
+const PEER_LIST_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Where chunks are drawn from, and how fast.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FromOrigin {
+pub(crate) struct OriginSource {
     /// The origin; none if none is known.
     pub(crate) origin: Option<SocketAddr>,
     /// How long its link takes for one chunk, if that is known.
@@ -68,26 +68,26 @@
 }
 
 /// One fetch's end.
-struct Ended {
+struct FinishedFetch {
     fetch: Fetch,
     result: Result<Bytes, Failure>,
     took: Duration,
 }
 
 /// Brings all chunks of `manifest` into the shelf; ends only once they are there.
-pub(crate) async fn bring<R, E, O>(
+pub(crate) async fn fetch_version<R, E, O>(
     cx: Arc<AgentContext<R, E, O>>,
     manifest: Arc<ChunkManifest>,
-    from: FromOrigin,
-    read_stage: bool,
+    from: OriginSource,
+    restores_staged: bool,
 ) where
     R: Registry,
     E: StagedEngine,
     O: ChunkOrigin,
 {
     cx.chunk_store.add_version(&manifest);
-    if read_stage {
-        read_own_stage(&cx, &manifest).await;
+    if restores_staged {
+        restore_staged(&cx, &manifest).await;
     }
     let have = cx.chunk_store.have(&manifest.model, manifest.version);
     let have = have.unwrap_or_else(|| ChunkSet::new(manifest.count()));
@@ -97,12 +97,12 @@
         ("have", &have.count().to_string()),
         ("chunks", &manifest.count().to_string()),
     ]);
-    let mut bringing = Bringing::new(cx, manifest, from, have);
-    bringing.run().await;
+    let mut fetcher = ChunkFetcher::new(cx, manifest, from, have);
+    fetcher.run().await;
 }
 
 /// Takes the chunks that the engine has staged and that are what they should be.
-async fn read_own_stage<R, E, O>(cx: &AgentContext<R, E, O>, manifest: &ChunkManifest)
+async fn restore_staged<R, E, O>(cx: &AgentContext<R, E, O>, manifest: &ChunkManifest)
 where
     E: StagedEngine,
 {
@@ -118,25 +118,25 @@
 }
 
 /// The shell round a planner.
-struct Bringing<R, E, O> {
+struct ChunkFetcher<R, E, O> {
     cx: Arc<AgentContext<R, E, O>>,
     manifest: Arc<ChunkManifest>,
     origin: Option<SocketAddr>,
     planner: Planner,
     peers: BTreeMap<VmId, SocketAddr>,
-    heard: BTreeMap<VmId, Instant>,
-    fetches: JoinSet<Ended>,
+    last_answers: BTreeMap<VmId, Instant>,
+    fetches: JoinSet<FinishedFetch>,
     /// The read of the registry that is under way.
-    lists: JoinSet<Option<Vec<VmEntry>>>,
+    list_reads: JoinSet<Option<Vec<VmEntry>>>,
     running: BTreeMap<FetchId, AbortHandle>,
     client: HttpClient,
     started: Instant,
     from_origin: u32,
-    from_far: u32,
-    asks: u32,
+    from_remote: u32,
+    polls: u32,
 }
 
-impl<R, E, O> Bringing<R, E, O>
+impl<R, E, O> ChunkFetcher<R, E, O>
 where
     R: Registry,
     E: StagedEngine,
@@ -145,7 +145,7 @@
     fn new(
         cx: Arc<AgentContext<R, E, O>>,
         manifest: Arc<ChunkManifest>,
-        from: FromOrigin,
+        from: OriginSource,
         have: ChunkSet,
     ) -> Self {
         let now = Instant::now();
@@ -176,15 +176,15 @@
             origin: from.origin,
             planner,
             peers: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_answers: BTreeMap::new(),
             fetches: JoinSet::new(),
-            lists: JoinSet::new(),
+            list_reads: JoinSet::new(),
             running: BTreeMap::new(),
             client: HttpClient::new(),
             started: now,
             from_origin: 0,
-            from_far: 0,
-            asks: 0,
+            from_remote: 0,
+            polls: 0,
         }
     }
 
@@ -193,28 +193,28 @@
         let mut chunks = cx.peer_chunks.lock().await;
         // What was said before this fetch began is of another version or old.
         while chunks.try_recv().is_ok() {}
-        let mut asks = tokio::time::interval(ASK_EVERY);
-        let mut ticks = tokio::time::interval(TICK);
-        let mut lists = tokio::time::interval(PEERS_EVERY);
-        for interval in [&mut asks, &mut ticks, &mut lists] {
+        let mut polls = tokio::time::interval(PEER_POLL_INTERVAL);
+        let mut ticks = tokio::time::interval(PLANNER_TICK);
+        let mut list_reads = tokio::time::interval(PEER_LIST_INTERVAL);
+        for interval in [&mut polls, &mut ticks, &mut list_reads] {
             interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         }
         while !self.planner.is_done() {
             tokio::select! {
-                _ = lists.tick() => self.read_peers(),
-                Some(read) = self.lists.join_next() => {
+                _ = list_reads.tick() => self.read_peers(),
+                Some(read) = self.list_reads.join_next() => {
                     // A read that was dropped has nothing to tell.
                     if let Ok(Some(peers)) = read {
-                        self.take_peers(peers);
+                        self.apply_peers(peers);
                     }
                 }
-                _ = asks.tick() => self.ask(),
+                _ = polls.tick() => self.poll_peers(),
                 _ = ticks.tick() => self.apply(Event::Tick),
-                Some(said) = recv(&mut chunks) => self.take_chunks(&said),
-                Some(ended) = self.fetches.join_next() => {
+                Some(report) = recv(&mut chunks) => self.apply_held_chunks(&report),
+                Some(finished) = self.fetches.join_next() => {
                     // A fetch that was dropped has nothing to tell.
-                    if let Ok(ended) = ended {
-                        self.take_end(ended);
+                    if let Ok(finished) = finished {
+                        self.finish_fetch(finished);
                     }
                 }
             }
@@ -223,7 +223,7 @@
             ("model", &self.manifest.model),
             ("version", &self.manifest.version.to_string()),
             ("from_origin", &self.from_origin.to_string()),
-            ("from_far", &self.from_far.to_string()),
+            ("from_far", &self.from_remote.to_string()),
             ("peers", &self.peers.len().to_string()),
             ("ms", &self.started.elapsed().as_millis().to_string()),
         ]);
@@ -234,27 +234,27 @@
     /// Chunks come and go meanwhile: while a registry was slow to answer, a fetch that waited for each
     /// read stood still for 0.6 s of each 1.5 s.
     fn read_peers(&mut self) {
-        if self.lists.is_empty() {
+        if self.list_reads.is_empty() {
             let cx = Arc::clone(&self.cx);
-            self.lists.spawn(async move { list_peers(&cx).await });
+            self.list_reads.spawn(async move { list_peers(&cx).await });
         }
     }
 
     /// Takes the other agents; without an answer those of before stay.
-    fn take_peers(&mut self, peers: Vec<VmEntry>) {
+    fn apply_peers(&mut self, peers: Vec<VmEntry>) {
         self.peers = peers.iter().map(|it| (it.vm.clone(), it.data)).collect();
         self.apply(Event::Peers(peers));
-        self.ask();
+        self.poll_peers();
     }
 
     /// Asks the neighbours what they have, and takes note of the silent ones.
-    fn ask(&mut self) {
+    fn poll_peers(&mut self) {
         let now = Instant::now();
-        self.asks = self.asks.wrapping_add(1);
-        let is_far_turn = self.asks.is_multiple_of(FAR_EVERY);
+        self.polls = self.polls.wrapping_add(1);
+        let includes_remote = self.polls.is_multiple_of(REMOTE_POLL_DIVISOR);
         let watched: Vec<VmId> = self.planner.watched().iter().cloned().collect();
         for vm in watched {
-            if !is_far_turn && self.is_far(&Source::Peer(vm.clone())) {
+            if !includes_remote && self.is_remote(&Source::Peer(vm.clone())) {
                 continue;
             }
             let Some(addr) = self.peers.get(&vm) else {
@@ -262,46 +262,46 @@
             };
             let (model, version) = (&self.manifest.model, self.manifest.version);
             self.cx.board.ask(*addr, model, version);
-            let heard = *self.heard.entry(vm.clone()).or_insert(now);
-            if now.saturating_duration_since(heard) > SILENT {
+            let last_answer = *self.last_answers.entry(vm.clone()).or_insert(now);
+            if now.saturating_duration_since(last_answer) > PEER_TIMEOUT {
                 self.apply(Event::Lost { vm });
             }
         }
     }
 
-    fn take_chunks(&mut self, said: &PeerChunks) {
-        let vm = said.ip.to_string();
-        self.heard.insert(vm.clone(), Instant::now());
-        let is_ours =
-            said.held.model == self.manifest.model && said.held.version == self.manifest.version;
-        if !is_ours {
+    fn apply_held_chunks(&mut self, report: &PeerChunks) {
+        let vm = report.ip.to_string();
+        self.last_answers.insert(vm.clone(), Instant::now());
+        let is_wanted = report.held.model == self.manifest.model
+            && report.held.version == self.manifest.version;
+        if !is_wanted {
             return;
         }
         let count = self.manifest.count();
-        let have = if said.held.chunks == ALL_CHUNKS {
+        let have = if report.held.chunks == ALL_CHUNKS {
             let mut all = ChunkSet::new(count);
             for chunk in 0..count {
                 all.insert(chunk);
             }
             Some(all)
         } else {
-            ChunkSet::from_hex(&said.held.chunks, count)
+            ChunkSet::from_hex(&report.held.chunks, count)
         };
         if let Some(have) = have {
             self.apply(Event::Have { vm, have });
         }
     }
 
-    fn take_end(&mut self, ended: Ended) {
-        let Ended {
+    fn finish_fetch(&mut self, finished: FinishedFetch) {
+        let FinishedFetch {
             fetch,
             result,
             took,
-        } = ended;
+        } = finished;
         draws::note(&self.manifest, &fetch, &result, took);
         self.running.remove(&fetch.id);
         let event = match result {
-            Ok(data) => self.take_bytes(&fetch, data),
+            Ok(data) => self.store_chunk(&fetch, data),
             Err(failure) => Event::Failed {
                 id: fetch.id,
                 failure,
@@ -311,7 +311,7 @@
     }
 
     /// Says whether a giver stands in another data centre.
-    fn is_far(&self, from: &Source) -> bool {
+    fn is_remote(&self, from: &Source) -> bool {
         let Source::Peer(vm) = from else {
             return false;
         };
@@ -321,17 +321,17 @@
     }
 
     /// Keeps a chunk that is the right one.
-    fn take_bytes(&mut self, fetch: &Fetch, data: Bytes) -> Event {
+    fn store_chunk(&mut self, fetch: &Fetch, data: Bytes) -> Event {
         if self.cx.chunk_store.put(&self.manifest, fetch.chunk, data) {
-            let is_far = self.is_far(&fetch.from);
+            let is_remote = self.is_remote(&fetch.from);
             let from = match fetch.from {
                 Source::Origin => "origin",
-                Source::Peer(_) if is_far => "far",
+                Source::Peer(_) if is_remote => "far",
                 Source::Peer(_) => "near",
             };
             self.cx.metrics.chunks.with_label_values(&[from]).inc();
             self.from_origin += u32::from(fetch.from == Source::Origin);
-            self.from_far += u32::from(is_far);
+            self.from_remote += u32::from(is_remote);
             return Event::Fetched {
                 id: fetch.id,
                 chunk: fetch.chunk,
@@ -383,7 +383,7 @@
                 }
             };
             let took = started.elapsed();
-            Ended {
+            FinishedFetch {
                 fetch,
                 result,
                 took,
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -373,14 +373,14 @@
         };
         // An engine that serves an older version has that one staged.
         let report = self.report.as_ref();
-        let serves = report.and_then(|it| it.version_of(&target.model));
-        let read_stage = serves.is_none();
+        let loaded = report.and_then(|it| it.version_of(&target.model));
+        let restores_staged = loaded.is_none();
         let cx = Arc::clone(&self.cx);
-        let from = fetch::FromOrigin {
+        let from = fetch::OriginSource {
             origin: desired.origin,
             draw_time: desired.draw_time,
         };
-        let task = tokio::spawn(fetch::bring(cx, manifest, from, read_stage));
+        let task = tokio::spawn(fetch::fetch_version(cx, manifest, from, restores_staged));
         self.fetching = Some(RunningFetch {
             version: target.version,
             task: AbortOnDropHandle::new(task),
--- a/crates/stage/src/resolve.rs
+++ b/crates/stage/src/resolve.rs
@@ -99,7 +99,11 @@
     fn peers_in_round(&self, round: u32) -> impl Iterator<Item = SocketAddr> + '_ {
         let round = round as usize;
         let first = self.local.iter().take(MAX_ORIGIN_REQUESTERS);
-        let next_local = self.local.iter().skip(MAX_ORIGIN_REQUESTERS + round).take(1);
+        let next_local = self
+            .local
+            .iter()
+            .skip(MAX_ORIGIN_REQUESTERS + round)
+            .take(1);
         let remote_peer = self.remote.iter().skip(round).take(1);
         first.chain(next_local).chain(remote_peer).copied()
     }
