--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -20,13 +20,13 @@
 mod origin;
 mod peers;
 mod process;
+mod quarantine_sync;
 mod resolve;
 mod rollout;
 mod serve;
 mod staging;
 mod status;
 mod subscribers;
-mod suspects;
 
 pub use chunk_store::ChunkStore;
 pub use engine::{EngineError, EngineReport, OrderOutcome, StagedEngine};
--- a/crates/stage/src/suspects.rs
+++ b/crates/stage/src/quarantine_sync.rs
@@ -9,27 +9,28 @@
 
 /// How long entries are told again of what was learned of a request, for datagrams that are lost and
 /// entries that were cut off.
-const TOLD_FOR: Duration = Duration::from_secs(5);
+const RESEND_WINDOW: Duration = Duration::from_secs(5);
 
 /// Requests under which upstreams end.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects {
-    known: Mutex<Quarantine>,
+pub(crate) struct QuarantineSync {
+    quarantine: Mutex<Quarantine>,
 }
 
-impl Suspects {
+impl QuarantineSync {
     /// Takes what an entry tells; returns what the others are to be told of it.
-    pub(crate) fn hear(&self, told: &[EndedUnder]) -> Vec<EndedUnder> {
+    pub(crate) fn merge(&self, reports: &[EndedUnder]) -> Vec<EndedUnder> {
         let now = BootTime::now();
-        let mut known = self.lock();
-        let news = told.iter().filter(|account| known.hear(account, now));
-        let news: BTreeSet<Fingerprint> = news.map(|account| account.fingerprint).collect();
-        if news.is_empty() {
+        let mut quarantine = self.lock();
+        let new_reports = reports.iter().filter(|report| quarantine.hear(report, now));
+        let new_reports: BTreeSet<Fingerprint> =
+            new_reports.map(|report| report.fingerprint).collect();
+        if new_reports.is_empty() {
             return Vec::new();
         }
-        let mut told = known.told_of(Duration::MAX, now);
-        told.retain(|account| news.contains(&account.fingerprint));
-        told
+        let mut reports = quarantine.told_of(Duration::MAX, now);
+        reports.retain(|report| new_reports.contains(&report.fingerprint));
+        reports
     }
 
     /// Returns what an entry is to be told that may have missed it.
@@ -38,14 +39,16 @@
     }
 
     /// Returns what all entries are told again, and forgets what no longer counts.
-    pub(crate) fn again(&self) -> Vec<EndedUnder> {
+    pub(crate) fn due_for_resend(&self) -> Vec<EndedUnder> {
         let now = BootTime::now();
-        let mut known = self.lock();
-        known.forget(now);
-        known.told_of(TOLD_FOR, now)
+        let mut quarantine = self.lock();
+        quarantine.forget(now);
+        quarantine.told_of(RESEND_WINDOW, now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Quarantine> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+        self.quarantine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -18,8 +18,8 @@
 use crate::EngineReport;
 use crate::chunk_store::ChunkStore;
 use crate::known_settings::{KnownNaming, KnownSettings};
+use crate::quarantine_sync::QuarantineSync;
 use crate::subscribers::Subscribers;
-use crate::suspects::Suspects;
 
 /// Longest datagram in bytes.
 const DATAGRAM: usize = 4096;
@@ -53,7 +53,7 @@
     /// The entries of the data centre, to read the registry through.
     neighbours: Arc<Neighbours>,
     chunk_store: Arc<ChunkStore>,
-    suspects: Suspects,
+    quarantine_sync: QuarantineSync,
     permits: Mutex<Permits>,
     socket: UdpSocket,
     /// How long the agent tells of weights that were named, and asks since when.
@@ -80,7 +80,7 @@
             subscribers: Subscribers::default(),
             neighbours,
             chunk_store,
-            suspects: Suspects::default(),
+            quarantine_sync: QuarantineSync::default(),
             permits: Mutex::default(),
             socket,
             naming_told: bound + TOLD_LONGER,
@@ -235,7 +235,7 @@
                 received = self.socket.recv_from(&mut buf) => received,
                 _ = tell_again.tick() => {
                     let subscribers = self.subscribers.active(Instant::now());
-                    self.tell_of(&self.suspects.again(), &subscribers);
+                    self.tell_of(&self.quarantine_sync.due_for_resend(), &subscribers);
                     continue;
                 }
             };
@@ -266,7 +266,7 @@
                 Ok(Datagram::AskPermit(ask)) => self.give_permit(&ask, from),
                 Ok(Datagram::Ended(told)) => {
                     let subscribers = self.subscribers.active(Instant::now());
-                    self.tell_of(&self.suspects.hear(&told), &subscribers);
+                    self.tell_of(&self.quarantine_sync.merge(&told), &subscribers);
                 }
                 // Whoever speaks otherwise is no part of the system.
                 Ok(Datagram::Permit(_)) | Err(_) => {}
@@ -277,7 +277,7 @@
     fn answer(&self, query: &Query, from: SocketAddr) {
         let now = Instant::now();
         if query.chunks.is_none() && self.subscribers.record(from, query.is_near, now) {
-            self.tell_of(&self.suspects.all(), &[from]);
+            self.tell_of(&self.quarantine_sync.all(), &[from]);
         }
         let chunks = query.chunks.as_ref();
         // Other agents have no use for them.
