--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -261,7 +261,7 @@
                 continue;
             };
             let (model, version) = (&self.manifest.model, self.manifest.version);
-            self.cx.board.ask(*addr, model, version);
+            self.cx.board.request_chunks(*addr, model, version);
             let last_answer = *self.last_answers.entry(vm.clone()).or_insert(now);
             if now.saturating_duration_since(last_answer) > PEER_TIMEOUT {
                 self.apply(Event::Lost { vm });
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -116,7 +116,7 @@
                 ("answers", &self.report.is_some().to_string()),
                 ("reason", &reason.unwrap_or_default()),
             ]);
-            self.cx.board.tell_all();
+            self.cx.board.push_all();
         }
         self.check_order(model);
     }
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -22,33 +22,33 @@
 use crate::subscribers::Subscribers;
 
 /// Longest datagram in bytes.
-const DATAGRAM: usize = 4096;
+const MAX_DATAGRAM_BYTES: usize = 4096;
 
 /// Entries of the own data centre that are told of: the first, and who stands in if it is silent.
-const NEAR_TOLD: usize = 2;
+const MAX_ENTRIES_REPORTED: usize = 2;
 
 /// How often entries are told again of requests under which upstreams ended lately.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+const CRASH_REPORT_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What an agent tells of its engine.
 #[derive(Debug, Default)]
-struct Known {
+struct PublishedState {
     report: Option<(EngineReport, Instant)>,
     model: String,
     is_switching: bool,
     naming: Option<(NamedWeights, KnownNaming)>,
     /// Requests on their way to the engine.
-    places: Places,
+    arrivals: Places,
 }
 
 /// How much longer than their bound agents tell of weights that were named: an entry that starts then
 /// still learns that the bound is over.
-const TOLD_LONGER: Duration = Duration::from_secs(10);
+const NAMING_REPORT_MARGIN: Duration = Duration::from_secs(10);
 
 /// What an agent tells of its engine, and to whom.
 #[derive(Debug)]
 pub(crate) struct StatusBoard {
-    known: Mutex<Known>,
+    state: Mutex<PublishedState>,
     subscribers: Subscribers,
     /// The entries of the data centre, to read the registry through.
     neighbours: Arc<Neighbours>,
@@ -57,7 +57,7 @@
     permits: Mutex<Permits>,
     socket: UdpSocket,
     /// How long the agent tells of weights that were named, and asks since when.
-    naming_told: Duration,
+    naming_report_ttl: Duration,
 }
 
 /// Chunks that another agent says it has.
@@ -76,63 +76,63 @@
         bound: Duration,
     ) -> Self {
         Self {
-            known: Mutex::default(),
+            state: Mutex::default(),
             subscribers: Subscribers::default(),
             neighbours,
             chunk_store,
             quarantine_sync: QuarantineSync::default(),
             permits: Mutex::default(),
             socket,
-            naming_told: bound + TOLD_LONGER,
+            naming_report_ttl: bound + NAMING_REPORT_MARGIN,
         }
     }
 
-    /// Takes the engine's state that was asked for at `asked_at`, none if it does not answer; returns
+    /// Takes the engine's state that was asked for at `requested_at`, none if it does not answer; returns
     /// whether its weights or its answering changed.
     pub(crate) fn set_report(
         &self,
         model: &str,
         report: Option<EngineReport>,
-        asked_at: Instant,
+        requested_at: Instant,
     ) -> bool {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        model.clone_into(&mut known.model);
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        model.clone_into(&mut state.model);
         let version = |report: Option<&EngineReport>| report.map(|it| it.version_of(model));
-        let before = version(known.report.as_ref().map(|(report, _)| report));
+        let before = version(state.report.as_ref().map(|(report, _)| report));
         let changed = before != version(report.as_ref());
         let now = Instant::now();
-        known.places.figures(asked_at);
+        state.arrivals.figures(requested_at);
         if report
             .as_ref()
             .is_some_and(|it| it.running + it.queued == 0)
         {
-            known.places.idle(now);
+            state.arrivals.idle(now);
         }
-        known.report = report.map(|report| (report, now));
+        state.report = report.map(|report| (report, now));
         changed
     }
 
     /// Takes weights that were named, as the agent heard of them.
     pub(crate) fn set_naming(&self, weights: NamedWeights, naming: KnownNaming) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.naming = Some((weights, naming));
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.naming = Some((weights, naming));
     }
 
     /// Returns the agent's clock while it wants to hear when the newest weights were not named yet.
-    fn clock(&self) -> Option<u64> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let (_, naming) = known.naming.as_ref()?;
+    fn clock_if_wanted(&self) -> Option<u64> {
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let (_, naming) = state.naming.as_ref()?;
         let now = BootTime::now();
-        let is_recent = now.since(naming.received_at) <= self.naming_told;
+        let is_recent = now.since(naming.received_at) <= self.naming_report_ttl;
         is_recent.then(|| now.as_millis())
     }
 
     /// Returns the weights that were named lately.
     fn naming(&self) -> Option<HeardNaming> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let (weights, naming) = known.naming.as_ref()?;
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let (weights, naming) = state.naming.as_ref()?;
         let age = BootTime::now().since(naming.named_after?);
-        (age <= self.naming_told).then(|| HeardNaming {
+        (age <= self.naming_report_ttl).then(|| HeardNaming {
             weights: weights.clone(),
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
         })
@@ -141,35 +141,35 @@
     /// Takes whether the engine is about to load, and tells all askers at once.
     pub(crate) fn set_switching(&self, is_switching: bool) {
         {
-            let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-            if known.is_switching == is_switching {
+            let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+            if state.is_switching == is_switching {
                 return;
             }
-            known.is_switching = is_switching;
+            state.is_switching = is_switching;
         }
-        self.tell_all();
+        self.push_all();
     }
 
     /// Tells all askers the engine's state without being asked.
-    pub(crate) fn tell_all(&self) {
+    pub(crate) fn push_all(&self) {
         let now = Instant::now();
-        self.tell(&self.subscribers.active(now), now);
+        self.push(&self.subscribers.active(now), now);
     }
 
     /// Takes that an entry is about to send a request, and tells the other entries of the data centre
     /// at once, so that they don't choose the engine for the same room.
-    fn take_place(&self, reading: Duration, from: SocketAddr) {
+    fn announce_request(&self, prefill_time: Duration, from: SocketAddr) {
         let now = Instant::now();
         {
-            let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-            known.places.take(reading, now);
+            let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+            state.arrivals.take(prefill_time, now);
         }
-        let mut near = self.subscribers.local(now);
-        near.retain(|entry| *entry != from);
-        self.tell(&near, now);
+        let mut local_entries = self.subscribers.local(now);
+        local_entries.retain(|entry| *entry != from);
+        self.push(&local_entries, now);
     }
 
-    fn tell(&self, subscribers: &[SocketAddr], now: Instant) {
+    fn push(&self, subscribers: &[SocketAddr], now: Instant) {
         let status = Status {
             nonce: 0,
             load: self.load(now),
@@ -186,9 +186,9 @@
     }
 
     /// Gives an entry leave to send a request to an upstream that names a limit, or tells when there is room.
-    fn give_permit(&self, ask: &AskPermit, from: SocketAddr) {
+    fn answer_permit_request(&self, permit_request: &AskPermit, from: SocketAddr) {
         let mut permits = self.permits.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(permit) = permits.answer(ask, Instant::now()) else {
+        let Some(permit) = permits.answer(permit_request, Instant::now()) else {
             return;
         };
         drop(permits);
@@ -198,9 +198,9 @@
     }
 
     /// Tells entries of requests under which upstreams end.
-    fn tell_of(&self, told: &[EndedUnder], entries: &[SocketAddr]) {
-        for told in told.chunks(ENDED_A_DATAGRAM) {
-            let datagram = Datagram::Ended(told.to_vec()).to_bytes();
+    fn send_crash_reports(&self, reports: &[EndedUnder], entries: &[SocketAddr]) {
+        for reports in reports.chunks(ENDED_A_DATAGRAM) {
+            let datagram = Datagram::Ended(reports.to_vec()).to_bytes();
             for entry in entries {
                 // What is lost is told again.
                 let _ = self.socket.try_send_to(&datagram, *entry);
@@ -209,7 +209,7 @@
     }
 
     /// Asks another agent which chunks it has.
-    pub(crate) fn ask(&self, peer: SocketAddr, model: &str, version: WeightsVersion) {
+    pub(crate) fn request_chunks(&self, peer: SocketAddr, model: &str, version: WeightsVersion) {
         let query = Query {
             nonce: 0,
             weights: None,
@@ -227,15 +227,15 @@
         chunks: UnboundedSender<PeerChunks>,
         known_settings: Arc<KnownSettings>,
     ) {
-        let mut buf = vec![0; DATAGRAM];
-        let mut tell_again = tokio::time::interval(TELL_AGAIN);
-        tell_again.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
+        let mut resends = tokio::time::interval(CRASH_REPORT_RESEND_INTERVAL);
+        resends.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let received = tokio::select! {
                 received = self.socket.recv_from(&mut buf) => received,
-                _ = tell_again.tick() => {
+                _ = resends.tick() => {
                     let subscribers = self.subscribers.active(Instant::now());
-                    self.tell_of(&self.quarantine_sync.due_for_resend(), &subscribers);
+                    self.send_crash_reports(&self.quarantine_sync.due_for_resend(), &subscribers);
                     continue;
                 }
             };
@@ -246,7 +246,7 @@
                 Ok(Datagram::Query(Query {
                     sends_us: Some(micros),
                     ..
-                })) => self.take_place(Duration::from_micros(micros.into()), from),
+                })) => self.announce_request(Duration::from_micros(micros.into()), from),
                 Ok(Datagram::Query(query)) => {
                     self.answer(&query, from);
                     if let Some(weights) = &query.weights {
@@ -263,10 +263,12 @@
                         let _ = chunks.send(PeerChunks { ip, held });
                     }
                 }
-                Ok(Datagram::AskPermit(ask)) => self.give_permit(&ask, from),
-                Ok(Datagram::Ended(told)) => {
+                Ok(Datagram::AskPermit(permit_request)) => {
+                    self.answer_permit_request(&permit_request, from)
+                }
+                Ok(Datagram::Ended(reports)) => {
                     let subscribers = self.subscribers.active(Instant::now());
-                    self.tell_of(&self.quarantine_sync.merge(&told), &subscribers);
+                    self.send_crash_reports(&self.quarantine_sync.merge(&reports), &subscribers);
                 }
                 // Whoever speaks otherwise is no part of the system.
                 Ok(Datagram::Permit(_)) | Err(_) => {}
@@ -277,16 +279,16 @@
     fn answer(&self, query: &Query, from: SocketAddr) {
         let now = Instant::now();
         if query.chunks.is_none() && self.subscribers.record(from, query.is_near, now) {
-            self.tell_of(&self.quarantine_sync.all(), &[from]);
+            self.send_crash_reports(&self.quarantine_sync.all(), &[from]);
         }
         let chunks = query.chunks.as_ref();
         // Other agents have no use for them.
         let entries = if query.chunks.is_none() {
             let mut entries = self.subscribers.local(now);
             if query.is_near {
-                self.hear_one(&entries);
+                self.choose_registry_reader(&entries);
             }
-            entries.truncate(NEAR_TOLD);
+            entries.truncate(MAX_ENTRIES_REPORTED);
             entries
         } else {
             Vec::new()
@@ -295,7 +297,7 @@
             nonce: query.nonce,
             load: self.load(now),
             naming: self.naming(),
-            clock_ms: self.clock(),
+            clock_ms: self.clock_if_wanted(),
             chunks: chunks.and_then(|(model, version)| self.chunks(model, *version)),
             entries,
         };
@@ -306,7 +308,7 @@
 
     /// Takes one of the entries to read the registry through: each agent another, since one link
     /// would carry a large configuration to all of them for seconds.
-    fn hear_one(&self, entries: &[SocketAddr]) {
+    fn choose_registry_reader(&self, entries: &[SocketAddr]) {
         let Ok(own) = self.socket.local_addr() else {
             return;
         };
@@ -318,8 +320,8 @@
     }
 
     fn load(&self, now: Instant) -> Option<LoadStatus> {
-        let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        let (report, at) = known.report.as_ref()?;
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let (report, at) = state.report.as_ref()?;
         // Shares and factors need no more digits than a short float has.
         #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
         let (memory, pace) = (
@@ -329,10 +331,12 @@
         let age = now.saturating_duration_since(*at).as_millis();
         Some(LoadStatus {
             started: report.started,
-            version: report.version_of(&known.model),
-            is_switching: known.is_switching || report.is_busy,
-            queued: report.queued.saturating_add(known.places.on_their_way(now)),
-            reading_ms: u32::try_from(known.places.reading_left(now).as_millis())
+            version: report.version_of(&state.model),
+            is_switching: state.is_switching || report.is_busy,
+            queued: report
+                .queued
+                .saturating_add(state.arrivals.on_their_way(now)),
+            reading_ms: u32::try_from(state.arrivals.reading_left(now).as_millis())
                 .unwrap_or(u32::MAX),
             running: report.running,
             memory,
@@ -345,8 +349,8 @@
     fn chunks(&self, model: &str, version: WeightsVersion) -> Option<HeldChunks> {
         let have = self.chunk_store.have(model, version);
         let is_loaded = {
-            let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-            let report = known.report.as_ref();
+            let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+            let report = state.report.as_ref();
             report.and_then(|(report, _)| report.version_of(model)) == Some(version)
         };
         let is_empty = have.as_ref().is_none_or(|have| have.count() == 0);
