--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -21,7 +21,7 @@
 use crate::origin::ChunkOrigin;
 use crate::process::AgentContext;
 use crate::status::{ALL_CHUNKS, PeerChunks};
-use crate::{StagedEngine, draws, events, peers};
+use crate::{StagedEngine, events, origin_fetch, peers};
 
 /// Time between two questions to neighbours about their chunks. A chunk takes 42 ms over a link of
 /// 9.4 Mbit/s.
@@ -298,7 +298,7 @@
             result,
             took,
         } = finished;
-        draws::note(&self.manifest, &fetch, &result, took);
+        origin_fetch::log(&self.manifest, &fetch, &result, took);
         self.running.remove(&fetch.id);
         let event = match result {
             Ok(data) => self.store_chunk(&fetch, data),
@@ -379,7 +379,7 @@
                 }
                 (Source::Origin, Some(origin)) => {
                     let chunk = source.chunk(origin, &model, version, fetch.chunk).await;
-                    chunk.map_err(|trouble| draws::failure(&trouble))
+                    chunk.map_err(|error| origin_fetch::failure(&error))
                 }
             };
             let took = started.elapsed();
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -7,7 +7,6 @@
 //! give. What it does next is decided by [`Rollout`], apart from sockets.
 
 mod chunk_store;
-mod draws;
 mod engine;
 pub mod events;
 mod fetch;
@@ -16,6 +15,7 @@
 mod loading;
 mod manifest;
 mod metrics;
+mod origin_fetch;
 
 mod origin;
 mod peers;
--- a/crates/stage/src/draws.rs
+++ b/crates/stage/src/origin_fetch.rs
@@ -10,7 +10,7 @@
 
 /// Tells of a draw that ended: there is one for each chunk and region, or little more. Fetches from other agents
 /// are many, and only counted.
-pub(crate) fn note(
+pub(crate) fn log(
     manifest: &ChunkManifest,
     fetch: &Fetch,
     result: &Result<Bytes, Failure>,
@@ -34,8 +34,8 @@
 }
 
 /// Returns what an origin's trouble means for the plan.
-pub(crate) fn failure(trouble: &OriginError) -> Failure {
-    match trouble {
+pub(crate) fn failure(error: &OriginError) -> Failure {
+    match error {
         OriginError::Refused { retry_after, .. } => Failure::Busy {
             retry_after: *retry_after,
         },
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -13,16 +13,16 @@
 use crate::ChunkManifest;
 
 /// How long another agent may take to answer. A planner gives a slow fetch up before.
-const ANSWER: Duration = Duration::from_millis(2500);
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long another agent may take to give a manifest; another or the origin is asked after it.
-const MANIFEST_ANSWER: Duration = Duration::from_millis(250);
+const MANIFEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long an answer may stall.
-const STALL: Duration = Duration::from_millis(1000);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Longest chunk or manifest that is taken, in bytes.
-const LONGEST: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Reads a chunk from another agent; its digest is still to be compared.
 pub(crate) async fn chunk(
@@ -33,7 +33,7 @@
     chunk: ChunkIndex,
 ) -> Result<Bytes, Failure> {
     let path = format!("/v1/chunks/{model}/{version}/{chunk}");
-    get(client, peer, &path, ANSWER).await
+    get(client, peer, &path, CHUNK_TIMEOUT).await
 }
 
 /// Reads a manifest from another agent, of the newest version that it has if none is named.
@@ -45,10 +45,10 @@
 ) -> Option<ChunkManifest> {
     let query = version.map(|version| format!("?version={version}"));
     let path = format!("/v1/manifests/{model}{}", query.unwrap_or_default());
-    let body = get(client, peer, &path, MANIFEST_ANSWER).await.ok()?;
+    let body = get(client, peer, &path, MANIFEST_TIMEOUT).await.ok()?;
     let manifest: ChunkManifest = serde_json::from_slice(&body).ok()?;
-    let fits = manifest.model == *model && version.is_none_or(|it| it == manifest.version);
-    fits.then_some(manifest)
+    let is_requested = manifest.model == *model && version.is_none_or(|it| it == manifest.version);
+    is_requested.then_some(manifest)
 }
 
 async fn get(
@@ -61,8 +61,8 @@
     let Ok(req) = Request::get(&uri).body(Body::default()) else {
         return Err(Failure::Absent);
     };
-    let answer = client.request_within(req, timeout).await;
-    let Ok(response) = answer else {
+    let response = client.request_within(req, timeout).await;
+    let Ok(response) = response else {
         return Err(Failure::Broken);
     };
     match response.status() {
@@ -70,7 +70,7 @@
         StatusCode::NOT_FOUND => return Err(Failure::Absent),
         _ => return Err(Failure::Busy { retry_after: None }),
     }
-    let body = collect_body(&uri, response.into_body(), LONGEST, STALL).await;
+    let body = collect_body(&uri, response.into_body(), MAX_BODY_BYTES, STALL_TIMEOUT).await;
     // Whatever cut the body short, the chunk is fetched again.
     body.or(Err(Failure::Broken))
 }
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -26,28 +26,28 @@
 use crate::loading::WeightsLoader;
 use crate::metrics::Metrics;
 use crate::origin::ChunkOrigin;
-use crate::serve::{Giving, router};
+use crate::serve::{ChunkServer, router};
 use crate::status::{PeerChunks, StatusBoard};
 use crate::{StagedEngine, events};
 
 /// Time between two reads of the settings. Entries tell of weights within a tenth of a second after
 /// they read of them; an agent that is woken for each configuration takes 100 KB of each over its
 /// region's link.
-const SETTINGS_PACE: Duration = Duration::from_millis(8000);
+const SETTINGS_READ_INTERVAL: Duration = Duration::from_millis(8000);
 
 /// How long a read may take. Agents that all start at once share a link.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How old a list of upstreams or a configuration may be that an entry gives. Agents that come or go
 /// are noticed by asking them.
-const OLDEST_LIST: Duration = Duration::from_secs(4);
+const MAX_LIST_AGE: Duration = Duration::from_secs(4);
 
 /// Longest pause after failed reads.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_READ_BACKOFF: Duration = Duration::from_millis(400);
 
 /// How long chunks that are being given may take at the end. One of 49 KB takes 42 ms on a link of
 /// 9.4 Mbit/s.
-const LAST_CHUNKS: Duration = Duration::from_secs(1);
+const CHUNK_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An agent can't start.
 #[derive(Debug, Snafu)]
@@ -125,7 +125,7 @@
         let neighbours = Arc::new(Neighbours::of_a_guest());
         let registry = Nearby::new(
             registry,
-            NearbyConfig::seldom(OLDEST_LIST),
+            NearbyConfig::seldom(MAX_LIST_AGE),
             Arc::clone(&neighbours),
         )
         .with_seeds(Seeds::new(addr, &settings.seeds))
@@ -137,7 +137,8 @@
             settings.weights,
         ));
         let known_settings = Arc::new(KnownSettings::new(settings.service.clone()));
-        let giving = Giving::new(Arc::clone(&chunk_store), engine.clone(), settings.link);
+        let chunk_server =
+            ChunkServer::new(Arc::clone(&chunk_store), engine.clone(), settings.link);
         let cx = Arc::new(AgentContext {
             settings,
             registry: registry.clone(),
@@ -155,7 +156,7 @@
         tasks.spawn(board.run(tx, Arc::clone(&known_settings)));
         tasks.spawn(follow(registry, known_settings, settings_follow()));
         tasks.spawn(WeightsLoader::new(cx).run());
-        let routes = router(Arc::new(giving)).merge(metrics_route(prometheus, metrics));
+        let routes = router(Arc::new(chunk_server)).merge(metrics_route(prometheus, metrics));
         let server = Server::start("listen", listener, Routes::new(routes), counters);
         events::STARTED.emit(&[("vm", &vm), ("listen", &addr.to_string())]);
         Ok(Self { vm, tasks, server })
@@ -166,7 +167,7 @@
         self.tasks.abort_all();
         self.server.enter(Phase::Ending);
         // Whoever has not got a chunk by then asks another agent.
-        let _ = tokio::time::timeout(LAST_CHUNKS, self.server.ended()).await;
+        let _ = tokio::time::timeout(CHUNK_DRAIN_TIMEOUT, self.server.ended()).await;
         events::STOPPED.emit(&[("vm", &self.vm)]);
     }
 }
@@ -191,10 +192,10 @@
     FollowConfig {
         topic: Topic::Settings,
         wait: Duration::ZERO,
-        pace: SETTINGS_PACE,
-        second_hand_pace: SETTINGS_PACE,
+        pace: SETTINGS_READ_INTERVAL,
+        second_hand_pace: SETTINGS_READ_INTERVAL,
         timeout: READ_TIMEOUT,
-        longest_pause: LONGEST_PAUSE,
+        longest_pause: MAX_READ_BACKOFF,
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     }
--- a/crates/stage/src/resolve.rs
+++ b/crates/stage/src/resolve.rs
@@ -54,7 +54,7 @@
         None => "no origin is known".to_owned(),
         Some(origin) => match cx.origin.manifest(origin, &model, version).await {
             Ok(manifest) => return Some(Arc::new(manifest)),
-            Err(trouble) => trouble.to_string(),
+            Err(error) => error.to_string(),
         },
     };
     events::MANIFEST_MISSING.emit(&[("model", &model), ("reason", &reason)]);
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -20,14 +20,14 @@
 
 /// Chunks that are given at once. A chunk of 48 KB holds a link of 9.4 Mbit/s for 42 ms, and events
 /// of live answers wait behind it.
-const GIVES_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_CHUNKS: usize = 2;
 
 /// Share of the VM's link that chunks may take. A stream's event that waits longer than 120 ms
 /// behind chunks is late; unpaced, half of all streams were during a rollout.
 const LINK_SHARE: f64 = 0.75;
 
 /// Bytes that are handed to a connection at once: 4 ms of a link of 9.4 Mbit/s.
-const SLICE: usize = 4096;
+const SLICE_BYTES: usize = 4096;
 
 /// Spaces out what is given, over all connections.
 #[derive(Debug)]
@@ -39,35 +39,35 @@
 impl Pacer {
     /// Takes the next free time for `bytes`, and waits for it.
     async fn wait(&self, bytes: usize) {
-        let turn = {
+        let slot = {
             let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
-            let turn = (*next).max(Instant::now());
+            let slot = (*next).max(Instant::now());
             // A slice's length needs no more digits than a float has.
             #[allow(clippy::cast_precision_loss)]
             let span = bytes as f64 / self.bytes_per_second;
-            *next = turn + Duration::from_secs_f64(span);
-            turn
+            *next = slot + Duration::from_secs_f64(span);
+            slot
         };
-        tokio::time::sleep_until(turn.into()).await;
+        tokio::time::sleep_until(slot.into()).await;
     }
 }
 
 /// What the listener for other agents needs.
 #[derive(Debug)]
-pub(crate) struct Giving<E> {
+pub(crate) struct ChunkServer<E> {
     pub(crate) chunk_store: Arc<ChunkStore>,
     pub(crate) engine: E,
-    gives: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     pacer: Arc<Pacer>,
 }
 
-impl<E> Giving<E> {
+impl<E> ChunkServer<E> {
     /// Makes the giving of a VM whose link carries `link` bits a second.
     pub(crate) fn new(chunk_store: Arc<ChunkStore>, engine: E, link: f64) -> Self {
         Self {
             chunk_store,
             engine,
-            gives: Arc::new(Semaphore::new(GIVES_AT_ONCE)),
+            permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CHUNKS)),
             pacer: Arc::new(Pacer {
                 bytes_per_second: link / 8.0 * LINK_SHARE,
                 next: Mutex::new(Instant::now()),
@@ -77,14 +77,14 @@
 }
 
 /// Returns the routes for other agents.
-pub(crate) fn router<E>(giving: Arc<Giving<E>>) -> Router
+pub(crate) fn router<E>(server: Arc<ChunkServer<E>>) -> Router
 where
     E: StagedEngine,
 {
     Router::new()
         .route("/v1/manifests/{model}", get(manifest::<E>))
         .route("/v1/chunks/{model}/{version}/{chunk}", get(chunk::<E>))
-        .with_state(giving)
+        .with_state(server)
 }
 
 #[derive(Deserialize)]
@@ -93,39 +93,39 @@
 }
 
 async fn manifest<E>(
-    State(giving): State<Arc<Giving<E>>>,
+    State(server): State<Arc<ChunkServer<E>>>,
     Path(model): Path<ModelName>,
     Query(query): Query<ManifestQuery>,
 ) -> Response {
-    match giving.chunk_store.manifest(&model, query.version) {
+    match server.chunk_store.manifest(&model, query.version) {
         Some(manifest) => Json(manifest.as_ref().clone()).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
 
 async fn chunk<E>(
-    State(giving): State<Arc<Giving<E>>>,
+    State(server): State<Arc<ChunkServer<E>>>,
     Path((model, version, chunk)): Path<(ModelName, WeightsVersion, ChunkIndex)>,
 ) -> Response
 where
     E: StagedEngine,
 {
-    let Ok(permit) = Arc::clone(&giving.gives).try_acquire_owned() else {
+    let Ok(permit) = Arc::clone(&server.permits).try_acquire_owned() else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
-    if let Some(data) = giving.chunk_store.get(&model, version, chunk) {
-        return give(data, permit, &giving.pacer);
+    if let Some(data) = server.chunk_store.get(&model, version, chunk) {
+        return stream_chunk(data, permit, &server.pacer);
     }
     // What was loaded is no longer in memory; whoever asked compares it with its digest.
-    match giving.engine.read_staged(&model, chunk).await {
-        Ok(Some(data)) => give(data, permit, &giving.pacer),
+    match server.engine.read_staged(&model, chunk).await {
+        Ok(Some(data)) => stream_chunk(data, permit, &server.pacer),
         Ok(None) => StatusCode::NOT_FOUND.into_response(),
         Err(_) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
 /// Answers with a chunk, and counts it as given until its last byte was taken.
-fn give(data: Bytes, permit: OwnedSemaphorePermit, pacer: &Arc<Pacer>) -> Response {
+fn stream_chunk(data: Bytes, permit: OwnedSemaphorePermit, pacer: &Arc<Pacer>) -> Response {
     let length = data.len();
     let pacer = Arc::clone(pacer);
     // The permit goes when the body is dropped, which is after its last byte was taken.
@@ -134,7 +134,7 @@
         if data.is_empty() {
             return None;
         }
-        let slice = data.split_to(SLICE.min(data.len()));
+        let slice = data.split_to(SLICE_BYTES.min(data.len()));
         pacer.wait(slice.len()).await;
         Some((
             Ok::<_, std::convert::Infallible>(slice),
--- a/crates/stage/src/staging.rs
+++ b/crates/stage/src/staging.rs
@@ -70,9 +70,9 @@
             Ok(OrderOutcome::Unfit) => ("unfit", String::new()),
             Ok(OrderOutcome::Fenced) => ("fenced", String::new()),
             // It may have been taken: the engine's state will tell.
-            Err(trouble) => {
+            Err(error) => {
                 self.ordered_at = Some(Instant::now());
-                ("unknown", trouble.to_string())
+                ("unknown", error.to_string())
             }
         }
     }
@@ -89,7 +89,7 @@
         let indexes: std::ops::RangeFrom<ChunkIndex> = 0..;
         for (chunk, data) in indexes.zip(chunks) {
             let staged = self.cx.engine.stage(&target.model, chunk, data).await;
-            staged.map_err(|trouble| trouble.to_string())?;
+            staged.map_err(|error| error.to_string())?;
         }
         Ok(())
     }
