--- a/crates/stage/src/chunk_store.rs
+++ b/crates/stage/src/chunk_store.rs
@@ -1,4 +1,4 @@
-//! Verified chunks that are kept and given to others.
+//! Storage in memory for verified chunks, which other agents can fetch.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,8 +10,8 @@
 
 use crate::ChunkManifest;
 
-/// Versions of one model that are kept. The one before the newest still serves agents that are
-/// behind; each takes the size of the weights in memory.
+/// Versions of one model that are stored. The version before the newest still serves agents that have
+/// not caught up. Each version takes as much memory as the weights have bytes.
 const MAX_VERSIONS: usize = 2;
 
 #[derive(Debug)]
@@ -23,14 +23,14 @@
 
 /// Verified chunks by model and version.
 ///
-/// Invariant: what is here was compared with its digest when it came.
+/// Invariant: each stored chunk was compared with its digest when it was added.
 #[derive(Debug, Default)]
 pub struct ChunkStore {
     versions: Mutex<BTreeMap<(ModelName, WeightsVersion), StoredVersion>>,
 }
 
 impl ChunkStore {
-    /// Makes room for the chunks of `manifest`, and lets the oldest versions go.
+    /// Adds the version of `manifest` without chunks, and evicts the oldest versions above the limit.
     pub fn add_version(&self, manifest: &Arc<ChunkManifest>) {
         let mut held = self.lock();
         let key = (manifest.model.clone(), manifest.version);
@@ -50,7 +50,9 @@
         }
     }
 
-    /// Puts a chunk in its place if it is the right one; returns whether it is.
+    /// Verifies a chunk and stores it if its version was added.
+    ///
+    /// Returns whether the chunk has the digest that the manifest gives for it.
     pub fn put(&self, manifest: &ChunkManifest, chunk: ChunkIndex, data: Bytes) -> bool {
         if !manifest.verify(chunk, &data) {
             return false;
@@ -64,36 +66,37 @@
         true
     }
 
-    /// Returns a chunk.
+    /// Returns a chunk, or `None` if it is not stored.
     pub fn get(&self, model: &str, version: WeightsVersion, chunk: ChunkIndex) -> Option<Bytes> {
         let held = self.lock();
         let held = held.get(&(model.to_owned(), version))?;
         held.chunks.get(chunk as usize)?.clone()
     }
 
-    /// Returns which chunks are there.
+    /// Returns which chunks of a version are stored, or `None` if the version was not added.
     pub fn have(&self, model: &str, version: WeightsVersion) -> Option<ChunkSet> {
         let held = self.lock();
         Some(held.get(&(model.to_owned(), version))?.have.clone())
     }
 
-    /// Returns the manifest of `version`, or of the newest one that is there.
+    /// Returns the manifest of `version`, or of the newest version if none is given.
     pub fn manifest(
         &self,
         model: &str,
         version: Option<WeightsVersion>,
     ) -> Option<Arc<ChunkManifest>> {
         let held = self.lock();
-        let mut fitting = held.iter().filter(|((name, of), _)| {
+        let mut matching = held.iter().filter(|((name, of), _)| {
             name == model && version.is_none_or(|version| version == *of)
         });
-        fitting
+        matching
             .next_back()
             .map(|(_, held)| Arc::clone(&held.manifest))
     }
 
-    /// Lets the bytes of a version go that the engine has staged and loaded; they are read from
-    /// there when they are asked for.
+    /// Drops the chunks of a version that the engine has loaded, but not its manifest.
+    ///
+    /// The engine still has these chunks staged, and they are read from there on request.
     pub fn release(&self, model: &str, version: WeightsVersion) {
         let mut held = self.lock();
         if let Some(held) = held.get_mut(&(model.to_owned(), version)) {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Says whether all chunks of a version are there.
+    /// Returns whether all chunks of a version are stored.
     pub fn is_full(&self, model: &str, version: WeightsVersion) -> bool {
         self.have(model, version).is_some_and(|have| have.is_full())
     }
--- a/crates/stage/src/known_settings.rs
+++ b/crates/stage/src/known_settings.rs
@@ -1,4 +1,4 @@
-//! What an agent believes of its service: the model, the origin, the weights that are named.
+//! Last known settings of an agent's service: the model, the origin and the named weights.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,24 +22,25 @@
     draw_time: Option<Duration>,
     named: BTreeMap<ModelName, KnownNaming>,
     read: ReadNamings,
-    /// The moment of which the last read of the settings speaks.
+    /// The moment as of which the settings were last confirmed.
     confirmed_as_of: Option<BootTime>,
 }
 
-/// Weights that were named, as an agent heard of them.
+/// A naming of weights as far as the agent knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct KnownNaming {
     pub(crate) version: WeightsVersion,
-    /// When the agent takes them to be named; none if that was before its start, or can't be known.
+    /// Estimated time of the naming; `None` if it was before the agent's start or there is no evidence
+    /// for it.
     pub(crate) named_at: Option<Instant>,
-    /// The latest moment at which they are proved not to have been named. Entries count their bound
-    /// from it, so that a guess would let requests begin on older weights for too long.
+    /// The latest moment at which the weights are proved not to have been named. Entries count the
+    /// bound from this moment, so a guess could let requests begin on older weights for too long.
     pub(crate) named_after: Option<BootTime>,
-    /// When the agent heard of them first.
+    /// When the agent first learned of the naming.
     pub(crate) received_at: BootTime,
 }
 
-/// What an agent believes of its service.
+/// Last known settings of an agent's service.
 #[derive(Debug)]
 pub(crate) struct KnownSettings {
     service: ServiceName,
@@ -47,14 +48,14 @@
     pub(crate) changed: Notify,
 }
 
-/// What is to be served.
+/// The weights that the engine should serve, and where to fetch them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct DesiredWeights {
     pub(crate) model: ModelName,
-    /// The weights that were named; none if none were.
+    /// The naming; `None` if no weights of the model are named.
     pub(crate) named: Option<KnownNaming>,
     pub(crate) origin: Option<SocketAddr>,
-    /// How long the origin's link takes for one chunk.
+    /// How long the origin's link takes to transfer one chunk.
     pub(crate) draw_time: Option<Duration>,
 }
 
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Returns what is to be served, once the settings were read.
+    /// Returns what the engine should serve, or `None` until the settings have been read.
     pub(crate) fn desired(&self) -> Option<DesiredWeights> {
         let inner = self.lock();
         let model = inner.model.clone();
@@ -81,11 +82,13 @@
         })
     }
 
-    /// Takes weights that an entry knows to be named, how long ago it takes that to be, and when they were
-    /// not yet, if it can prove that. A moment that is still to come is of another clock.
+    /// Merges a naming reported by an entry: the `age` that the entry estimates, and a moment at which the
+    /// weights were not named yet, if the entry can prove one.
     ///
-    /// The time that the engine has to load is counted from the age, which any entry knows that heard of the
-    /// naming: without one all engines load at once, and callers find all of them closed.
+    /// A moment in the future comes from another clock and is ignored.
+    ///
+    /// The time that the engine has to load is counted from the age, which every entry that knows the
+    /// naming can report. Without an age all engines load at once, and none accepts requests meanwhile.
     pub(crate) fn merge_report(
         &self,
         weights: &NamedWeights,
@@ -123,9 +126,9 @@
         inner.model = engine.map(|engine| engine.model.clone());
     }
 
-    /// Takes weights that the registry names.
+    /// Applies a naming that was read from the registry.
     fn apply_weights(&self, weights: &NamedWeights) {
-        // What the first read brings was named before the start.
+        // Namings of the first read were made before the agent started.
         let before = {
             let mut inner = self.lock();
             let confirmed_as_of = inner.confirmed_as_of;
@@ -140,14 +143,14 @@
         self.merge(&weights.model, naming);
     }
 
-    /// Takes weights that are named; returns whether that says more than was known.
+    /// Merges a naming; returns whether it is newer than the known one, or proves a later moment for it.
     fn merge(&self, model: &ModelName, naming: KnownNaming) -> bool {
         let mut inner = self.lock();
         let known = inner.named.get(model).copied();
         if let Some(known) = known
             && known.version >= naming.version
         {
-            // They were named after each moment that is proved, so that the latest says most.
+            // The naming came after each proved moment, so the latest moment is the tightest limit.
             let is_newer_proof =
                 known.version == naming.version && naming.named_after > known.named_after;
             if is_newer_proof {
@@ -189,7 +192,7 @@
         match change {
             Change::Config(directory) => self.apply_directory(&directory),
             Change::Weights(weights) => self.apply_weights(&weights),
-            // Upstreams are read when a fetch begins; what can't be read was told of.
+            // Upstreams are read when a fetch begins; unreadable records were reported before.
             Change::Upstream(_) | Change::Gone(_) | Change::Unreadable { .. } => return,
         }
         self.changed.notify_one();
--- a/crates/stage/src/lib.rs
+++ b/crates/stage/src/lib.rs
@@ -1,10 +1,10 @@
-//! Brings weights to an engine that takes them in chunks, without standing in its requests' way.
+//! Fetches model weights in chunks and loads them into an engine without delaying its requests.
 //!
-//! [`StagingAgent`] is the process beside such an engine. It learns from the registry which weights
-//! are to be served, fetches their chunks from other agents and the origin as a
-//! `wagtailreel_spread::Planner` decides, stages them at the engine and has it load them; and it
-//! tells entries and other agents, by datagrams, how loaded the engine is and which chunks it can
-//! give. What it does next is decided by [`Rollout`], apart from sockets.
+//! [`StagingAgent`] is the process beside such an engine. The agent learns from the registry which
+//! weights the engine should serve, fetches their chunks from other agents and the origin as a
+//! `wagtailreel_spread::Planner` decides, stages them at the engine and orders the engine to load them.
+//! The agent also reports the engine's load to entries, and the chunks that it can serve to other
+//! agents, by datagrams. [`Rollout`] decides the agent's next step and uses no sockets.
 
 mod chunk_store;
 mod engine;
@@ -15,9 +15,8 @@
 mod loading;
 mod manifest;
 mod metrics;
-mod origin_fetch;
-
 mod origin;
+mod origin_fetch;
 mod peers;
 mod process;
 mod quarantine_sync;
--- a/crates/stage/src/rollout.rs
+++ b/crates/stage/src/rollout.rs
@@ -1,4 +1,4 @@
-//! What an agent does next to bring an engine to the weights that are to be served.
+//! Decides an agent's next step towards the weights that its engine should serve.
 
 use std::time::{Duration, Instant};
 
@@ -6,51 +6,51 @@
 
 use crate::EngineReport;
 
-/// How long a whole fetch is taken to last. Chunks take 2 s over a link of 9.4 Mbit/s if nothing else
-/// is on it, and 2.6 s at the share that they may take.
+/// Estimated time to fetch all chunks. They take 2 s over an idle link of 9.4 Mbit/s, and 2.6 s at the
+/// share of the link that chunks may use.
 const ESTIMATED_FETCH_TIME: Duration = Duration::from_millis(2700);
 
-/// Share of the chunks from which on a fetch is finished though newer weights are named. Starting
-/// anew would take longer, and the bound of the older weights goes on to count.
+/// Share of fetched chunks from which a fetch is finished even if newer weights are named. Fetching the
+/// newer weights from the start would take longer, while the bound of the older naming keeps running.
 const FINISH_FETCH_SHARE: f64 = 0.5;
 
-/// How long entries have to hear that the engine takes nothing new before it is told to load. What
-/// waits at the engine then begins meanwhile: one of 16 requests ends each 80 ms.
+/// Time between telling entries that the engine accepts no new requests and ordering it to load.
+/// Requests queued at the engine can start in this time: with 16 running requests, one ends every 80 ms.
 const LOAD_NOTICE: Duration = Duration::from_millis(200);
 
-/// Pause after an order that brought nothing.
+/// Time before an order to load is repeated after a failed one.
 const FAILED_ORDER_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Weights that are to be served.
+/// Weights that the engine should serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The model.
     pub model: ModelName,
     /// The version of its weights.
     pub version: WeightsVersion,
-    /// When the agent heard of it; none if it was named before the agent started.
+    /// When the version was named; `None` if that was before the agent started or is unknown.
     pub named_at: Option<Instant>,
 }
 
-/// What is known when the next step is decided.
+/// State on which the next step is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutState<'a> {
-    /// The engine's state; none while it does not answer.
+    /// The engine's state; `None` while the engine does not answer.
     pub report: Option<&'a EngineReport>,
-    /// The engine has not answered since the agent started: it is about to start too.
+    /// Whether the engine has not answered since the agent started, so that it is still starting.
     pub is_starting: bool,
-    /// Weights that are to be served; none while nothing is known of them.
+    /// Weights that the engine should serve; `None` while they are unknown.
     pub target: Option<&'a Target>,
-    /// Since when all chunks of the target are there; none while some are missing.
+    /// Since when all chunks of the target are stored; `None` while some are missing.
     pub complete_since: Option<Instant>,
-    /// The engine's place among those of its data centre, 0 to 1.
+    /// The engine's position among the engines of its data centre, from 0 to 1.
     pub position: f64,
 }
 
-/// What to do next.
+/// Next step of an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Step {
-    /// Nothing.
+    /// Do nothing.
     #[display("wait")]
     Wait,
     /// Fetch the target's chunks.
@@ -61,10 +61,10 @@
     Load,
 }
 
-/// Decides for one engine.
+/// Decides the steps for one engine.
 ///
-/// Engines of one service don't all stop taking requests at once: each has its own moment within
-/// the time that the operators were promised, without talking to the others.
+/// The engines of a service must not all stop accepting requests at once. Each engine loads at its own
+/// time within the bound of the naming, without any message between the agents.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     bound: Duration,
@@ -73,8 +73,8 @@
 }
 
 impl Rollout {
-    /// Makes the decisions of an agent that started at `started`, where engines may take `bound` to
-    /// serve weights that were named.
+    /// Creates the rollout of an agent that started at `started`, with the `bound` within which engines
+    /// must serve named weights.
     pub fn new(bound: Duration, started: Instant) -> Self {
         Self {
             bound,
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Returns what to do at `now`.
+    /// Returns the step to take at `now`.
     pub fn next(&self, state: RolloutState<'_>, now: Instant) -> Step {
         let Some(target) = state.target else {
             return Step::Wait;
         };
         let Some(report) = state.report else {
-            // What an engine that starts will lack can be on its way by then: an added engine answers 1 s
-            // after its agent started, and so long it served later.
+            // Chunks are fetched while the engine starts: an added engine answers 1 s after its agent
+            // started, and would serve 1 s later if the fetch waited for the answer.
             let may_prefetch = state.is_starting && state.complete_since.is_none();
             return if may_prefetch {
                 Step::Fetch
@@ -112,15 +112,17 @@
             return Step::Wait;
         }
         match held {
-            // It serves nobody as it is.
+            // Without weights the engine serves no requests, so there is no reason to wait.
             None => Step::Load,
             Some(_) if now >= self.load_at(target, complete_since, state.position) => Step::Load,
             Some(_) => Step::Wait,
         }
     }
 
-    /// Returns how long entries are told that the engine takes nothing new before it is ordered to load, by the
-    /// version that it holds. One that holds none gets no requests: added engines serve 0.2 s earlier.
+    /// Returns the time between telling entries that the engine accepts no new requests and ordering it to
+    /// load, by the version that the engine holds.
+    ///
+    /// An engine without weights gets no requests and needs no notice, so added engines serve 0.2 s earlier.
     pub const fn load_notice(held: Option<WeightsVersion>) -> Duration {
         match held {
             Some(_) => LOAD_NOTICE,
@@ -128,22 +130,22 @@
         }
     }
 
-    /// Takes that an order brought nothing at `now`.
+    /// Records that an order failed at `now`.
     pub fn order_failed(&mut self, now: Instant) {
         self.backoff_until = Some(now + FAILED_ORDER_BACKOFF);
     }
 
-    /// Takes that the engine started again: what an order before it came to says nothing of it.
+    /// Records that the engine restarted: the failure of an earlier order no longer matters.
     pub const fn restarted(&mut self) {
         self.backoff_until = None;
     }
 
-    /// Returns when the engine's turn to load comes.
+    /// Returns when the engine loads.
     ///
-    /// Turns are spread over what is left of the bound when the chunks are there. Spread over the whole
-    /// bound, all turns before that moment came at once: of 27 engines 10 closed together where chunks
-    /// took 3.9 s. Requests that began before may end after the bound, so an engine's last moment to
-    /// begin is the bound itself.
+    /// The times of the engines are spread over what is left of the bound once the chunks are stored.
+    /// Spread over the whole bound, all times before that moment would fall together: where the chunks
+    /// took 3.9 s, 10 of 27 engines stopped accepting requests at once. Requests that began earlier may
+    /// end after the bound, so an engine may start to load as late as the bound itself.
     fn load_at(&self, target: &Target, complete_since: Instant, position: f64) -> Instant {
         let Some(named_at) = target.named_at else {
             return self.started;
@@ -153,10 +155,12 @@
         complete_since.min(latest) + remaining.mul_f64(position.clamp(0.0, 1.0))
     }
 
-    /// Says whether a target that is not there yet is given up for newer weights at `now`.
+    /// Returns whether a target with a `share` of its chunks stored may be skipped for newer weights at
+    /// `now`.
     ///
-    /// With half of the chunks there (`share`), or too little time for a whole fetch, the older weights
-    /// are loaded first: without them the engine could serve nobody once its own are too old.
+    /// If half of the chunks are stored, or too little time is left to fetch all chunks of the newer
+    /// weights, the older weights are loaded first. Without them the engine could serve no requests once
+    /// its current weights are past their bound.
     pub fn may_skip(&self, target: &Target, share: f64, is_empty: bool, now: Instant) -> bool {
         let Some(named_at) = target.named_at else {
             return true;
--- a/crates/stage/src/subscribers.rs
+++ b/crates/stage/src/subscribers.rs
@@ -1,15 +1,15 @@
-//! Who asked for the engine's load lately.
+//! Processes that poll the agent and get changes of the engine's load pushed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long an asker is told of changes without asking again. Entries ask each 100 ms, those of
-/// other data centres each 500 ms.
+/// How long a subscriber gets changes pushed after its last poll. Entries poll every 100 ms, entries of
+/// other data centres every 500 ms.
 const SUBSCRIPTION_TTL: Duration = Duration::from_secs(3);
 
-/// How long an entry of the own data centre counts as there without asking again.
+/// How long an entry of the same data centre counts as active after its last poll.
 const LOCAL_ENTRY_TTL: Duration = Duration::from_millis(600);
 
 #[derive(Clone, Copy, Debug)]
@@ -18,15 +18,16 @@
     is_local: bool,
 }
 
-/// Who asked for the engine's load lately.
+/// Processes that polled the agent recently, by address.
 #[derive(Debug, Default)]
 pub(crate) struct Subscribers {
     seen: Mutex<BTreeMap<SocketAddr, Subscriber>>,
 }
 
 impl Subscribers {
-    /// Takes that `from` asked at `now`, and whether it is an entry of the own data centre; returns whether
-    /// it is one of those and may have missed what was told.
+    /// Records that `from` polled at `now`, and whether `from` is an entry of the same data centre.
+    ///
+    /// Returns whether `from` is such an entry and was not active, so that it may have missed pushes.
     pub(crate) fn record(&self, from: SocketAddr, is_local: bool, now: Instant) -> bool {
         let before = self.lock().insert(from, Subscriber { at: now, is_local });
         let is_recent = |subscriber: Subscriber| {
@@ -35,7 +36,7 @@
         is_local && !before.is_some_and(is_recent)
     }
 
-    /// Returns who asked lately, and forgets the others.
+    /// Returns the current subscribers, and evicts those whose subscription has expired.
     pub(crate) fn active(&self, now: Instant) -> Vec<SocketAddr> {
         let mut seen = self.lock();
         seen.retain(|_, subscriber| {
@@ -44,7 +45,7 @@
         seen.keys().copied().collect()
     }
 
-    /// Returns the entries of the own data centre in the order of their addresses.
+    /// Returns the active entries of the same data centre, ordered by address.
     pub(crate) fn local(&self, now: Instant) -> Vec<SocketAddr> {
         let seen = self.lock();
         let is_active = |subscriber: &Subscriber| {
