--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Brings the chunks of one version into the shelf.
+//! Fetches the chunks of one version into the chunk store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,33 +23,32 @@
 use crate::status::{ALL_CHUNKS, PeerChunks};
 use crate::{StagedEngine, events, origin_fetch, peers};
 
-/// Time between two questions to neighbours about their chunks. A chunk takes 42 ms over a link of
+/// Time between two polls of other agents for their chunks. A chunk takes 42 ms over a link of
 /// 9.4 Mbit/s.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many questions to neighbours of the own data centre there are for each one beyond, whose
-/// links are narrow.
+/// Agents of other data centres are included in one of this many polls, since their links are narrow.
 const REMOTE_POLL_DIVISOR: u32 = 3;
 
-/// Time between two looks at what takes long.
+/// Time between two checks by the planner for slow fetches.
 const PLANNER_TICK: Duration = Duration::from_millis(25);
 
-/// A neighbour that was silent for so long counts as lost, until it answers.
+/// An agent that has not answered for this long counts as lost until it answers.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two reads of the registry for agents that came or went.
+/// Time between two reads of the registry for added and removed agents.
 const PEER_LIST_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Where chunks are drawn from, and how fast.
+/// The origin to fetch chunks from, and its speed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OriginSource {
-    /// The origin; none if none is known.
+    /// Address of the origin; `None` if unknown.
     pub(crate) origin: Option<SocketAddr>,
-    /// How long its link takes for one chunk, if that is known.
+    /// How long the origin's link takes to transfer one chunk, if known.
     pub(crate) draw_time: Option<Duration>,
 }
 
-/// Numbers of the planner for chunks that take tens of milliseconds.
+/// Returns the planner's tuning for chunks that take tens of milliseconds to transfer.
 fn tuning(draw_time: Option<Duration>) -> Tuning {
     let tuning = Tuning {
         learn: Duration::from_millis(120),
@@ -67,14 +66,14 @@
     tuning.with_draw_time(draw_time)
 }
 
-/// One fetch's end.
+/// A fetch of one chunk that has ended.
 struct FinishedFetch {
     fetch: Fetch,
     result: Result<Bytes, Failure>,
     took: Duration,
 }
 
-/// Brings all chunks of `manifest` into the shelf; ends only once they are there.
+/// Fetches all chunks of `manifest` into the chunk store; returns once all are stored.
 pub(crate) async fn fetch_version<R, E, O>(
     cx: Arc<AgentContext<R, E, O>>,
     manifest: Arc<ChunkManifest>,
@@ -101,12 +100,12 @@
     fetcher.run().await;
 }
 
-/// Takes the chunks that the engine has staged and that are what they should be.
+/// Stores the chunks that the engine has staged and that match their digests.
 async fn restore_staged<R, E, O>(cx: &AgentContext<R, E, O>, manifest: &ChunkManifest)
 where
     E: StagedEngine,
 {
-    // An engine that can't say what it has staged has nothing that is of use.
+    // Without a list of the staged chunks there is nothing to restore.
     let Ok(staged) = cx.engine.staged(&manifest.model).await else {
         return;
     };
@@ -117,7 +116,7 @@
     }
 }
 
-/// The shell round a planner.
+/// Runs the fetches that a planner decides.
 struct ChunkFetcher<R, E, O> {
     cx: Arc<AgentContext<R, E, O>>,
     manifest: Arc<ChunkManifest>,
@@ -126,7 +125,7 @@
     peers: BTreeMap<VmId, SocketAddr>,
     last_answers: BTreeMap<VmId, Instant>,
     fetches: JoinSet<FinishedFetch>,
-    /// The read of the registry that is under way.
+    /// The running read of the registry, if any.
     list_reads: JoinSet<Option<Vec<VmEntry>>>,
     running: BTreeMap<FetchId, AbortHandle>,
     client: HttpClient,
@@ -191,7 +190,7 @@
     async fn run(&mut self) {
         let cx = Arc::clone(&self.cx);
         let mut chunks = cx.peer_chunks.lock().await;
-        // What was said before this fetch began is of another version or old.
+        // Reports from before this fetch are about another version or out of date.
         while chunks.try_recv().is_ok() {}
         let mut polls = tokio::time::interval(PEER_POLL_INTERVAL);
         let mut ticks = tokio::time::interval(PLANNER_TICK);
@@ -203,7 +202,7 @@
             tokio::select! {
                 _ = list_reads.tick() => self.read_peers(),
                 Some(read) = self.list_reads.join_next() => {
-                    // A read that was dropped has nothing to tell.
+                    // An aborted read has no result.
                     if let Ok(Some(peers)) = read {
                         self.apply_peers(peers);
                     }
@@ -212,7 +211,7 @@
                 _ = ticks.tick() => self.apply(Event::Tick),
                 Some(report) = recv(&mut chunks) => self.apply_held_chunks(&report),
                 Some(finished) = self.fetches.join_next() => {
-                    // A fetch that was dropped has nothing to tell.
+                    // An aborted fetch has no result.
                     if let Ok(finished) = finished {
                         self.finish_fetch(finished);
                     }
@@ -229,10 +228,10 @@
         ]);
     }
 
-    /// Begins to read the other agents anew, unless that is under way.
+    /// Starts a read of the list of other agents in the background, unless one is running.
     ///
-    /// Chunks come and go meanwhile: while a registry was slow to answer, a fetch that waited for each
-    /// read stood still for 0.6 s of each 1.5 s.
+    /// Chunks are transferred meanwhile. With a slow registry, a fetch that waited for each read would
+    /// stall for 0.6 s of every 1.5 s.
     fn read_peers(&mut self) {
         if self.list_reads.is_empty() {
             let cx = Arc::clone(&self.cx);
@@ -240,14 +239,14 @@
         }
     }
 
-    /// Takes the other agents; without an answer those of before stay.
+    /// Applies a new list of the other agents. If a read fails, the previous list stays.
     fn apply_peers(&mut self, peers: Vec<VmEntry>) {
         self.peers = peers.iter().map(|it| (it.vm.clone(), it.data)).collect();
         self.apply(Event::Peers(peers));
         self.poll_peers();
     }
 
-    /// Asks the neighbours what they have, and takes note of the silent ones.
+    /// Polls the other agents for the chunks that they hold, and reports unresponsive ones as lost.
     fn poll_peers(&mut self) {
         let now = Instant::now();
         self.polls = self.polls.wrapping_add(1);
@@ -310,7 +309,7 @@
         self.apply(event);
     }
 
-    /// Says whether a giver stands in another data centre.
+    /// Returns whether a source is an agent in another data centre.
     fn is_remote(&self, from: &Source) -> bool {
         let Source::Peer(vm) = from else {
             return false;
@@ -320,7 +319,7 @@
         peer.is_some_and(|peer| peer.data_centre != self.cx.settings.data_centre)
     }
 
-    /// Keeps a chunk that is the right one.
+    /// Stores a chunk if it matches its digest; returns the event for the planner.
     fn store_chunk(&mut self, fetch: &Fetch, data: Bytes) -> Event {
         if self.cx.chunk_store.put(&self.manifest, fetch.chunk, data) {
             let is_remote = self.is_remote(&fetch.from);
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -1,4 +1,4 @@
-//! Looks after one engine: learns its state, and carries out what the rollout decides.
+//! Polls one engine for its state and carries out the steps that the rollout decides.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,31 +16,31 @@
 use crate::resolve::request_manifest;
 use crate::{EngineReport, Rollout, RolloutState, StagedEngine, Step, Target, events, fetch};
 
-/// Time between two looks at the engine. Its figures are some hundred milliseconds old as it is.
+/// Time between two polls of the engine. Its figures are already some hundred milliseconds old.
 const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time between the order to load and the engine's word that it is loading.
+/// Longest time between the order to load and a state of the engine that shows it loading.
 const ORDER_START_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Agents ask for the manifest of what their engines hold one after the other within this time, so
-/// that all but the first get it from each other.
+/// Time over which agents spread their first requests for the manifest of the version that their engines
+/// hold, so that all but the first agents get it from another agent.
 const MANIFEST_REQUEST_SPREAD: Duration = Duration::from_secs(3);
 
-/// A fetch under way.
+/// A running fetch of one version.
 struct RunningFetch {
     version: WeightsVersion,
     task: AbortOnDropHandle<()>,
 }
 
-/// Looks after one engine.
+/// Brings one engine to the weights that it should serve.
 pub(crate) struct WeightsLoader<R, E, O> {
     pub(crate) cx: Arc<AgentContext<R, E, O>>,
     pub(crate) rollout: Rollout,
     pub(crate) report: Option<EngineReport>,
-    /// The start of the engine that its last state was from.
+    /// The engine's start as given by its last state.
     engine_start: Option<UpstreamStart>,
     target: Option<Target>,
-    /// The version of which all chunks are there, and since when.
+    /// The version of which all chunks are stored, and since when.
     complete: Option<(WeightsVersion, Instant)>,
     fetching: Option<RunningFetch>,
     resolving: Option<AbortOnDropHandle<Option<Arc<ChunkManifest>>>>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Runs for as long as it is not dropped.
+    /// Runs until dropped.
     pub(crate) async fn run(mut self) {
         let cx = Arc::clone(&self.cx);
         let mut polls = tokio::time::interval(ENGINE_POLL_INTERVAL);
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Asks the engine for its state and tells of it.
+    /// Reads the engine's state and publishes it.
     async fn poll_engine(&mut self, desired: Option<&DesiredWeights>) {
         let model = desired
             .map(|desired| desired.model.as_str())
@@ -121,8 +121,8 @@
         self.check_order(model);
     }
 
-    /// Takes which start of the engine its state is from. Another one holds nothing, has begun no
-    /// order, and knows of none.
+    /// Checks whether the engine has restarted since its last state. A restarted engine holds no weights,
+    /// has begun no order and knows of none.
     fn check_restart(&mut self) {
         let Some(report) = &self.report else {
             return;
@@ -141,7 +141,7 @@
         self.cx.board.set_switching(false);
     }
 
-    /// Lets requests come again once the order to load was carried out, or came to nothing.
+    /// Ends the switch once the order to load was carried out or has failed, so that requests come again.
     fn check_order(&mut self, model: &str) {
         let Some(ordered_at) = self.ordered_at else {
             return;
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Sets the target by what was named, or by the newest manifest if nothing was.
+    /// Sets the target to the named weights, or to the newest manifest if no weights are named.
     async fn update_target(&mut self, desired: &DesiredWeights) {
         let known = self.target.as_ref().filter(|it| it.model == desired.model);
         let known = known.map(|target| target.version);
@@ -173,7 +173,7 @@
             let weights = NamedWeights { model, version };
             self.cx.board.set_naming(weights, named);
             if known != Some(version) && self.may_replace_target() {
-                // The bound of the weights that are skipped goes on to count.
+                // The bound of the skipped weights keeps running.
                 let skipped = self.target.take().filter(|_| !self.is_loaded(known));
                 self.target = Some(Target {
                     model: desired.model.clone(),
@@ -198,8 +198,8 @@
         }
         let origin = match self.report {
             Some(_) => desired.origin,
-            // Other agents know what an engine that starts beside them will lack. Where all start together none
-            // does, and what their engines hold must not be drawn from the origin.
+            // While the engine starts, only other agents are asked. If all agents start together, none has the
+            // manifest, and chunks that their engines hold must not be fetched from the origin.
             None if self.engine_start.is_none() => None,
             None => return,
         };
@@ -212,14 +212,14 @@
         }
     }
 
-    /// Says whether the engine holds `version` or a newer one.
+    /// Returns whether the engine holds `version` or a newer one.
     fn is_loaded(&self, version: Option<WeightsVersion>) -> bool {
         let report = self.report.as_ref();
         let held = report.and_then(|report| report.models.iter().find(|held| held.whole));
         held.is_some_and(|held| Some(held.version) >= version)
     }
 
-    /// Says whether newer weights may take the place of the target.
+    /// Returns whether newer weights may replace the target.
     fn may_replace_target(&self) -> bool {
         let Some(target) = &self.target else {
             return true;
@@ -236,9 +236,9 @@
         self.ordered_at.is_none() && self.rollout.may_skip(target, share, is_empty, now)
     }
 
-    /// Returns the engine's place among those of its data centre, 0 to 1.
+    /// Returns the engine's position among the engines of its data centre, from 0 to 1.
     ///
-    /// All agents compute the same order from the same list, without talking to each other.
+    /// All agents compute the same order from the same list, without any message between them.
     fn position(&self, version: WeightsVersion) -> f64 {
         let settings = &self.cx.settings;
         let own = settings.listen.ip().to_string();
@@ -249,14 +249,14 @@
             .filter(|it| it.data_centre == settings.data_centre);
         let local: Vec<u64> = local.map(|it| score(&it.vm)).collect();
         let before = local.iter().filter(|it| **it > score(&own)).count();
-        // Engines of one data centre are few enough for a float.
+        // The number of engines in a data centre fits a float without loss.
         #[allow(clippy::cast_precision_loss)]
         let position = (before as f64 + 0.5) / (local.len() as f64 + 1.0);
         position
     }
 
-    /// Asks for the manifest of what the engine holds, so that engines that are added find one also
-    /// while the origin is away.
+    /// Requests the manifest of the version that the engine holds, so that the agents of added engines can
+    /// get it from this agent while the origin is unreachable.
     async fn request_held_manifest(
         &mut self,
         model: &ModelName,
@@ -265,7 +265,7 @@
     ) {
         let own = self.cx.settings.listen.ip().to_string();
         let score = rank_score(model.as_bytes(), &own);
-        // A share of 2^64 needs no more digits than a float has.
+        // The share needs no more precision than a float has.
         #[allow(clippy::cast_precision_loss)]
         let share = score as f64 / u64::MAX as f64;
         if self.started.elapsed() >= MANIFEST_REQUEST_SPREAD.mul_f64(share) {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Returns a manifest once it is there; asks for it meanwhile.
+    /// Returns a manifest if it is stored; otherwise requests it in the background and returns `None`.
     async fn resolve(
         &mut self,
         model: &ModelName,
@@ -294,7 +294,7 @@
         }
         let resolved = resolving.await;
         self.resolving = None;
-        // A task that failed is started again with the next look.
+        // A failed task is started again with the next poll.
         let manifest = resolved.ok().flatten()?;
         self.cx.chunk_store.add_version(&manifest);
         Some(manifest)
@@ -319,7 +319,7 @@
         };
         match step {
             Step::Wait if is_complete => self.prefetch(&target, desired).await,
-            // An engine that started meanwhile holds what was fetched for it.
+            // The engine has started with these weights meanwhile, so the fetch is not needed.
             Step::Wait if self.is_loaded(Some(target.version)) => self.fetching = None,
             Step::Wait => {}
             Step::Fetch => self.fetch(&target, desired).await,
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Returns since when all chunks of the target are there.
+    /// Returns since when all chunks of the target are stored.
     fn complete_since(&mut self) -> Option<Instant> {
         let target = self.target.as_ref()?;
         if !self.cx.chunk_store.is_full(&target.model, target.version) {
@@ -343,7 +343,7 @@
         Some(since)
     }
 
-    /// Fetches newer weights while those before wait for their turn to be loaded.
+    /// Fetches newer weights while the target waits for its time to be loaded.
     async fn prefetch(&mut self, target: &Target, desired: &DesiredWeights) {
         let Some(KnownNaming {
             version, named_at, ..
@@ -371,7 +371,7 @@
         let Some(manifest) = manifest.await else {
             return;
         };
-        // An engine that serves an older version has that one staged.
+        // An engine that serves an older version has the chunks of that version staged.
         let report = self.report.as_ref();
         let loaded = report.and_then(|it| it.version_of(&target.model));
         let restores_staged = loaded.is_none();
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an agent that stages weights.
+//! Starts and stops a staging agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,45 +30,45 @@
 use crate::status::{PeerChunks, StatusBoard};
 use crate::{StagedEngine, events};
 
-/// Time between two reads of the settings. Entries tell of weights within a tenth of a second after
-/// they read of them; an agent that is woken for each configuration takes 100 KB of each over its
-/// region's link.
+/// Time between two reads of the settings. Entries report a naming within 100 ms after they read it, so
+/// agents need not follow the settings closely. An agent that was notified of each configuration would
+/// transfer 100 KB for each over its region's link.
 const SETTINGS_READ_INTERVAL: Duration = Duration::from_millis(8000);
 
-/// How long a read may take. Agents that all start at once share a link.
+/// How long a read may take. Agents that start at the same time share a link.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How old a list of upstreams or a configuration may be that an entry gives. Agents that come or go
-/// are noticed by asking them.
+/// Maximum age of a list of upstreams or a configuration read from an entry. Added and removed agents are
+/// detected by polling them.
 const MAX_LIST_AGE: Duration = Duration::from_secs(4);
 
-/// Longest pause after failed reads.
+/// Longest backoff after failed reads.
 const MAX_READ_BACKOFF: Duration = Duration::from_millis(400);
 
-/// How long chunks that are being given may take at the end. One of 49 KB takes 42 ms on a link of
+/// How long a shutdown waits for chunks that are being served. A chunk of 49 KB takes 42 ms on a link of
 /// 9.4 Mbit/s.
 const CHUNK_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An agent can't start.
+/// An error that prevents an agent from starting.
 #[derive(Debug, Snafu)]
 pub enum StageError {
-    /// The metrics can't be registered.
-    #[snafu(display("the metrics can't be registered ({source}): report this as a bug"))]
+    /// The metrics cannot be registered.
+    #[snafu(display("the metrics cannot be registered ({source}): report this as a bug"))]
     Metrics {
-        /// What the library says.
+        /// Error of the metrics library.
         source: prometheus::Error,
     },
-    /// The address can't be used.
-    #[snafu(display("listen: can't use {addr} ({source}): choose a free address"))]
+    /// The address cannot be bound.
+    #[snafu(display("listen: cannot bind {addr} ({source}): choose a free address"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What all tasks of an agent share.
+/// State that all tasks of an agent share.
 #[derive(Debug)]
 pub(crate) struct AgentContext<R, E, O> {
     pub(crate) settings: StagingAgentSettings,
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`StageError`] if its address can't be used.
+    /// Returns a [`StageError`] if the address cannot be bound or the metrics cannot be registered.
     pub async fn start<R, E, O>(
         settings: StagingAgentSettings,
         registry: R,
@@ -162,17 +162,17 @@
         Ok(Self { vm, tasks, server })
     }
 
-    /// Ends the agent once the chunks are given that other agents have asked for.
+    /// Stops the agent after the chunks that other agents have requested are sent.
     pub async fn shutdown(mut self) {
         self.tasks.abort_all();
         self.server.enter(Phase::Ending);
-        // Whoever has not got a chunk by then asks another agent.
+        // An agent that has not received its chunk by then requests it elsewhere.
         let _ = tokio::time::timeout(CHUNK_DRAIN_TIMEOUT, self.server.ended()).await;
         events::STOPPED.emit(&[("vm", &self.vm)]);
     }
 }
 
-/// Returns the route of the metrics, on the listener for other agents.
+/// Returns the route that serves the metrics on the listener for other agents.
 fn metrics_route(registry: Prometheus, metrics: Metrics) -> Router {
     let handler = move || async move {
         let dropped = i64::try_from(lines_dropped()).unwrap_or(i64::MAX);
--- a/crates/stage/src/resolve.rs
+++ b/crates/stage/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Asks for manifests.
+//! Requests manifests from other agents and the origin.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +14,20 @@
 use crate::process::AgentContext;
 use crate::{events, peers};
 
-/// Pause before a manifest is asked for again.
+/// Time before a manifest is requested again.
 const MANIFEST_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Agents of the own data centre that ask the origin at once. Of 75 agents that all do, each with
-/// chunks on the way from the origin too, those of one data centre got no answer for 20 s.
+/// Agents of a data centre that request a manifest from the origin at the same time. With 75 agents that
+/// all did, each also fetching chunks from the origin, the agents of one data centre got no answer for 20 s.
 const MAX_ORIGIN_REQUESTERS: usize = 2;
 
-/// Rounds in which an agent asks only others before it asks the origin in place of the first.
+/// Rounds in which an agent asks only other agents. After them the agent asks the origin too, in case the
+/// agents that should do so fail.
 const PEER_ROUNDS: u32 = 6;
 
-/// Asks other agents and then the origin for a manifest, until one has it or the origin fails.
+/// Requests a manifest from other agents and then from the origin.
+///
+/// Returns `None` if the origin fails or is unknown.
 pub(crate) async fn request_manifest<R, E, O>(
     cx: Arc<AgentContext<R, E, O>>,
     model: ModelName,
@@ -62,14 +65,14 @@
     None
 }
 
-/// In which order agents are asked for a manifest; the same for all agents of a data centre, so that
-/// those asked first are those that ask the origin.
+/// Order in which agents are asked for a manifest. The order is the same for all agents of a data centre,
+/// so that the agents that are asked first are those that ask the origin.
 struct RequestOrder {
-    /// Agents of the own data centre that ask the origin before this one does.
+    /// Number of agents of the same data centre that ask the origin before this agent.
     ahead: usize,
     local: Vec<SocketAddr>,
-    /// Agents of other data centres. Their bytes are dear, but a data centre whose agents the origin
-    /// does not answer has no other way.
+    /// Agents of other data centres. Transfers between data centres are expensive, but a data centre whose
+    /// agents get no answer from the origin has no other source.
     remote: Vec<SocketAddr>,
 }
 
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Returns whom to ask in a round: those that ask the origin, one more, and one far away.
+    /// Returns the agents to ask in a round: those that ask the origin, one more of the same data centre,
+    /// and one of another data centre.
     fn peers_in_round(&self, round: u32) -> impl Iterator<Item = SocketAddr> + '_ {
         let round = round as usize;
         let first = self.local.iter().take(MAX_ORIGIN_REQUESTERS);
--- a/crates/stage/src/staging.rs
+++ b/crates/stage/src/staging.rs
@@ -1,4 +1,4 @@
-//! Stages whole weights at the engine and has it load them.
+//! Stages a complete version at the engine and orders the engine to load it.
 
 use std::time::{Duration, Instant};
 
@@ -10,8 +10,8 @@
 use crate::origin::ChunkOrigin;
 use crate::{OrderOutcome, Rollout, StagedEngine, Target, events};
 
-/// Longest time between staging the first chunk and the order to load. Staged chunks may be spoilt
-/// at any time, and the engine doesn't compare them.
+/// Longest time between staging the first chunk and the order to load. Staged chunks can become corrupt
+/// at any time, and the engine does not verify them.
 const MAX_STAGING_TIME: Duration = Duration::from_millis(2200);
 
 impl<R, E, O> WeightsLoader<R, E, O>
@@ -20,7 +20,7 @@
     E: StagedEngine,
     O: ChunkOrigin,
 {
-    /// Stages all chunks and has the engine load them.
+    /// Stages all chunks and orders the engine to load them.
     pub(crate) async fn load(&mut self, target: &Target) {
         let started = Instant::now();
         let Some(chunks) = self.chunks(target) else {
@@ -58,7 +58,7 @@
         ]);
     }
 
-    /// Tells the engine to load; returns what became of the order, and why.
+    /// Orders the engine to load; returns the outcome and its reason as they are logged.
     async fn order(&mut self, target: &Target, orders: u64) -> (&'static str, String) {
         let engine = &self.cx.engine;
         let outcome = engine.load(&target.model, target.version, orders).await;
@@ -69,7 +69,7 @@
             }
             Ok(OrderOutcome::Unfit) => ("unfit", String::new()),
             Ok(OrderOutcome::Fenced) => ("fenced", String::new()),
-            // It may have been taken: the engine's state will tell.
+            // The engine may have received the order: its next state shows whether it loads.
             Err(error) => {
                 self.ordered_at = Some(Instant::now());
                 ("unknown", error.to_string())
