--- a/crates/stage/src/engine.rs
+++ b/crates/stage/src/engine.rs
@@ -1,51 +1,51 @@
-//! An engine that takes weights in chunks.
+//! Interface to an engine that is given weights in chunks.
 
 use bytes::Bytes;
 use snafu::Snafu;
 use wagtailreel_core::ChunkIndex;
 use wagtailreel_fleet::{LoadedModel, UpstreamStart, WeightsVersion};
 
-/// What an engine says of itself.
+/// State of an engine as reported by the engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineReport {
-    /// Which start of the engine this is; 0 where engines don't tell.
+    /// Identifies the engine's start; 0 if the engine does not report it.
     pub started: UpstreamStart,
-    /// The weights that it holds.
+    /// The weights that the engine holds.
     pub models: Vec<LoadedModel>,
-    /// An order is being carried out.
+    /// Whether an order is being carried out.
     pub is_busy: bool,
-    /// How many orders it has begun since its start.
+    /// Number of orders that the engine has begun since its start.
     pub orders: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Requests that it works on.
+    /// Number of running requests.
     pub running: u32,
-    /// Memory that is taken and can't yield.
+    /// Memory in use that cannot be reclaimed.
     pub memory_used: u64,
-    /// Memory for requests.
+    /// Memory available to requests.
     pub memory_total: u64,
-    /// How many times slower than usual it is.
+    /// How many times slower than usual the engine runs.
     pub pace: f64,
 }
 
 impl EngineReport {
-    /// Returns the version of `model` that the engine holds whole.
+    /// Returns the version of `model` that the engine holds completely.
     pub fn version_of(&self, model: &str) -> Option<WeightsVersion> {
         let held = self.models.iter().find(|held| held.model == model)?;
         held.whole.then_some(held.version)
     }
 }
 
-/// What became of an order.
+/// Outcome of an order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum OrderOutcome {
-    /// The engine has begun.
+    /// The engine has begun to load.
     #[display("begun")]
     Begun,
-    /// It is in effect already.
+    /// The order is already in effect.
     #[display("in-effect")]
     InEffect,
-    /// It does not fit the engine's state.
+    /// The order does not fit the engine's state.
     #[display("unfit")]
     Unfit,
     /// The engine has seen a newer order.
@@ -53,65 +53,65 @@
     Fenced,
 }
 
-/// An engine did not do, or may not have done, what it was asked.
+/// An error of a call to an engine.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum EngineError {
-    /// No answer came. An order may have been taken.
-    #[snafu(display("the engine did not answer ({reason}): look at its state before repeating"))]
+    /// The engine did not answer. An order may still have been received.
+    #[snafu(display("the engine did not answer ({reason}): check its state before retrying"))]
     Silent {
-        /// What happened.
+        /// Cause.
         reason: String,
     },
-    /// The engine refused.
-    #[snafu(display("the engine refused with {status}: look at its state"))]
+    /// The engine refused the call.
+    #[snafu(display("the engine refused with status {status}: check its state"))]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer can't be understood.
-    #[snafu(display("the engine's answer can't be read ({reason}): check its version"))]
+    /// The answer cannot be parsed.
+    #[snafu(display("the engine's answer cannot be parsed ({reason}): check its version"))]
     Unreadable {
-        /// What is wrong.
+        /// The mistake in the answer.
         reason: String,
     },
 }
 
-/// An engine that takes weights in chunks and loads them when it is told to.
+/// An engine that stages weights in chunks and loads them on order.
 pub trait StagedEngine: Clone + Send + Sync + 'static {
-    /// Asks the engine for its state.
+    /// Reads the engine's state.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineError`] if no whole answer came.
+    /// Returns an [`EngineError`] if no complete answer came.
     fn report(&self) -> impl Future<Output = Result<EngineReport, EngineError>> + Send;
 
     /// Lists the chunks of `model` that are staged.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineError`] if no whole answer came.
+    /// Returns an [`EngineError`] if no complete answer came.
     fn staged(
         &self,
         model: &str,
     ) -> impl Future<Output = Result<Vec<ChunkIndex>, EngineError>> + Send;
 
-    /// Reads a staged chunk; none if it isn't there. Its bytes may have been spoilt.
+    /// Reads a staged chunk, or returns `None` if it is not staged. The bytes may be corrupt.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineError`] if no whole answer came.
+    /// Returns an [`EngineError`] if no complete answer came.
     fn read_staged(
         &self,
         model: &str,
         chunk: ChunkIndex,
     ) -> impl Future<Output = Result<Option<Bytes>, EngineError>> + Send;
 
-    /// Stages a chunk in place of what was there.
+    /// Stages a chunk and replaces the chunk staged at its index.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineError`] if the engine did not say that it took the chunk.
+    /// Returns an [`EngineError`] if the engine did not confirm the chunk.
     fn stage(
         &self,
         model: &str,
@@ -119,12 +119,12 @@
         data: Bytes,
     ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// Orders the engine to finish what runs and load what is staged as `version`, if it has begun
-    /// `orders` orders so far.
+    /// Orders the engine to finish its running requests and load the staged chunks as `version`, if the
+    /// engine has begun `orders` orders so far.
     ///
     /// # Errors
     ///
-    /// Returns an [`EngineError`] if it is not known what became of the order, or it was refused.
+    /// Returns an [`EngineError`] if the order was refused or its outcome is unknown.
     fn load(
         &self,
         model: &str,
--- a/crates/stage/src/listing.rs
+++ b/crates/stage/src/listing.rs
@@ -1,4 +1,4 @@
-//! The other agents of the own service, by the registry.
+//! Lists the other agents of the same service from the registry.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -12,8 +12,8 @@
 /// How long the registry may take to list the upstreams.
 const LIST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Returns the agents of the own service by the registry, the own one left out; those of before where it
-/// doesn't answer in time.
+/// Returns the other agents of the same service from the registry, or the last known ones if the registry
+/// does not answer in time.
 pub(crate) async fn current_peers<R, E, O>(cx: &AgentContext<R, E, O>) -> Vec<VmEntry>
 where
     R: Registry,
@@ -23,7 +23,7 @@
     read.unwrap_or_else(|| cx.peers.borrow().clone())
 }
 
-/// Reads the agents of the own service out of the registry, the own one left out.
+/// Reads the other agents of the same service from the registry, or returns `None` if it does not answer.
 pub(crate) async fn list_peers<R, E, O>(cx: &AgentContext<R, E, O>) -> Option<Vec<VmEntry>>
 where
     R: Registry,
@@ -38,7 +38,7 @@
     let peers = upstreams
         .filter(|it| it.service == cx.settings.service && it.addr.ip() != own)
         .map(|it| (it.addr.ip(), entry(&it, cx)));
-    // Two starts of one engine are one agent.
+    // Two starts of one engine have the same agent.
     let peers: BTreeMap<IpAddr, VmEntry> = peers.collect();
     let peers: Vec<VmEntry> = peers.into_values().collect();
     cx.peers.send_replace(peers.clone());
@@ -56,7 +56,7 @@
             .cloned()
             .unwrap_or_default(),
         role: VmRole::Upstream,
-        // An engine that leaves goes on for a while, and so does its agent.
+        // An engine that is leaving keeps running for a while, and so does its agent.
         state: VmState::Live,
         service: Some(upstream.service.clone()),
         control: agent,
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -198,8 +198,8 @@
         }
         let origin = match self.report {
             Some(_) => desired.origin,
-            // While the engine starts, only other agents are asked. If all agents start together, none has the
-            // manifest, and chunks that their engines hold must not be fetched from the origin.
+            // While the engine starts, only other agents are asked. If all agents start together, none
+            // has the manifest, and chunks that their engines hold must not be fetched from the origin.
             None if self.engine_start.is_none() => None,
             None => return,
         };
--- a/crates/stage/src/manifest.rs
+++ b/crates/stage/src/manifest.rs
@@ -1,4 +1,4 @@
-//! What the chunks of a model's weights have to be.
+//! Manifest of the chunks of a model's weights.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DigestKind {
-    /// BLAKE3, the product's own.
+    /// BLAKE3, the default digest of this project.
     Blake3,
     /// SHA-256.
     Sha256,
@@ -39,13 +39,13 @@
 }
 
 impl ChunkManifest {
-    /// Says whether `data` is the chunk `index`.
+    /// Returns whether `data` has the digest of the chunk `index`.
     pub fn verify(&self, index: ChunkIndex, data: &[u8]) -> bool {
         let digest = self.digests.get(index as usize);
         digest.is_some_and(|digest| *digest == self.kind.of(data))
     }
 
-    /// Returns how many chunks there are.
+    /// Returns the number of chunks.
     pub fn count(&self) -> u32 {
         u32::try_from(self.digests.len()).unwrap_or(u32::MAX)
     }
--- a/crates/stage/src/metrics.rs
+++ b/crates/stage/src/metrics.rs
@@ -1,24 +1,24 @@
-//! Counters of an agent.
+//! Metrics of an agent.
 
 use prometheus::{IntCounterVec, IntGauge, Opts, Registry};
 
-/// Counters of an agent.
+/// Metrics of an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
-    /// Chunks that were fetched, by where from: origin, near, far.
+    /// Fetched chunks by source: `origin`, `near` (same data centre) or `far` (another one).
     pub(crate) chunks: IntCounterVec,
     /// Orders to load, by outcome.
     pub(crate) loads: IntCounterVec,
-    /// Version of the weights that the engine holds; 0 for none.
+    /// Version of the weights that the engine holds; 0 if none.
     pub(crate) version: IntGauge,
-    /// Requests that the engine works on.
+    /// Requests running at the engine.
     pub(crate) running: IntGauge,
-    /// Log lines that were left out.
+    /// Dropped log lines.
     pub(crate) lines_dropped: IntGauge,
 }
 
 impl Metrics {
-    /// Makes the metrics and registers them.
+    /// Creates the metrics and registers them.
     pub(crate) fn register(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counters = |name: &str, help: &str, label: &str| {
             IntCounterVec::new(Opts::new(name, help), &[label])
--- a/crates/stage/src/origin.rs
+++ b/crates/stage/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights.
+//! Interface to the origin of weights.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,42 +10,42 @@
 
 use crate::ChunkManifest;
 
-/// The origin did not give what was asked for.
+/// An error of a call to the origin.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum OriginError {
-    /// The origin refused for now.
-    #[snafu(display("the origin refused with {status}: it is asked again"))]
+    /// The origin refused the call for now.
+    #[snafu(display("the origin refused with status {status}: the request is repeated"))]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
-        /// When to come back, if the answer says so.
+        /// Time after which to retry, if given by the answer.
         retry_after: Option<Duration>,
     },
     /// The origin no longer has the version.
     #[snafu(display("the origin has no such version: name a newer one"))]
     Gone,
-    /// No whole answer came.
-    #[snafu(display("the origin did not answer ({reason}): look at its link"))]
+    /// The origin sent no complete answer.
+    #[snafu(display("the origin did not answer ({reason}): check its link"))]
     Silent {
-        /// What happened.
+        /// Cause.
         reason: String,
     },
-    /// The answer can't be understood.
-    #[snafu(display("the origin's answer can't be read ({reason}): publish the weights again"))]
+    /// The answer cannot be parsed.
+    #[snafu(display("the origin's answer cannot be parsed ({reason}): publish the weights again"))]
     Unreadable {
-        /// What is wrong.
+        /// The mistake in the answer.
         reason: String,
     },
 }
 
-/// The origin of weights.
+/// The origin that publishes weights.
 pub trait ChunkOrigin: Clone + Send + Sync + 'static {
-    /// Reads the manifest of `version`, or of the newest one.
+    /// Reads the manifest of `version`, or of the newest version if none is given.
     ///
     /// # Errors
     ///
-    /// Returns an [`OriginError`] if no whole answer came.
+    /// Returns an [`OriginError`] if no complete answer came.
     fn manifest(
         &self,
         origin: SocketAddr,
@@ -53,11 +53,11 @@
         version: Option<WeightsVersion>,
     ) -> impl Future<Output = Result<ChunkManifest, OriginError>> + Send;
 
-    /// Reads a chunk. Its bytes may have been spoilt.
+    /// Reads a chunk. The bytes may be corrupt.
     ///
     /// # Errors
     ///
-    /// Returns an [`OriginError`] if no whole answer came.
+    /// Returns an [`OriginError`] if no complete answer came.
     fn chunk(
         &self,
         origin: SocketAddr,
--- a/crates/stage/src/origin_fetch.rs
+++ b/crates/stage/src/origin_fetch.rs
@@ -1,4 +1,4 @@
-//! Draws of chunks from the origin, as the planner and the log are told of them.
+//! Logs fetches of chunks from the origin, and maps the origin's errors to failures for the planner.
 
 use std::time::Duration;
 
@@ -8,8 +8,10 @@
 use crate::manifest::ChunkManifest;
 use crate::{OriginError, events};
 
-/// Tells of a draw that ended: there is one for each chunk and region, or little more. Fetches from other agents
-/// are many, and only counted.
+/// Logs an ended fetch from the origin.
+///
+/// There is about one such fetch for each chunk and region. Fetches from other agents are far more
+/// frequent and only counted.
 pub(crate) fn log(
     manifest: &ChunkManifest,
     fetch: &Fetch,
@@ -33,7 +35,7 @@
     ]);
 }
 
-/// Returns what an origin's trouble means for the plan.
+/// Returns the planner's failure for an error of the origin.
 pub(crate) fn failure(error: &OriginError) -> Failure {
     match error {
         OriginError::Refused { retry_after, .. } => Failure::Busy {
--- a/crates/stage/src/peers.rs
+++ b/crates/stage/src/peers.rs
@@ -1,4 +1,4 @@
-//! Asks other agents for chunks and manifests.
+//! Requests chunks and manifests from other agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 
 use crate::ChunkManifest;
 
-/// How long another agent may take to answer. A planner gives a slow fetch up before.
+/// How long another agent may take to answer. The planner cancels a slow fetch earlier.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How long another agent may take to give a manifest; another or the origin is asked after it.
+/// How long another agent may take to send a manifest before the next agent or the origin is asked.
 const MANIFEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an answer may stall.
+/// How long an answer's body may stall.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest chunk or manifest that is taken, in bytes.
+/// Longest accepted chunk or manifest in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Reads a chunk from another agent; its digest is still to be compared.
+/// Reads a chunk from another agent. The caller verifies its digest.
 pub(crate) async fn chunk(
     client: &HttpClient,
     peer: SocketAddr,
@@ -36,7 +36,7 @@
     get(client, peer, &path, CHUNK_TIMEOUT).await
 }
 
-/// Reads a manifest from another agent, of the newest version that it has if none is named.
+/// Reads a manifest from another agent: of `version`, or of the agent's newest version if none is given.
 pub(crate) async fn manifest(
     client: &HttpClient,
     peer: SocketAddr,
@@ -71,6 +71,6 @@
         _ => return Err(Failure::Busy { retry_after: None }),
     }
     let body = collect_body(&uri, response.into_body(), MAX_BODY_BYTES, STALL_TIMEOUT).await;
-    // Whatever cut the body short, the chunk is fetched again.
+    // The chunk is fetched again, whatever truncated the body.
     body.or(Err(Failure::Broken))
 }
--- a/crates/stage/src/quarantine_sync.rs
+++ b/crates/stage/src/quarantine_sync.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams end, as entries tell of them: here their accounts meet.
+//! Merges the crash reports of entries about requests that may crash upstreams.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,18 +7,18 @@
 use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
 use wagtailreel_route::direct::Quarantine;
 
-/// How long entries are told again of what was learned of a request, for datagrams that are lost and
-/// entries that were cut off.
+/// How long a crash report is sent again after it changed, for lost datagrams and for entries that were
+/// unreachable.
 const RESEND_WINDOW: Duration = Duration::from_secs(5);
 
-/// Requests under which upstreams end.
+/// Shares a quarantine of requests under which upstreams end between the entries.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineSync {
     quarantine: Mutex<Quarantine>,
 }
 
 impl QuarantineSync {
-    /// Takes what an entry tells; returns what the others are to be told of it.
+    /// Merges crash reports of an entry; returns the merged reports to send to subscribers if they changed.
     pub(crate) fn merge(&self, reports: &[EndedUnder]) -> Vec<EndedUnder> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
@@ -33,12 +33,12 @@
         reports
     }
 
-    /// Returns what an entry is to be told that may have missed it.
+    /// Returns all crash reports, for an entry that may have missed some.
     pub(crate) fn all(&self) -> Vec<EndedUnder> {
         self.lock().told_of(Duration::MAX, BootTime::now())
     }
 
-    /// Returns what all entries are told again, and forgets what no longer counts.
+    /// Returns the crash reports to send again, and evicts expired ones.
     pub(crate) fn due_for_resend(&self) -> Vec<EndedUnder> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
--- a/crates/stage/src/serve.rs
+++ b/crates/stage/src/serve.rs
@@ -1,4 +1,4 @@
-//! Gives chunks and manifests to other agents.
+//! Serves chunks and manifests to other agents.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -18,18 +18,18 @@
 use crate::StagedEngine;
 use crate::chunk_store::ChunkStore;
 
-/// Chunks that are given at once. A chunk of 48 KB holds a link of 9.4 Mbit/s for 42 ms, and events
-/// of live answers wait behind it.
+/// Chunks that are served at the same time. A chunk of 48 KB occupies a link of 9.4 Mbit/s for 42 ms, and
+/// events of running answers queue behind it.
 const MAX_CONCURRENT_CHUNKS: usize = 2;
 
-/// Share of the VM's link that chunks may take. A stream's event that waits longer than 120 ms
-/// behind chunks is late; unpaced, half of all streams were during a rollout.
+/// Share of the VM's link that chunks may use. A stream's event is late if it waits longer than 120 ms
+/// behind chunks. Without pacing, half of all streams were late during a rollout.
 const LINK_SHARE: f64 = 0.75;
 
-/// Bytes that are handed to a connection at once: 4 ms of a link of 9.4 Mbit/s.
+/// Bytes that are written to a connection at a time. They take 4 ms on a link of 9.4 Mbit/s.
 const SLICE_BYTES: usize = 4096;
 
-/// Spaces out what is given, over all connections.
+/// Limits the rate of served bytes over all connections.
 #[derive(Debug)]
 struct Pacer {
     bytes_per_second: f64,
@@ -37,12 +37,12 @@
 }
 
 impl Pacer {
-    /// Takes the next free time for `bytes`, and waits for it.
+    /// Reserves the next free time slot for `bytes`, and waits until it begins.
     async fn wait(&self, bytes: usize) {
         let slot = {
             let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
             let slot = (*next).max(Instant::now());
-            // A slice's length needs no more digits than a float has.
+            // The length of a slice fits a float without loss.
             #[allow(clippy::cast_precision_loss)]
             let span = bytes as f64 / self.bytes_per_second;
             *next = slot + Duration::from_secs_f64(span);
@@ -52,7 +52,7 @@
     }
 }
 
-/// What the listener for other agents needs.
+/// Shared state of the listener for other agents.
 #[derive(Debug)]
 pub(crate) struct ChunkServer<E> {
     pub(crate) chunk_store: Arc<ChunkStore>,
@@ -62,7 +62,7 @@
 }
 
 impl<E> ChunkServer<E> {
-    /// Makes the giving of a VM whose link carries `link` bits a second.
+    /// Creates the server of a VM whose link carries `link` bits per second.
     pub(crate) fn new(chunk_store: Arc<ChunkStore>, engine: E, link: f64) -> Self {
         Self {
             chunk_store,
@@ -116,7 +116,7 @@
     if let Some(data) = server.chunk_store.get(&model, version, chunk) {
         return stream_chunk(data, permit, &server.pacer);
     }
-    // What was loaded is no longer in memory; whoever asked compares it with its digest.
+    // Chunks of loaded weights are no longer in memory. The requesting agent verifies the digest.
     match server.engine.read_staged(&model, chunk).await {
         Ok(Some(data)) => stream_chunk(data, permit, &server.pacer),
         Ok(None) => StatusCode::NOT_FOUND.into_response(),
@@ -124,11 +124,11 @@
     }
 }
 
-/// Answers with a chunk, and counts it as given until its last byte was taken.
+/// Answers with a chunk, and holds `permit` until its last byte is taken.
 fn stream_chunk(data: Bytes, permit: OwnedSemaphorePermit, pacer: &Arc<Pacer>) -> Response {
     let length = data.len();
     let pacer = Arc::clone(pacer);
-    // The permit goes when the body is dropped, which is after its last byte was taken.
+    // The permit is released when the body is dropped, which is after its last byte was taken.
     let state = (data, permit, pacer);
     let stream = futures::stream::unfold(state, |(mut data, permit, pacer)| async move {
         if data.is_empty() {
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -1,4 +1,4 @@
-//! Answers questions about load and chunks, and asks others for theirs.
+//! Answers queries for load and chunks, and queries other agents for their chunks.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,46 +21,46 @@
 use crate::quarantine_sync::QuarantineSync;
 use crate::subscribers::Subscribers;
 
-/// Longest datagram in bytes.
+/// Longest accepted datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 4096;
 
-/// Entries of the own data centre that are told of: the first, and who stands in if it is silent.
+/// Entries of the same data centre that are listed in an answer: the first, and its fallback.
 const MAX_ENTRIES_REPORTED: usize = 2;
 
-/// How often entries are told again of requests under which upstreams ended lately.
+/// Time between two transmissions of recent crash reports to entries.
 const CRASH_REPORT_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an agent tells of its engine.
+/// What an agent publishes about its engine.
 #[derive(Debug, Default)]
 struct PublishedState {
     report: Option<(EngineReport, Instant)>,
     model: String,
     is_switching: bool,
     naming: Option<(NamedWeights, KnownNaming)>,
-    /// Requests on their way to the engine.
+    /// Requests that entries announced and that are not yet in the engine's figures.
     arrivals: Places,
 }
 
-/// How much longer than their bound agents tell of weights that were named: an entry that starts then
-/// still learns that the bound is over.
+/// How long after its bound a naming is still reported, so that an entry that starts then learns that the
+/// bound is over.
 const NAMING_REPORT_MARGIN: Duration = Duration::from_secs(10);
 
-/// What an agent tells of its engine, and to whom.
+/// Publishes an agent's state by datagrams, and keeps the subscribers that receive it.
 #[derive(Debug)]
 pub(crate) struct StatusBoard {
     state: Mutex<PublishedState>,
     subscribers: Subscribers,
-    /// The entries of the data centre, to read the registry through.
+    /// The entries of the data centre through which the agent reads the registry.
     neighbours: Arc<Neighbours>,
     chunk_store: Arc<ChunkStore>,
     quarantine_sync: QuarantineSync,
     permits: Mutex<Permits>,
     socket: UdpSocket,
-    /// How long the agent tells of weights that were named, and asks since when.
+    /// How long the agent reports a naming, and asks entries for proofs of its time.
     naming_report_ttl: Duration,
 }
 
-/// Chunks that another agent says it has.
+/// Chunks that another agent reports to hold.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerChunks {
     pub(crate) ip: IpAddr,
@@ -68,7 +68,7 @@
 }
 
 impl StatusBoard {
-    /// Makes the board of an agent whose weights may be used for `bound` after newer ones were named.
+    /// Creates the board of an agent whose weights may be used for `bound` after newer weights are named.
     pub(crate) fn new(
         chunk_store: Arc<ChunkStore>,
         socket: UdpSocket,
@@ -87,8 +87,10 @@
         }
     }
 
-    /// Takes the engine's state that was asked for at `requested_at`, none if it does not answer; returns
-    /// whether its weights or its answering changed.
+    /// Records the engine's state that was requested at `requested_at`, or `None` if the engine does not
+    /// answer.
+    ///
+    /// Returns whether the engine's weights changed, or whether the engine started or stopped answering.
     pub(crate) fn set_report(
         &self,
         model: &str,
@@ -112,13 +114,14 @@
         changed
     }
 
-    /// Takes weights that were named, as the agent heard of them.
+    /// Records the naming that the agent reports.
     pub(crate) fn set_naming(&self, weights: NamedWeights, naming: KnownNaming) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.naming = Some((weights, naming));
     }
 
-    /// Returns the agent's clock while it wants to hear when the newest weights were not named yet.
+    /// Returns the agent's clock while the agent asks for proofs of when the newest weights were not named
+    /// yet.
     fn clock_if_wanted(&self) -> Option<u64> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (_, naming) = state.naming.as_ref()?;
@@ -127,7 +130,7 @@
         is_recent.then(|| now.as_millis())
     }
 
-    /// Returns the weights that were named lately.
+    /// Returns the naming to report, if it is recent and its time is proved.
     fn naming(&self) -> Option<HeardNaming> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (weights, naming) = state.naming.as_ref()?;
@@ -138,7 +141,7 @@
         })
     }
 
-    /// Takes whether the engine is about to load, and tells all askers at once.
+    /// Records whether the engine is about to load, and pushes a change to all subscribers.
     pub(crate) fn set_switching(&self, is_switching: bool) {
         {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -150,14 +153,14 @@
         self.push_all();
     }
 
-    /// Tells all askers the engine's state without being asked.
+    /// Pushes the engine's state to all subscribers.
     pub(crate) fn push_all(&self) {
         let now = Instant::now();
         self.push(&self.subscribers.active(now), now);
     }
 
-    /// Takes that an entry is about to send a request, and tells the other entries of the data centre
-    /// at once, so that they don't choose the engine for the same room.
+    /// Records that an entry is about to send a request, and pushes this to the other entries of the data
+    /// centre, so that they do not choose the engine for the same free slot.
     fn announce_request(&self, prefill_time: Duration, from: SocketAddr) {
         let now = Instant::now();
         {
@@ -180,12 +183,13 @@
         };
         let datagram = Datagram::Status(status).to_bytes();
         for subscriber in subscribers {
-            // An asker that misses it asks again.
+            // A subscriber that misses the datagram polls again.
             let _ = self.socket.try_send_to(&datagram, *subscriber);
         }
     }
 
-    /// Gives an entry leave to send a request to an upstream that names a limit, or tells when there is room.
+    /// Answers an entry's request for a permit to send to an upstream with a limit: the permit, or the time
+    /// at which there is capacity.
     fn answer_permit_request(&self, permit_request: &AskPermit, from: SocketAddr) {
         let mut permits = self.permits.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(permit) = permits.answer(permit_request, Instant::now()) else {
@@ -193,22 +197,22 @@
         };
         drop(permits);
         let datagram = Datagram::Permit(permit).to_bytes();
-        // An entry without an answer sends nothing.
+        // An entry that gets no answer does not send its request.
         let _ = self.socket.try_send_to(&datagram, from);
     }
 
-    /// Tells entries of requests under which upstreams end.
+    /// Sends crash reports to entries.
     fn send_crash_reports(&self, reports: &[EndedUnder], entries: &[SocketAddr]) {
         for reports in reports.chunks(ENDED_A_DATAGRAM) {
             let datagram = Datagram::Ended(reports.to_vec()).to_bytes();
             for entry in entries {
-                // What is lost is told again.
+                // Lost datagrams are covered by the next transmission.
                 let _ = self.socket.try_send_to(&datagram, *entry);
             }
         }
     }
 
-    /// Asks another agent which chunks it has.
+    /// Queries another agent for the chunks that it holds.
     pub(crate) fn request_chunks(&self, peer: SocketAddr, model: &str, version: WeightsVersion) {
         let query = Query {
             nonce: 0,
@@ -216,12 +220,12 @@
             chunks: Some((model.to_owned(), version)),
             ..Query::default()
         };
-        // A question that is lost is asked again.
+        // A lost query is covered by the next poll.
         let datagram = Datagram::Query(query).to_bytes();
         let _ = self.socket.try_send_to(&datagram, peer);
     }
 
-    /// Answers questions, and hands on what others have, for as long as it is not dropped.
+    /// Answers datagrams and forwards reports of held chunks to `chunks`, until dropped.
     pub(crate) async fn run(
         self: Arc<Self>,
         chunks: UnboundedSender<PeerChunks>,
@@ -259,7 +263,7 @@
                 Ok(Datagram::Status(status)) => {
                     if let Some(held) = status.chunks {
                         let ip = from.ip();
-                        // Without a fetch under way nobody wants to know.
+                        // The report is not needed if no fetch receives it.
                         let _ = chunks.send(PeerChunks { ip, held });
                     }
                 }
@@ -270,7 +274,7 @@
                     let subscribers = self.subscribers.active(Instant::now());
                     self.send_crash_reports(&self.quarantine_sync.merge(&reports), &subscribers);
                 }
-                // Whoever speaks otherwise is no part of the system.
+                // Agents accept no permits, and unreadable datagrams are not from this system.
                 Ok(Datagram::Permit(_)) | Err(_) => {}
             }
         }
@@ -282,7 +286,7 @@
             self.send_crash_reports(&self.quarantine_sync.all(), &[from]);
         }
         let chunks = query.chunks.as_ref();
-        // Other agents have no use for them.
+        // Only entries need the list of entries, not other agents.
         let entries = if query.chunks.is_none() {
             let mut entries = self.subscribers.local(now);
             if query.is_near {
@@ -302,12 +306,14 @@
             entries,
         };
         let datagram = Datagram::Status(status).to_bytes();
-        // An answer that is lost is asked for again.
+        // The sender repeats its query if the answer is lost.
         let _ = self.socket.try_send_to(&datagram, from);
     }
 
-    /// Takes one of the entries to read the registry through: each agent another, since one link
-    /// would carry a large configuration to all of them for seconds.
+    /// Chooses the entry through which the agent reads the registry.
+    ///
+    /// Agents choose different entries, since a single entry's link would need seconds to send a large
+    /// configuration to all of them.
     fn choose_registry_reader(&self, entries: &[SocketAddr]) {
         let Ok(own) = self.socket.local_addr() else {
             return;
@@ -322,7 +328,7 @@
     fn load(&self, now: Instant) -> Option<LoadStatus> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (report, at) = state.report.as_ref()?;
-        // Shares and factors need no more digits than a short float has.
+        // Shares and factors need no more precision than an `f32` has.
         #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
         let (memory, pace) = (
             report.memory_used as f32 / report.memory_total.max(1) as f32,
@@ -345,7 +351,7 @@
         })
     }
 
-    /// Returns the chunks that can be given: those in memory, or all that the engine has staged.
+    /// Returns the chunks that the agent can serve: those in memory, or all if the engine has them staged.
     fn chunks(&self, model: &str, version: WeightsVersion) -> Option<HeldChunks> {
         let have = self.chunk_store.have(model, version);
         let is_loaded = {
@@ -367,5 +373,5 @@
     }
 }
 
-/// Says in place of a bit set that all chunks can be read from the engine's stage.
+/// Value in place of a bit set: all chunks can be read from the engine's staging memory.
 pub(crate) const ALL_CHUNKS: &str = "all";
