--- a/crates/stage/src/events.rs
+++ b/crates/stage/src/events.rs
@@ -2,12 +2,12 @@
 
 use wagtailreel_telemetry::{Event, Level};
 
-/// The agent runs.
+/// The agent has started.
 pub const STARTED: Event = Event {
     id: 6201,
     name: "staging-agent-started",
     level: Level::Info,
-    meaning: "The agent follows the registry and its engine.",
+    meaning: "The agent has started and follows the registry and its engine.",
     remedy: "Nothing.",
 };
 
@@ -16,7 +16,7 @@
     id: 6202,
     name: "staging-agent-stopped",
     level: Level::Info,
-    meaning: "The agent has ended; its engine goes on with what it holds.",
+    meaning: "The agent has ended; its engine keeps serving the weights that it holds.",
     remedy: "Nothing.",
 };
 
@@ -25,7 +25,7 @@
     id: 6210,
     name: "agent-weights-named",
     level: Level::Info,
-    meaning: "A version of the model's weights is to be served.",
+    meaning: "A version of the model's weights was named and should be served.",
     remedy: "Nothing.",
 };
 
@@ -34,54 +34,54 @@
     id: 6211,
     name: "fetch-begun",
     level: Level::Info,
-    meaning: "The agent fetches the chunks of weights that it lacks.",
+    meaning: "The agent has started to fetch missing chunks of a version of the weights.",
     remedy: "Nothing.",
 };
 
-/// A fetch is done.
+/// A fetch is complete.
 pub const FETCH_DONE: Event = Event {
     id: 6212,
     name: "fetch-done",
     level: Level::Info,
-    meaning: "All chunks are there and verified; the fields tell from where they came.",
+    meaning: "All chunks are stored and verified; the fields give the number of chunks by source.",
     remedy: "Nothing.",
 };
 
-/// A chunk was not what it should be.
+/// A chunk does not match its digest.
 pub const CHUNK_CORRUPT: Event = Event {
     id: 6213,
     name: "chunk-corrupt",
     level: Level::Warn,
-    meaning: "A chunk does not have its digest; it was thrown away.",
-    remedy: "Look at the giver's memory and links if it recurs.",
+    meaning: "A chunk does not match its digest; the chunk was discarded.",
+    remedy: "If it recurs, check the memory and links of the sender.",
 };
 
-/// A manifest can't be had.
+/// A manifest is not available.
 pub const MANIFEST_MISSING: Event = Event {
     id: 6214,
     name: "manifest-missing",
     level: Level::Warn,
-    meaning: "Neither another agent nor the origin gave the manifest; it is asked for again.",
-    remedy: "Look at the origin.",
+    meaning: "Neither another agent nor the origin sent the manifest; the request is repeated.",
+    remedy: "Check the origin.",
 };
 
-/// A draw from the origin ended.
+/// A fetch of a chunk from the origin ended.
 pub const CHUNK_DRAWN: Event = Event {
     id: 6215,
     name: "chunk-drawn",
     level: Level::Info,
-    meaning: "A chunk was drawn from the origin, or was to be: the fields tell why by this agent, how long it \
-              took and how it ended.",
-    remedy: "If draws fail or take long, look at the origin and its link.",
+    meaning: "A fetch of a chunk from the origin ended; the fields give the reason why this agent fetched \
+              it, the duration and the outcome.",
+    remedy: "If fetches fail or take long, check the origin and its link.",
 };
 
-/// The engine loads.
+/// The engine was ordered to load.
 pub const LOAD_ORDERED: Event = Event {
     id: 6220,
     name: "load-ordered",
     level: Level::Info,
-    meaning: "The agent told the engine to load staged weights; the outcome says what it answered.",
-    remedy: "If it recurs for one version, look at the engine.",
+    meaning: "The agent ordered the engine to load staged weights; the outcome is the engine's answer.",
+    remedy: "If it recurs for one version, check the engine.",
 };
 
 /// Staging failed.
@@ -89,8 +89,8 @@
     id: 6221,
     name: "staging-failed",
     level: Level::Warn,
-    meaning: "The engine did not take a chunk; staging begins anew.",
-    remedy: "Look at the engine.",
+    meaning: "The engine did not accept a chunk; staging starts again.",
+    remedy: "Check the engine.",
 };
 
 /// The engine's state changed.
@@ -98,17 +98,17 @@
     id: 6222,
     name: "engine-changed",
     level: Level::Info,
-    meaning: "The engine holds other weights, or answers again, or no longer answers.",
-    remedy: "If it does not answer for long, look at the engine.",
+    meaning: "The engine holds other weights, answers again, or has stopped answering.",
+    remedy: "If the engine does not answer for long, check it.",
 };
 
-/// The engine started again.
+/// The engine restarted.
 pub const ENGINE_RESTARTED: Event = Event {
     id: 6223,
     name: "staged-engine-restarted",
     level: Level::Warn,
-    meaning: "The engine started again under its old id: it holds nothing and has begun no order.",
-    remedy: "If it recurs, look at the engine's own log.",
+    meaning: "The engine restarted under its previous id: it holds no weights and has begun no order.",
+    remedy: "If it recurs, check the engine's log.",
 };
 
 /// All events of this crate.
--- a/crates/stage/src/manifest.rs
+++ b/crates/stage/src/manifest.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DigestKind {
-    /// BLAKE3, the default digest of this project.
+    /// BLAKE3, as computed by [`Digest::of`].
     Blake3,
     /// SHA-256.
     Sha256,
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Answers an entry's request for a permit to send to an upstream with a limit: the permit, or the time
-    /// at which there is capacity.
+    /// Answers an entry's request for a permit to send to an upstream with a limit: with the permit, or how
+    /// long the upstream has no capacity.
     fn answer_permit_request(&self, permit_request: &AskPermit, from: SocketAddr) {
         let mut permits = self.permits.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(permit) = permits.answer(permit_request, Instant::now()) else {
