--- a/crates/stage/tests/chunk_store.rs
+++ b/crates/stage/tests/chunk_store.rs
@@ -1,4 +1,4 @@
-//! Only chunks that were verified are kept and given.
+//! The chunk store accepts and returns only verified chunks.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::sync::Arc;
@@ -49,7 +49,7 @@
 }
 
 #[rstest]
-fn oldest_goes() {
+fn oldest_version_is_evicted() {
     let chunk_store = ChunkStore::default();
     for version in 1..=3 {
         chunk_store.add_version(&manifest(version, DigestKind::Sha256));
--- a/crates/stage/tests/common/engine.rs
+++ b/crates/stage/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! An engine in memory that takes weights in chunks.
+//! Engine in memory that is given weights in chunks.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,14 +10,14 @@
 
 use super::{CHUNKS, MODEL, chunk};
 
-/// What happens to the next order.
+/// Fault of the next order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderFault {
-    /// It is taken, and its answer is lost.
+    /// The engine receives the order, and its answer is lost.
     LostButTaken,
-    /// It never arrives.
+    /// The order never arrives.
     LostAndNotTaken,
-    /// The engine says that it does not fit its state.
+    /// The engine answers that the order does not fit its state.
     Unfit,
 }
 
@@ -29,17 +29,17 @@
     restarts: u64,
     fault: Option<OrderFault>,
     is_silent: bool,
-    is_spoilt: bool,
+    loaded_corrupt: bool,
 }
 
-/// An engine in memory.
+/// Engine in memory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TestEngine {
     state: Arc<Mutex<State>>,
 }
 
 impl TestEngine {
-    /// Makes an engine that holds `version`, and has it staged.
+    /// Creates an engine that holds `version` and has its chunks staged.
     pub(crate) fn new(version: Option<u64>) -> Self {
         let engine = Self::default();
         let mut state = engine.lock();
@@ -55,12 +55,12 @@
         self.lock().version
     }
 
-    /// Says whether the engine only ever loaded whole weights of one version.
+    /// Returns whether each load was of complete weights of one version.
     pub(crate) fn is_whole(&self) -> bool {
-        !self.lock().is_spoilt
+        !self.lock().loaded_corrupt
     }
 
-    /// Returns how many orders were taken.
+    /// Returns the number of accepted orders.
     pub(crate) fn orders(&self) -> u64 {
         self.lock().orders
     }
@@ -69,12 +69,12 @@
         self.lock().fault = Some(fault);
     }
 
-    /// Leaves questions for its state without an answer, or answers again.
+    /// Sets whether the engine leaves queries for its state unanswered.
     pub(crate) fn set_silent(&self, is_silent: bool) {
         self.lock().is_silent = is_silent;
     }
 
-    /// Loses what was loaded, and keeps what was staged.
+    /// Restarts the engine: its loaded weights are lost, its staged chunks stay.
     pub(crate) fn restart(&self) {
         let mut state = self.lock();
         state.version = None;
@@ -82,9 +82,9 @@
         state.restarts += 1;
     }
 
-    /// Spoils a staged chunk.
-    pub(crate) fn spoil_staged(&self) {
-        self.lock().staged.insert(3, Bytes::from_static(b"spoilt"));
+    /// Corrupts a staged chunk.
+    pub(crate) fn corrupt_staged(&self) {
+        self.lock().staged.insert(3, Bytes::from_static(b"corrupt"));
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -96,7 +96,7 @@
     fn load(&mut self, version: u64) {
         let staged = (0..CHUNKS).map(|it| self.staged.get(&it).cloned());
         let wanted = (0..CHUNKS).map(|it| Some(chunk(version, it)));
-        self.is_spoilt |= !staged.eq(wanted);
+        self.loaded_corrupt |= !staged.eq(wanted);
         self.version = Some(version);
         self.orders += 1;
     }
@@ -106,7 +106,7 @@
     async fn report(&self) -> Result<EngineReport, EngineError> {
         let state = self.lock();
         if state.is_silent {
-            let reason = "it has not started".to_owned();
+            let reason = "the test made the engine silent".to_owned();
             return Err(EngineError::Silent { reason });
         }
         let models = state.version.map(|version| LoadedModel {
@@ -156,7 +156,7 @@
         match fault {
             None => Ok(OrderOutcome::Begun),
             Some(_) => Err(EngineError::Silent {
-                reason: "told to be".to_owned(),
+                reason: "the test lost the answer".to_owned(),
             }),
         }
     }
--- a/crates/stage/tests/common/mod.rs
+++ b/crates/stage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Agents on addresses of their own, beside engines and an origin in memory.
+//! Fleet of agents, each on its own loopback address, with engines and an origin in memory.
 
 #![allow(dead_code, unused_imports, reason = "each test program uses a part")]
 
@@ -26,7 +26,7 @@
 /// Name of the model.
 pub(crate) const MODEL: &str = "epitaph";
 
-/// Chunks of each version.
+/// Number of chunks of each version.
 pub(crate) const CHUNKS: u32 = 12;
 
 /// Port of all agents.
@@ -94,13 +94,13 @@
         engine
     }
 
-    /// Ends an agent.
+    /// Stops an agent.
     pub(crate) async fn end(&self, index: usize) {
         let (_, agent) = self.members.lock().unwrap().remove(index);
         agent.shutdown().await;
     }
 
-    /// Names weights that are to be served.
+    /// Publishes `version` at the origin and names it in the registry.
     pub(crate) fn name(&self, version: u64) {
         self.origin.publish(version);
         self.registry.weights(NamedWeights {
@@ -109,8 +109,8 @@
         });
     }
 
-    /// Tells all agents of weights, as an entry does that has heard of them.
-    pub(crate) async fn tell(&self, version: u64) {
+    /// Reports named weights to all agents, as an entry does that knows of the naming.
+    pub(crate) async fn report_naming(&self, version: u64) {
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let weights = Some(NamedWeights {
             model: MODEL.to_owned(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns where an agent answers.
+    /// Returns the address of an agent.
     pub(crate) fn addr(&self, index: u8) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::new(127, 77, self.net, index + 1), PORT))
     }
@@ -138,27 +138,33 @@
         self.members.lock().unwrap()[index].0.clone()
     }
 
-    /// Waits until all engines are as wanted.
-    pub(crate) async fn until<F>(&self, is_so: F)
+    /// Waits until all engines satisfy a condition.
+    pub(crate) async fn until<F>(&self, is_reached: F)
     where
         F: Fn(&TestEngine) -> bool,
     {
         loop {
-            if self.members.lock().unwrap().iter().all(|(it, _)| is_so(it)) {
+            if self
+                .members
+                .lock()
+                .unwrap()
+                .iter()
+                .all(|(it, _)| is_reached(it))
+            {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Waits until an agent has asked for the manifest of `version`.
-    pub(crate) async fn until_heard(&self, version: u64) {
-        while !self.origin.was_asked(version) {
+    /// Waits until an agent has requested the manifest of `version` from the origin.
+    pub(crate) async fn until_manifest_requested(&self, version: u64) {
+        while !self.origin.was_requested(version) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Says whether engines only ever loaded whole weights of one version.
+    /// Returns whether each load of each engine was of complete weights of one version.
     pub(crate) fn all_whole(&self) -> bool {
         self.members
             .lock()
@@ -168,7 +174,7 @@
     }
 }
 
-/// Asks an agent, and returns its answer.
+/// Sends a query to an agent, and returns its answer.
 pub(crate) async fn ask(socket: &UdpSocket, agent: SocketAddr, query: Query) -> Status {
     let query = Query { nonce: 1, ..query };
     let datagram = Datagram::Query(query).to_bytes();
--- a/crates/stage/tests/common/origin.rs
+++ b/crates/stage/tests/common/origin.rs
@@ -1,4 +1,4 @@
-//! An origin of weights in memory.
+//! Origin of weights in memory.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 #[derive(Debug)]
 struct State {
     newest: u64,
-    given: u32,
-    spoil: u32,
-    is_away: bool,
-    asked: BTreeSet<u64>,
+    served: u32,
+    corrupt_chunks_left: u32,
+    is_unreachable: bool,
+    requested: BTreeSet<u64>,
     manifests: u32,
 }
 
-/// An origin of weights in memory; it has version 1 at first.
+/// Origin of weights in memory; starts with version 1.
 #[derive(Clone, Debug)]
 pub(crate) struct TestOrigin {
     state: Arc<Mutex<State>>,
@@ -31,10 +31,10 @@
     fn default() -> Self {
         let state = State {
             newest: 1,
-            given: 0,
-            spoil: 0,
-            is_away: false,
-            asked: BTreeSet::new(),
+            served: 0,
+            corrupt_chunks_left: 0,
+            is_unreachable: false,
+            requested: BTreeSet::new(),
             manifests: 0,
         };
         Self {
@@ -49,29 +49,29 @@
         self.lock().newest = version;
     }
 
-    /// Returns how many chunks were given.
-    pub(crate) fn given(&self) -> u32 {
-        self.lock().given
+    /// Returns the number of served chunks.
+    pub(crate) fn served(&self) -> u32 {
+        self.lock().served
     }
 
-    /// Returns how many manifests were given.
+    /// Returns the number of served manifests.
     pub(crate) fn manifests(&self) -> u32 {
         self.lock().manifests
     }
 
-    /// Makes every call fail, or none.
-    pub(crate) fn set_away(&self, is_away: bool) {
-        self.lock().is_away = is_away;
+    /// Sets whether every call fails.
+    pub(crate) fn set_unreachable(&self, is_unreachable: bool) {
+        self.lock().is_unreachable = is_unreachable;
     }
 
-    /// Spoils the next chunks.
-    pub(crate) fn spoil_next(&self, count: u32) {
-        self.lock().spoil = count;
+    /// Corrupts the next `count` chunks.
+    pub(crate) fn corrupt_next(&self, count: u32) {
+        self.lock().corrupt_chunks_left = count;
     }
 
-    /// Says whether the manifest of `version` was asked for.
-    pub(crate) fn was_asked(&self, version: u64) -> bool {
-        self.lock().asked.contains(&version)
+    /// Returns whether the manifest of `version` was requested.
+    pub(crate) fn was_requested(&self, version: u64) -> bool {
+        self.lock().requested.contains(&version)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -79,8 +79,8 @@
     }
 
     fn check(&self) -> Result<(), OriginError> {
-        if self.lock().is_away {
-            let reason = "told to be away".to_owned();
+        if self.lock().is_unreachable {
+            let reason = "the test made the origin unreachable".to_owned();
             return Err(OriginError::Silent { reason });
         }
         Ok(())
@@ -98,7 +98,7 @@
         let version = version.unwrap_or(self.lock().newest);
         {
             let mut state = self.lock();
-            state.asked.insert(version);
+            state.requested.insert(version);
             state.manifests += 1;
         }
         let kind = DigestKind::Sha256;
@@ -119,10 +119,10 @@
     ) -> Result<Bytes, OriginError> {
         self.check()?;
         let mut state = self.lock();
-        state.given += 1;
-        if state.spoil > 0 {
-            state.spoil -= 1;
-            return Ok(Bytes::from_static(b"spoilt"));
+        state.served += 1;
+        if state.corrupt_chunks_left > 0 {
+            state.corrupt_chunks_left -= 1;
+            return Ok(Bytes::from_static(b"corrupt"));
         }
         Ok(chunk(version, index))
     }
--- a/crates/stage/tests/spreading.rs
+++ b/crates/stage/tests/distribution.rs
@@ -1,4 +1,4 @@
-//! Agents bring weights to their engines, whatever happens on the way.
+//! Agents bring weights to their engines despite faults of engines, the origin and the registry.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -11,17 +11,17 @@
 use wagtailreel_fleet::Query;
 use wagtailreel_spread::ChunkSet;
 
-/// How long a test waits at most for what it waits for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for its condition.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn until_version(fleet: &Fleet, version: u64) {
     let all = fleet.until(|engine| engine.version() == Some(version));
-    tokio::time::timeout(PATIENCE, all)
+    tokio::time::timeout(TEST_TIMEOUT, all)
         .await
-        .expect("all engines hold it");
+        .expect("all engines hold the version");
     assert!(
         fleet.all_whole(),
-        "no engine ever loaded spoilt or mixed chunks"
+        "no engine ever loaded corrupt or mixed chunks"
     );
 }
 
@@ -29,10 +29,10 @@
 async fn new_engines() {
     let fleet = Fleet::start(1, 4, None).await;
     until_version(&fleet, 1).await;
-    let given = fleet.origin.given();
+    let served = fleet.origin.served();
     assert!(
-        given <= 2 * CHUNKS,
-        "{given} chunks: most come from each other"
+        served <= 2 * CHUNKS,
+        "{served} chunks from the origin: most must come from other agents"
     );
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn two_names_in_a_row() {
+async fn two_namings_in_a_row() {
     let fleet = Fleet::start(3, 3, Some(1)).await;
     fleet.name(2);
     fleet.name(3);
@@ -54,30 +54,30 @@
 }
 
 #[tokio::test]
-async fn staged_by_others() {
+async fn chunks_from_other_agents() {
     let fleet = Fleet::start(4, 2, Some(1)).await;
-    fleet.until_heard(1).await;
-    fleet.origin.set_away(true);
+    fleet.until_manifest_requested(1).await;
+    fleet.origin.set_unreachable(true);
     let newcomer = fleet.add(None).await;
     let here = fleet.until(|engine| engine.version() == Some(1));
-    tokio::time::timeout(PATIENCE, here)
+    tokio::time::timeout(TEST_TIMEOUT, here)
         .await
-        .expect("from the engines that hold it");
+        .expect("the added engine loads from the engines that hold the version");
     assert!(newcomer.version().is_some());
     assert!(fleet.all_whole());
 }
 
-/// Chunks are fetched from others before the added engine answers, and none from the origin.
+/// An agent fetches chunks from other agents, not the origin, before its added engine answers.
 #[tokio::test]
-async fn fetched_ahead() {
+async fn fetched_before_engine_answers() {
     let fleet = Fleet::start(44, 2, Some(1)).await;
-    fleet.until_heard(1).await;
-    let before = fleet.origin.given();
+    fleet.until_manifest_requested(1).await;
+    let before = fleet.origin.served();
     let engine = TestEngine::new(None);
     engine.set_silent(true);
     let engine = fleet.add_beside(engine, "hall").await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let all_there = async {
+    let all_stored = async {
         loop {
             let chunks = Some((MODEL.to_owned(), 1));
             let query = Query {
@@ -92,10 +92,10 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, all_there)
+    tokio::time::timeout(TEST_TIMEOUT, all_stored)
         .await
-        .expect("all chunks beside the silent engine");
-    assert_eq!(fleet.origin.given(), before, "from the others");
+        .expect("all chunks are stored while the engine is silent");
+    assert_eq!(fleet.origin.served(), before, "no chunk from the origin");
     engine.set_silent(false);
     until_version(&fleet, 1).await;
 }
@@ -105,16 +105,16 @@
     let fleet = Fleet::start(5, 2, Some(1)).await;
     fleet.name(2);
     until_version(&fleet, 2).await;
-    fleet.origin.set_away(true);
+    fleet.origin.set_unreachable(true);
     fleet.engine(0).restart();
-    fleet.engine(0).spoil_staged();
+    fleet.engine(0).corrupt_staged();
     until_version(&fleet, 2).await;
 }
 
 #[tokio::test]
-async fn spoilt_at_origin() {
+async fn corrupt_at_origin() {
     let fleet = Fleet::start(6, 2, Some(1)).await;
-    fleet.origin.spoil_next(5);
+    fleet.origin.corrupt_next(5);
     fleet.name(2);
     until_version(&fleet, 2).await;
 }
@@ -130,54 +130,57 @@
     fleet.name(2);
     until_version(&fleet, 2).await;
     let orders = fleet.engine(0).orders();
-    assert_eq!(orders, 1, "an order that was taken isn't given again");
+    assert_eq!(
+        orders, 1,
+        "an order that the engine received is not repeated"
+    );
 }
 
 #[tokio::test]
-async fn registry_away() {
+async fn unreachable_registry() {
     let fleet = Fleet::start(10, 2, Some(1)).await;
     fleet.name(2);
-    fleet.until_heard(2).await;
+    fleet.until_manifest_requested(2).await;
     fleet.registry.set_away(true);
     until_version(&fleet, 2).await;
 }
 
 #[tokio::test]
-async fn named_by_entry() {
+async fn naming_from_entry() {
     let fleet = Fleet::start(11, 2, Some(1)).await;
-    fleet.until_heard(1).await;
+    fleet.until_manifest_requested(1).await;
     fleet.registry.set_away(true);
     fleet.origin.publish(2);
-    fleet.tell(2).await;
+    fleet.report_naming(2).await;
     until_version(&fleet, 2).await;
 }
 
-/// A data centre in which nobody got the manifest from the origin gets it from another one.
+/// If no agent of a data centre gets the manifest from the origin, they get it from another data centre.
 #[tokio::test]
-async fn manifest_from_afar() {
+async fn manifest_from_other_data_centre() {
     let fleet = Fleet::start(14, 1, Some(1)).await;
-    fleet.until_heard(1).await;
-    fleet.origin.set_away(true);
+    fleet.until_manifest_requested(1).await;
+    fleet.origin.set_unreachable(true);
     for _ in 0..4 {
         fleet.add_in("yard", None).await;
     }
     until_version(&fleet, 1).await;
 }
 
-/// Agents that all want a manifest at once don't all ask the origin for it.
+/// Agents that need a manifest at the same time do not all request it from the origin.
 #[tokio::test]
-async fn few_manifests() {
+async fn few_manifest_requests() {
     let fleet = Fleet::start(15, 8, Some(1)).await;
-    fleet.until_heard(1).await;
+    fleet.until_manifest_requested(1).await;
     let before = fleet.origin.manifests();
     fleet.name(2);
-    fleet.tell(2).await;
+    fleet.report_naming(2).await;
     until_version(&fleet, 2).await;
-    let given = fleet.origin.manifests() - before;
-    assert!(given <= 4, "{given}");
+    let served = fleet.origin.manifests() - before;
+    assert!(served <= 4, "{served}");
 }
 
-/// A read of the registry that never ends doesn't hold up chunks.
+/// A read of the registry that never ends does not delay chunks.
 #[tokio::test]
 async fn registry_without_answer() {
     let fleet = Fleet::start(17, 3, Some(1)).await;
@@ -185,15 +188,15 @@
     until_version(&fleet, 2).await;
     fleet.registry.set_delay(Duration::from_secs(3600));
     fleet.origin.publish(3);
-    let told = async {
-        // What an entry tells may be lost, and it tells it again.
+    let reported = async {
+        // An entry repeats its reports, since a datagram may be lost.
         loop {
-            fleet.tell(3).await;
+            fleet.report_naming(3).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
     tokio::select! {
-        () = told => {}
+        () = reported => {}
         () = until_version(&fleet, 3) => {}
     }
 }
--- a/crates/stage/tests/naming.rs
+++ b/crates/stage/tests/naming.rs
@@ -1,4 +1,4 @@
-//! Agents tell entries since when weights are named, as far as that is proved.
+//! Agents report the time of a naming to entries only as far as that time is proved.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use wagtailreel_fleet::{NamedWeights, Query, Status};
 
-/// Tells the fleet's agent of weights as an entry does, and returns what it answers.
+/// Reports named weights to the fleet's agent as an entry does, and returns the agent's answer.
 async fn tell(fleet: &Fleet, socket: &UdpSocket, version: u64, after_ms: Option<u64>) -> Status {
     let query = Query {
         weights: Some(NamedWeights {
@@ -23,11 +23,11 @@
     ask(socket, fleet.addr(0), query).await
 }
 
-/// An agent that started with an older record hears of newer weights from an entry: only what the
-/// entry can prove is told on, and a proof that comes later counts.
+/// An agent that knows an older naming gets reports of a newer one from an entry. The agent reports the
+/// newer naming only with a time that the entry proved, and uses the latest proof.
 #[rstest]
 #[tokio::test]
-async fn word_of_an_entry() {
+async fn naming_reported_by_an_entry() {
     let fleet = Fleet::start(43, 1, Some(1)).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     fleet.name(2);
@@ -36,18 +36,18 @@
     tell(&fleet, &socket, 3, None).await;
     fleet.until(|engine| engine.version() == Some(3)).await;
     let status = tell(&fleet, &socket, 3, None).await;
-    let told = status.naming.filter(|naming| naming.weights.version == 3);
-    assert_eq!(told, None, "nobody knows since when");
-    let clock_ms = status.clock_ms.expect("the agent wants to know");
+    let reported = status.naming.filter(|naming| naming.weights.version == 3);
+    assert_eq!(reported, None, "its time is not proved");
+    let clock_ms = status.clock_ms.expect("the agent asks for proofs");
     let ahead = clock_ms + 60_000;
     let status = tell(&fleet, &socket, 3, Some(ahead)).await;
-    let told = status.naming.filter(|naming| naming.weights.version == 3);
-    assert_eq!(told, None, "of another clock");
-    // Each proof says that the naming came after it, so the latest of them counts.
+    let reported = status.naming.filter(|naming| naming.weights.version == 3);
+    assert_eq!(reported, None, "the proof is from another clock");
+    // The naming came after each proved moment, so the latest proof counts.
     for after in [clock_ms - 900, clock_ms - 300, clock_ms - 800] {
         tell(&fleet, &socket, 3, Some(after)).await;
     }
-    let told = async {
+    let reported = async {
         loop {
             let status = tell(&fleet, &socket, 3, Some(clock_ms - 850)).await;
             let naming = status.naming.filter(|naming| naming.weights.version == 3);
@@ -59,6 +59,6 @@
             }
         }
     };
-    let told = tokio::time::timeout(Duration::from_secs(5), told).await;
-    assert!(told.is_ok(), "the latest proof is told");
+    let reported = tokio::time::timeout(Duration::from_secs(5), reported).await;
+    assert!(reported.is_ok(), "the latest proof is reported");
 }
--- a/crates/stage/tests/neighbours.rs
+++ b/crates/stage/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! Agents tell entries of their neighbours.
+//! Agents tell entries which other entries of the data centre are active.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use wagtailreel_fleet::{Datagram, Query, Status};
 
-/// Asks the fleet's first agent from a socket of its own.
+/// Polls the fleet's first agent as an entry does, and returns the answer.
 async fn ask(fleet: &Fleet, socket: &UdpSocket, is_near: bool) -> Status {
     let query = Query {
         is_near,
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn first_entries() {
+async fn first_entries_are_listed() {
     let fleet = Fleet::start(41, 1, Some(1)).await;
     let mut entries = Vec::new();
     for _ in 0..3 {
@@ -40,38 +40,40 @@
     assert_eq!(status.entries, addrs[..2].to_vec());
 }
 
-/// An entry of another data centre is told whom to ask for all engines here, and is nobody's neighbour.
+/// An entry of another data centre gets the list of entries, through which it can learn of all engines
+/// here, but is not listed itself.
 #[tokio::test]
-async fn entry_far_away() {
+async fn remote_entry_is_not_listed() {
     let fleet = Fleet::start(42, 1, Some(1)).await;
-    let (near, near_addr) = entry().await;
-    let (far, _) = entry().await;
-    ask(&fleet, &near, true).await;
-    assert_eq!(ask(&fleet, &far, false).await.entries, vec![near_addr]);
-    assert_eq!(ask(&fleet, &far, false).await.entries, vec![near_addr]);
-    assert_eq!(ask(&fleet, &near, true).await.entries, vec![near_addr]);
+    let (local, local_addr) = entry().await;
+    let (remote, _) = entry().await;
+    ask(&fleet, &local, true).await;
+    assert_eq!(ask(&fleet, &remote, false).await.entries, vec![local_addr]);
+    assert_eq!(ask(&fleet, &remote, false).await.entries, vec![local_addr]);
+    assert_eq!(ask(&fleet, &local, true).await.entries, vec![local_addr]);
 }
 
-/// Entries that choose at the same moment must not all choose the same engine.
+/// A request that one entry announces is pushed to the other entries. Otherwise entries that choose at
+/// the same moment all choose the same engine.
 #[tokio::test]
-async fn places_told() {
+async fn announced_request_is_pushed() {
     let fleet = Fleet::start(43, 1, Some(1)).await;
     let ((sender, _), (other, _)) = (entry().await, entry().await);
     ask(&fleet, &sender, true).await;
     let before = ask(&fleet, &other, true).await.load.unwrap();
-    let taken = Query {
+    let announcement = Query {
         sends_us: Some(90_000),
         ..Query::default()
     };
-    let datagram = Datagram::Query(taken).to_bytes();
+    let datagram = Datagram::Query(announcement).to_bytes();
     sender.send_to(&datagram, fleet.addr(0)).await.unwrap();
     let mut buf = [0; 4096];
     let (len, _) = other.recv_from(&mut buf).await.unwrap();
-    let Datagram::Status(told) = Datagram::from_bytes(&buf[..len]).unwrap() else {
+    let Datagram::Status(reported) = Datagram::from_bytes(&buf[..len]).unwrap() else {
         panic!("no status");
     };
-    let load = told.load.unwrap();
-    assert_eq!(told.nonce, 0, "nobody asked");
+    let load = reported.load.unwrap();
+    assert_eq!(reported.nonce, 0, "a push answers no query");
     assert_eq!(load.queued, before.queued + 1);
     assert!((80..=90).contains(&load.reading_ms), "{load:?}");
 }
--- a/crates/stage/tests/quarantine_sync.rs
+++ b/crates/stage/tests/quarantine_sync.rs
@@ -1,4 +1,4 @@
-//! What entries saw of a request that ends upstreams meets at an agent.
+//! An agent merges the crash reports of several entries about one request and sends them to the entries.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Starts an entry that has asked the agent.
+/// Starts an entry that has polled the agent, and so is a subscriber.
 async fn entry(agent: SocketAddr) -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let query = Query {
@@ -37,20 +37,20 @@
     entry.send_to(&datagram, agent).await.unwrap();
 }
 
-/// Waits until an entry is told of a request, and returns the upstreams that ended under it.
+/// Waits until an entry receives a crash report, and returns the upstreams in the report.
 async fn until_told(entry: &UdpSocket) -> Vec<String> {
     let mut buf = [0; 4096];
     loop {
         let (len, _) = entry.recv_from(&mut buf).await.unwrap();
-        if let Ok(Datagram::Ended(told)) = Datagram::from_bytes(&buf[..len]) {
-            assert_eq!(told.len(), 1);
-            return told[0].upstreams.keys().cloned().collect();
+        if let Ok(Datagram::Ended(reported)) = Datagram::from_bytes(&buf[..len]) {
+            assert_eq!(reported.len(), 1);
+            return reported[0].upstreams.keys().cloned().collect();
         }
     }
 }
 
 #[tokio::test]
-async fn accounts_meet() {
+async fn reports_are_merged() {
     let fleet = Fleet::start(53, 1, Some(1)).await;
     let agent = fleet.addr(0);
     let (one, other) = (entry(agent).await, entry(agent).await);
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn told_when_it_starts() {
+async fn started_entry_gets_reports() {
     let fleet = Fleet::start(54, 1, Some(1)).await;
     let agent = fleet.addr(0);
     let one = entry(agent).await;
--- a/crates/stage/tests/rollout.rs
+++ b/crates/stage/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! What an agent does next.
+//! Next steps that the rollout decides.
 
 use std::time::{Duration, Instant};
 
@@ -35,49 +35,49 @@
     rollout: &Rollout,
     report: &EngineReport,
     target: &Target,
-    has_all: bool,
+    is_complete: bool,
     now: Instant,
 ) -> Step {
     let state = RolloutState {
         report: Some(report),
         is_starting: false,
         target: Some(target),
-        complete_since: has_all.then_some(now),
+        complete_since: is_complete.then_some(now),
         position: 0.5,
     };
     rollout.next(state, now)
 }
 
-/// Entries send nothing to an engine that holds nothing, and so needn't be told that it loads.
+/// Entries send no requests to an engine without weights, so the load needs no notice.
 #[rstest]
-fn notice_of_load() {
+fn notice_before_load() {
     assert_eq!(Rollout::load_notice(None), Duration::ZERO);
     assert!(Rollout::load_notice(Some(1)) > Duration::ZERO);
 }
 
 #[rstest]
-#[case::holds_it(Some(2), false, true, Step::Wait)]
+#[case::holds_target(Some(2), false, true, Step::Wait)]
 #[case::holds_newer(Some(3), false, true, Step::Wait)]
 #[case::lacks_chunks(Some(1), false, false, Step::Fetch)]
 #[case::busy_without_chunks(Some(1), true, false, Step::Fetch)]
 #[case::busy_with_chunks(Some(1), true, true, Step::Wait)]
 #[case::empty_engine(None, false, true, Step::Load)]
-#[case::before_its_turn(Some(1), false, true, Step::Wait)]
+#[case::before_load_time(Some(1), false, true, Step::Wait)]
 fn next_step(
     #[case] held: Option<u64>,
     #[case] is_busy: bool,
-    #[case] has_all: bool,
+    #[case] is_complete: bool,
     #[case] expected: Step,
 ) {
     let now = Instant::now();
     let rollout = Rollout::new(BOUND, now);
     let target = target(2, Some(now));
     let report = report(held, is_busy);
-    assert_eq!(next(&rollout, &report, &target, has_all, now), expected);
+    assert_eq!(next(&rollout, &report, &target, is_complete, now), expected);
 }
 
 #[rstest]
-fn engine_away() {
+fn unreachable_engine() {
     let now = Instant::now();
     let target = target(2, None);
     let state = RolloutState {
@@ -90,19 +90,20 @@
     assert_eq!(Rollout::new(BOUND, now).next(state, now), Step::Wait);
 }
 
-/// What an engine will lack that is about to start is fetched meanwhile; one that fell silent has it.
+/// Chunks are fetched while an engine starts, but not for an engine that stopped answering, which has
+/// them already.
 #[rstest]
 #[case::about_to_start(true, false, Step::Fetch)]
-#[case::chunks_are_there(true, true, Step::Wait)]
-#[case::fell_silent(false, false, Step::Wait)]
-fn starting_engine(#[case] is_starting: bool, #[case] has_all: bool, #[case] expected: Step) {
+#[case::chunks_are_stored(true, true, Step::Wait)]
+#[case::stopped_answering(false, false, Step::Wait)]
+fn starting_engine(#[case] is_starting: bool, #[case] is_complete: bool, #[case] expected: Step) {
     let now = Instant::now();
     let target = target(2, None);
     let state = RolloutState {
         report: None,
         is_starting,
         target: Some(&target),
-        complete_since: has_all.then_some(now),
+        complete_since: is_complete.then_some(now),
         position: 0.0,
     };
     assert_eq!(Rollout::new(BOUND, now).next(state, now), expected);
@@ -118,7 +119,7 @@
 }
 
 #[rstest]
-fn pause_after_order() {
+fn backoff_after_failed_order() {
     let now = Instant::now();
     let mut rollout = Rollout::new(BOUND, now);
     let report = report(None, false);
@@ -142,8 +143,8 @@
 #[rstest]
 #[case::early(500, 0.1, false, true)]
 #[case::too_late_for_another_fetch(4000, 0.1, false, false)]
-#[case::half_is_there(500, 0.6, false, false)]
-#[case::chunks_are_there(500, 1.0, false, false)]
+#[case::half_is_stored(500, 0.6, false, false)]
+#[case::chunks_are_stored(500, 1.0, false, false)]
 #[case::empty_engine(4000, 0.9, true, true)]
 fn newer_weights(
     #[case] after: u64,
@@ -158,40 +159,41 @@
     assert_eq!(rollout.may_skip(&target, share, is_empty, later), may_skip);
 }
 
-/// Chunks that come late must not close half of the engines at once.
+/// Chunks that are complete only late in the bound must not make half of the engines load at once: the
+/// loads are spread over the rest of the bound.
 #[rstest]
-fn late_chunks() {
+fn late_chunks_spread_loads() {
     let now = Instant::now();
     let rollout = Rollout::new(BOUND, now);
     let (report, target) = (report(Some(1), false), target(2, Some(now)));
-    let whole_at = now + Duration::from_millis(4500);
+    let complete_at = now + Duration::from_millis(4500);
     let loads_by = |at: Instant| {
-        let places = (0..27).map(|engine| (f64::from(engine) + 0.5) / 27.0);
-        let turns = places.map(|position| {
+        let positions = (0..27).map(|engine| (f64::from(engine) + 0.5) / 27.0);
+        let steps = positions.map(|position| {
             let state = RolloutState {
                 report: Some(&report),
                 is_starting: false,
                 target: Some(&target),
-                complete_since: Some(whole_at),
+                complete_since: Some(complete_at),
                 position,
             };
             rollout.next(state, at)
         });
-        turns.filter(|step| *step == Step::Load).count()
+        steps.filter(|step| *step == Step::Load).count()
     };
-    assert_eq!(loads_by(whole_at), 0);
+    assert_eq!(loads_by(complete_at), 0);
     assert_eq!(
-        loads_by(whole_at + Duration::from_millis(1300)),
+        loads_by(complete_at + Duration::from_millis(1300)),
         14,
-        "half of the time is over"
+        "half of the rest of the bound has passed"
     );
     assert_eq!(loads_by(now + BOUND), 27);
 }
 
 proptest! {
-    /// Every engine begins to load within the bound, whatever its place.
+    /// Every engine begins to load within the bound, at any position.
     #[test]
-    fn turn_in_time(position in -1.0f64..2.0, late in 0.0f64..1.0) {
+    fn load_within_bound(position in -1.0f64..2.0, late in 0.0f64..1.0) {
         let now = Instant::now();
         let rollout = Rollout::new(BOUND, now);
         let report = report(Some(1), false);
--- a/crates/stage/tests/leaving.rs
+++ b/crates/stage/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! An agent that ends gives what others have asked for.
+//! A stopping agent serves the chunks that other agents have requested.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -8,9 +8,9 @@
 
 use common::Fleet;
 
-/// The chunk lies asked for in the socket when the agent is told to end.
+/// The request is already in the socket when the shutdown of the agent begins.
 #[test]
-fn asked_chunk() {
+fn requested_chunk_is_served() {
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -23,7 +23,7 @@
     );
     stream.write_all(req.as_bytes()).unwrap();
     rt.block_on(fleet.end(0));
-    // What the agent has not done by then is left undone, as at the end of its process.
+    // Work that is unfinished now is dropped, as at the end of the agent's process.
     drop(rt);
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).unwrap();
