--- a/crates/stage/src/chunk_store.rs
+++ b/crates/stage/src/chunk_store.rs
@@ -32,21 +32,21 @@
 impl ChunkStore {
     /// Adds the version of `manifest` without chunks, and evicts the oldest versions above the limit.
     pub fn add_version(&self, manifest: &Arc<ChunkManifest>) {
-        let mut held = self.lock();
+        let mut stored = self.lock();
         let key = (manifest.model.clone(), manifest.version);
-        held.entry(key).or_insert_with(|| StoredVersion {
+        stored.entry(key).or_insert_with(|| StoredVersion {
             manifest: Arc::clone(manifest),
             have: ChunkSet::new(manifest.count()),
             chunks: vec![None; manifest.digests.len()],
         });
-        let versions: Vec<WeightsVersion> = held
+        let versions: Vec<WeightsVersion> = stored
             .keys()
             .filter(|(model, _)| *model == manifest.model)
             .map(|(_, version)| *version)
             .collect();
         let surplus = versions.len().saturating_sub(MAX_VERSIONS);
         for version in &versions[..surplus] {
-            held.remove(&(manifest.model.clone(), *version));
+            stored.remove(&(manifest.model.clone(), *version));
         }
     }
 
@@ -57,26 +57,26 @@
         if !manifest.verify(chunk, &data) {
             return false;
         }
-        let mut held = self.lock();
+        let mut stored = self.lock();
         let key = (manifest.model.clone(), manifest.version);
-        if let Some(held) = held.get_mut(&key) {
-            held.have.insert(chunk);
-            held.chunks[chunk as usize] = Some(data);
+        if let Some(stored) = stored.get_mut(&key) {
+            stored.have.insert(chunk);
+            stored.chunks[chunk as usize] = Some(data);
         }
         true
     }
 
     /// Returns a chunk, or `None` if it is not stored.
     pub fn get(&self, model: &str, version: WeightsVersion, chunk: ChunkIndex) -> Option<Bytes> {
-        let held = self.lock();
-        let held = held.get(&(model.to_owned(), version))?;
-        held.chunks.get(chunk as usize)?.clone()
+        let stored = self.lock();
+        let stored = stored.get(&(model.to_owned(), version))?;
+        stored.chunks.get(chunk as usize)?.clone()
     }
 
     /// Returns which chunks of a version are stored, or `None` if the version was not added.
     pub fn have(&self, model: &str, version: WeightsVersion) -> Option<ChunkSet> {
-        let held = self.lock();
-        Some(held.get(&(model.to_owned(), version))?.have.clone())
+        let stored = self.lock();
+        Some(stored.get(&(model.to_owned(), version))?.have.clone())
     }
 
     /// Returns the manifest of `version`, or of the newest version if none is given.
@@ -85,23 +85,23 @@
         model: &str,
         version: Option<WeightsVersion>,
     ) -> Option<Arc<ChunkManifest>> {
-        let held = self.lock();
-        let mut matching = held.iter().filter(|((name, of), _)| {
+        let stored = self.lock();
+        let mut matching = stored.iter().filter(|((name, of), _)| {
             name == model && version.is_none_or(|version| version == *of)
         });
         matching
             .next_back()
-            .map(|(_, held)| Arc::clone(&held.manifest))
+            .map(|(_, stored)| Arc::clone(&stored.manifest))
     }
 
     /// Drops the chunks of a version that the engine has loaded, but not its manifest.
     ///
     /// The engine still has these chunks staged, and they are read from there on request.
     pub fn release(&self, model: &str, version: WeightsVersion) {
-        let mut held = self.lock();
-        if let Some(held) = held.get_mut(&(model.to_owned(), version)) {
-            held.have = ChunkSet::new(held.manifest.count());
-            held.chunks.fill(None);
+        let mut stored = self.lock();
+        if let Some(stored) = stored.get_mut(&(model.to_owned(), version)) {
+            stored.have = ChunkSet::new(stored.manifest.count());
+            stored.chunks.fill(None);
         }
     }
 
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -132,7 +132,7 @@
     started: Instant,
     from_origin: u32,
     from_remote: u32,
-    polls: u32,
+    poll_count: u32,
 }
 
 impl<R, E, O> ChunkFetcher<R, E, O>
@@ -183,7 +183,7 @@
             started: now,
             from_origin: 0,
             from_remote: 0,
-            polls: 0,
+            poll_count: 0,
         }
     }
 
@@ -194,13 +194,13 @@
         while chunks.try_recv().is_ok() {}
         let mut polls = tokio::time::interval(PEER_POLL_INTERVAL);
         let mut ticks = tokio::time::interval(PLANNER_TICK);
-        let mut list_reads = tokio::time::interval(PEER_LIST_INTERVAL);
-        for interval in [&mut polls, &mut ticks, &mut list_reads] {
+        let mut list_ticks = tokio::time::interval(PEER_LIST_INTERVAL);
+        for interval in [&mut polls, &mut ticks, &mut list_ticks] {
             interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         }
         while !self.planner.is_done() {
             tokio::select! {
-                _ = list_reads.tick() => self.read_peers(),
+                _ = list_ticks.tick() => self.read_peers(),
                 Some(read) = self.list_reads.join_next() => {
                     // An aborted read has no result.
                     if let Ok(Some(peers)) = read {
@@ -249,8 +249,8 @@
     /// Polls the other agents for the chunks that they hold, and reports unresponsive ones as lost.
     fn poll_peers(&mut self) {
         let now = Instant::now();
-        self.polls = self.polls.wrapping_add(1);
-        let includes_remote = self.polls.is_multiple_of(REMOTE_POLL_DIVISOR);
+        self.poll_count = self.poll_count.wrapping_add(1);
+        let includes_remote = self.poll_count.is_multiple_of(REMOTE_POLL_DIVISOR);
         let watched: Vec<VmId> = self.planner.watched().iter().cloned().collect();
         for vm in watched {
             if !includes_remote && self.is_remote(&Source::Peer(vm.clone())) {
--- a/crates/stage/src/loading.rs
+++ b/crates/stage/src/loading.rs
@@ -95,7 +95,7 @@
         let model = desired
             .map(|desired| desired.model.as_str())
             .unwrap_or_default();
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let report = self.cx.engine.report().await;
         let reason = report.as_ref().err().map(ToString::to_string);
         self.report = report.ok();
@@ -105,7 +105,7 @@
         if self
             .cx
             .board
-            .set_report(model, self.report.clone(), asked_at)
+            .set_report(model, self.report.clone(), requested_at)
         {
             let report = self.report.as_ref();
             let version = report.and_then(|report| report.version_of(model));
@@ -351,13 +351,13 @@
         else {
             return;
         };
-        let ahead = Target {
+        let newer = Target {
             model: desired.model.clone(),
             version,
             named_at,
         };
-        if version > target.version && !self.cx.chunk_store.is_full(&ahead.model, version) {
-            self.fetch(&ahead, desired).await;
+        if version > target.version && !self.cx.chunk_store.is_full(&newer.model, version) {
+            self.fetch(&newer, desired).await;
         }
     }
 
--- a/crates/stage/src/quarantine_sync.rs
+++ b/crates/stage/src/quarantine_sync.rs
@@ -11,7 +11,7 @@
 /// unreachable.
 const RESEND_WINDOW: Duration = Duration::from_secs(5);
 
-/// Shares a quarantine of requests under which upstreams end between the entries.
+/// Merges the crash reports of all entries in one quarantine, and selects the reports to send to them.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineSync {
     quarantine: Mutex<Quarantine>,
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -45,7 +45,7 @@
 /// bound is over.
 const NAMING_REPORT_MARGIN: Duration = Duration::from_secs(10);
 
-/// Publishes an agent's state by datagrams, and keeps the subscribers that receive it.
+/// Publishes an agent's state by datagrams, in answers and in pushes to subscribers.
 #[derive(Debug)]
 pub(crate) struct StatusBoard {
     state: Mutex<PublishedState>,
@@ -161,7 +161,7 @@
 
     /// Records that an entry is about to send a request, and pushes this to the other entries of the data
     /// centre, so that they do not choose the engine for the same free slot.
-    fn announce_request(&self, prefill_time: Duration, from: SocketAddr) {
+    fn record_announced_request(&self, prefill_time: Duration, from: SocketAddr) {
         let now = Instant::now();
         {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -250,7 +250,7 @@
                 Ok(Datagram::Query(Query {
                     sends_us: Some(micros),
                     ..
-                })) => self.announce_request(Duration::from_micros(micros.into()), from),
+                })) => self.record_announced_request(Duration::from_micros(micros.into()), from),
                 Ok(Datagram::Query(query)) => {
                     self.answer(&query, from);
                     if let Some(weights) = &query.weights {
@@ -351,7 +351,8 @@
         })
     }
 
-    /// Returns the chunks that the agent can serve: those in memory, or all if the engine has them staged.
+    /// Returns the chunks that the agent can serve: those in memory, or all if the engine has loaded them
+    /// and so has them staged.
     fn chunks(&self, model: &str, version: WeightsVersion) -> Option<HeldChunks> {
         let have = self.chunk_store.have(model, version);
         let is_loaded = {
