--- a/crates/direct/src/cutter.rs
+++ b/crates/direct/src/event_splitter.rs
@@ -20,14 +20,14 @@
 /// Invariant: what it lets through are whole events, each once and with no gap in their ids,
 /// wherever an upstream broke off.
 #[derive(Clone, Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     pending: BytesMut,
     last: Option<u64>,
     events: u64,
 }
 
-impl Cutter {
-    /// Makes a cutter for a caller that has the events up to `last`.
+impl EventSplitter {
+    /// Makes a splitter for a caller that has the events up to `last`.
     pub fn new(last: Option<u64>) -> Self {
         Self {
             pending: BytesMut::new(),
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -4,7 +4,7 @@
 //! to stand in the way of requests. [`DirectEntry`] is the process on an entry VM for such fleets:
 //! it follows the registry, asks the agents of engines for their load, and answers callers.
 //!
-//! Decisions stand apart from sockets: [`Upstreams`] chooses, [`Cutter`] keeps events whole,
+//! Decisions stand apart from sockets: [`Upstreams`] chooses, [`EventSplitter`] keeps events whole,
 //! [`next_step`] says what follows from the end of an attempt. How requests and answers are marked
 //! on the wire is a [`Dialect`].
 
@@ -13,7 +13,7 @@
 mod answered;
 mod attempt;
 mod choosing;
-mod cutter;
+mod event_splitter;
 mod dialect;
 pub mod events;
 mod far;
@@ -36,7 +36,7 @@
 mod tally;
 mod view;
 
-pub use cutter::{Cut, Cutter};
+pub use event_splitter::{Cut, EventSplitter};
 pub use dialect::{AnswerHead, Dialect, Dispatch, RequestHead, ServerLoad};
 pub use process::{DirectEntry, DirectError};
 pub use refusal::Refusal;
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -10,7 +10,7 @@
 use snafu::Snafu;
 
 use crate::attempt::{Call, STALLED};
-use crate::cutter::{Cut, Cutter};
+use crate::event_splitter::{Cut, EventSplitter};
 use crate::dialect::Dialect;
 use crate::live::Live;
 use crate::refusal::Refusal;
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 enum Mode {
     /// Events, which another upstream may go on with.
-    Events(Cutter),
+    Events(EventSplitter),
     /// Bytes as they come.
     Bytes,
 }
@@ -88,12 +88,12 @@
 {
     /// Makes the relay of a stream of events.
     pub(crate) fn events(call: Call<D>, live: Live, tally: Tally) -> Self {
-        let cutter = Cutter::new(call.admitted.head.last_event);
+        let splitter = EventSplitter::new(call.admitted.head.last_event);
         Self {
             call,
             live: Some(Box::new(live)),
             first: None,
-            mode: Mode::Events(cutter),
+            mode: Mode::Events(splitter),
             tally,
             has_begun: false,
         }
@@ -207,9 +207,9 @@
     fn cut(&mut self, data: &Bytes) -> Option<Bytes> {
         match &mut self.mode {
             Mode::Bytes => Some(data.clone()),
-            Mode::Events(cutter) => match cutter.push(data) {
+            Mode::Events(splitter) => match splitter.push(data) {
                 Cut::Events(events) => {
-                    self.tally.passed_on(cutter.events());
+                    self.tally.passed_on(splitter.events());
                     Some(events)
                 }
                 Cut::Broken => None,
@@ -220,7 +220,7 @@
     fn is_whole(&self) -> bool {
         match &self.mode {
             Mode::Bytes => true,
-            Mode::Events(cutter) => !cutter.is_mid_event(),
+            Mode::Events(splitter) => !splitter.is_mid_event(),
         }
     }
 
@@ -233,7 +233,7 @@
         // Ends the work at the upstream before another begins with it.
         drop(live);
         let next = self.call.ended(&upstream, Ending::Lost, why).await;
-        let Mode::Events(cutter) = &mut self.mode else {
+        let Mode::Events(splitter) = &mut self.mode else {
             self.tally.done(why);
             return Err(BrokenOff);
         };
@@ -241,8 +241,8 @@
             self.tally.done(why);
             return Err(BrokenOff);
         }
-        cutter.restart();
-        let last = cutter.last();
+        splitter.restart();
+        let last = splitter.last();
         match self.obtain(last).await {
             Ok(live) if live.head.status.is_success() => {
                 self.tally.resumed(live.upstream());
--- /dev/null
+++ b/crates/direct/tests/event_splitter.rs
@@ -0,0 +1,105 @@
+//! Events stay whole wherever a stream is cut.
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+use bytes::Bytes;
+use proptest::prelude::*;
+use rstest::rstest;
+use wagtailreel_direct::{Cut, EventSplitter};
+
+fn event(id: u64) -> String {
+    format!("id: {id}\ndata: piece {id}\n\n")
+}
+
+fn push(splitter: &mut EventSplitter, text: &str) -> Option<String> {
+    match splitter.push(&Bytes::from(text.to_owned())) {
+        Cut::Events(events) => Some(String::from_utf8(events.to_vec()).unwrap()),
+        Cut::Broken => None,
+    }
+}
+
+#[rstest]
+fn whole_event() {
+    let mut splitter = EventSplitter::new(None);
+    assert_eq!(push(&mut splitter, &event(1)), Some(event(1)));
+    assert_eq!(splitter.last(), Some(1));
+    assert!(!splitter.is_mid_event());
+}
+
+#[rstest]
+fn half_event() {
+    let mut splitter = EventSplitter::new(None);
+    assert_eq!(push(&mut splitter, "id: 1\ndata: pie"), Some(String::new()));
+    assert!(splitter.is_mid_event());
+    assert_eq!(push(&mut splitter, "ce 1\n\nid: 2\n"), Some(event(1)));
+    assert_eq!(splitter.last(), Some(1));
+}
+
+#[rstest]
+fn resumed_stream() {
+    let mut splitter = EventSplitter::new(None);
+    push(&mut splitter, &event(1));
+    push(&mut splitter, "id: 2\ndata: pi");
+    splitter.restart();
+    assert_eq!(
+        push(&mut splitter, &event(1)),
+        Some(String::new()),
+        "a repeat"
+    );
+    assert_eq!(push(&mut splitter, &event(2)), Some(event(2)));
+}
+
+#[rstest]
+fn missing_event() {
+    let mut splitter = EventSplitter::new(Some(4));
+    assert_eq!(push(&mut splitter, &event(6)), None);
+}
+
+#[rstest]
+fn event_without_id() {
+    let mut splitter = EventSplitter::new(Some(4));
+    let text = "data: end\n\n";
+    assert_eq!(push(&mut splitter, text), Some(text.to_owned()));
+    assert_eq!(splitter.last(), Some(4));
+}
+
+#[rstest]
+fn carriage_returns() {
+    let mut splitter = EventSplitter::new(None);
+    let text = "id: 1\r\ndata: x\r\n\r\n";
+    assert_eq!(push(&mut splitter, text), Some(text.to_owned()));
+    assert!(!splitter.is_mid_event());
+}
+
+#[rstest]
+fn endless_event() {
+    let mut splitter = EventSplitter::new(None);
+    let line = "data: x".repeat(1 << 16);
+    let ends = (0..8).any(|_| push(&mut splitter, &line).is_none());
+    assert!(ends, "memory is bounded");
+}
+
+proptest! {
+    /// Whatever the frames and wherever upstreams break off, the caller gets each event once.
+    #[test]
+    fn any_frames(cuts in prop::collection::vec(1usize..40, 1..60), breaks in 0u64..4) {
+        let all: String = (1..=12).map(event).collect();
+        let mut splitter = EventSplitter::new(None);
+        let mut got = String::new();
+        let mut sizes = cuts.iter().cycle();
+        for round in 0..=breaks {
+            splitter.restart();
+            let from = splitter.last().unwrap_or(0);
+            let rest: String = (from + 1..=12).map(event).collect();
+            // All but the last upstream break off somewhere.
+            let stop = if round == breaks { rest.len() } else { rest.len() / 2 };
+            let mut sent = 0;
+            while sent < stop {
+                let size = (*sizes.next().unwrap()).min(stop - sent);
+                got += &push(&mut splitter, &rest[sent..sent + size]).unwrap();
+                sent += size;
+            }
+        }
+        prop_assert_eq!(got, all);
+        prop_assert!(!splitter.is_mid_event());
+    }
+}
