--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -283,7 +283,7 @@
     ) -> (Connection, Exchanged) {
         let answer = tokio::select! {
             answer = self.exchange_in_time(&mut conn, req) => answer,
-            () = self.cx.suspects.until_quarantined(|| self.fingerprint()) => {
+            () = self.cx.quarantine.until_quarantined(|| self.fingerprint()) => {
                 Err(GivenUp::Quarantined)
             }
         };
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -15,8 +15,8 @@
 use crate::agents::{Agents, OUT_OF_TURN};
 use crate::events;
 use crate::far::FarWords;
+use crate::quarantine_sync::QuarantineSync;
 use crate::seed::SeedRelay;
-use crate::suspects::Suspects;
 use crate::view::{Service, View};
 
 /// Time between two questions to the agents of the own data centre. An engine starts and ends
@@ -49,7 +49,7 @@
     neighbours: Arc<Neighbours>,
     far: Arc<FarWords>,
     agents: Agents,
-    suspects: Arc<Suspects>,
+    quarantine: Arc<QuarantineSync>,
     home: DataCentre,
 ) {
     let mut ticks = tokio::time::interval(NEAR);
@@ -58,7 +58,7 @@
     let mut round: u32 = 0;
     let mut rounds = Rounds::default();
     let mut clocks = AgentClocks::default();
-    let mut seed = SeedRelay::new(Arc::clone(&view), agents.clone(), Arc::clone(&suspects));
+    let mut seed = SeedRelay::new(Arc::clone(&view), agents.clone(), Arc::clone(&quarantine));
     // What was asked of each VM, so that an answer locks one service alone.
     let mut known: BTreeMap<IpAddr, Asked> = BTreeMap::new();
     loop {
--- a/crates/direct/src/lost.rs
+++ b/crates/direct/src/lost.rs
@@ -64,14 +64,14 @@
     ///
     /// Returns the refusal that the caller gets.
     pub(crate) fn check_quarantine(&self) -> Result<(), Refusal> {
-        let suspects = &self.cx.suspects;
-        if suspects.is_empty() {
+        let quarantine = &self.cx.quarantine;
+        if quarantine.is_empty() {
             return Ok(());
         }
         let fingerprint = self.fingerprint();
-        match suspects.admit(fingerprint) {
+        match quarantine.admit(fingerprint) {
             Suspicion::Quarantined(back_in) => {
-                suspects.came_again(fingerprint);
+                quarantine.came_again(fingerprint);
                 Err(self.not_sent(Refusal::Quarantined { back_in }))
             }
             Suspicion::None | Suspicion::Suspected => Ok(()),
@@ -84,14 +84,14 @@
     pub(crate) fn suspect(&self, seen: Seen) -> Suspicion {
         let pick = self.last_pick.as_ref().filter(|_| seen == Seen::Ended);
         match pick.filter(|pick| self.service.upstreams().may_send(&pick.id)) {
-            Some(pick) => self.cx.suspects.ended(self.fingerprint(), pick),
+            Some(pick) => self.cx.quarantine.ended(self.fingerprint(), pick),
             None => Suspicion::None,
         }
     }
 
     /// Takes that an upstream ran the request to its end.
     pub(crate) fn finished(&self) {
-        self.cx.suspects.finished(self.fingerprint());
+        self.cx.quarantine.finished(self.fingerprint());
     }
 
     /// Looks whether the upstream that was chosen last still takes connections.
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -24,8 +24,8 @@
 use crate::far::{self, FarWords};
 use crate::front::Callers;
 use crate::metrics::Metrics;
+use crate::quarantine_sync::QuarantineSync;
 use crate::shared::Shared;
-use crate::suspects::Suspects;
 use crate::view::{Bounds, View};
 use crate::{events, load, status_page};
 
@@ -153,11 +153,11 @@
         let pace = settings.bounds.upstreams_pace;
         let lapse_after = settings.bounds.lapse_after;
         let agents = Agents::new(socket, own, agent_port, &settings.seeds);
-        let suspects = Arc::new(Suspects::new(Arc::clone(&view), agents.clone()));
+        let quarantine = Arc::new(QuarantineSync::new(Arc::clone(&view), agents.clone()));
         let cx = Arc::new(Shared {
             dialect,
             agents: agents.clone(),
-            suspects: Arc::clone(&suspects),
+            quarantine: Arc::clone(&quarantine),
             view: Arc::clone(&view),
             metrics,
             registry: prometheus,
@@ -194,7 +194,7 @@
             neighbours,
             Arc::clone(&far),
             agents,
-            Arc::clone(&suspects),
+            Arc::clone(&quarantine),
             home,
         ));
         tasks.spawn(far.follow());
@@ -204,7 +204,7 @@
             Callers::new(Arc::clone(&cx)),
             counters.clone(),
         );
-        tasks.spawn(prune(Arc::clone(&view), suspects));
+        tasks.spawn(prune(Arc::clone(&view), quarantine));
         let page = Routes::new(status_page::router(Arc::clone(&cx)));
         let status_server = Server::start("status", status, page, counters);
         let at = callers_addr.to_string();
@@ -329,10 +329,10 @@
 }
 
 /// Closes connections that are no longer of use, and forgets requests that are.
-async fn prune(view: Arc<View>, suspects: Arc<Suspects>) {
+async fn prune(view: Arc<View>, quarantine: Arc<QuarantineSync>) {
     loop {
         tokio::time::sleep(PRUNE_EVERY).await;
-        suspects.forget();
+        quarantine.prune();
         for service in view.services() {
             let known: Vec<SocketAddr> = {
                 let upstreams = service.upstreams();
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/quarantine_sync.rs
@@ -26,7 +26,7 @@
 
 /// Requests under which upstreams end.
 #[derive(Debug)]
-pub(crate) struct Suspects {
+pub(crate) struct QuarantineSync {
     known: Mutex<Quarantine>,
     /// The request that was quarantined last.
     last: watch::Sender<Option<Fingerprint>>,
@@ -34,7 +34,7 @@
     view: Arc<View>,
 }
 
-impl Suspects {
+impl QuarantineSync {
     pub(crate) fn new(view: Arc<View>, agents: Agents) -> Self {
         Self {
             known: Mutex::new(Quarantine::new(rand::rng().random())),
@@ -84,7 +84,7 @@
 
     /// Takes what another process tells, or this one told itself if `is_own`; returns the requests of which
     /// others have not heard so.
-    pub(crate) fn hear(&self, told: &[EndedUnder], is_own: bool) -> BTreeSet<Fingerprint> {
+    pub(crate) fn merge(&self, told: &[EndedUnder], is_own: bool) -> BTreeSet<Fingerprint> {
         let mut news = BTreeSet::new();
         for account in told {
             let mut is_news = false;
@@ -104,7 +104,7 @@
     }
 
     /// Returns what others are told again.
-    pub(crate) fn learned_lately(&self) -> Vec<EndedUnder> {
+    pub(crate) fn recent_reports(&self) -> Vec<EndedUnder> {
         lock(&self.known).told_of(TOLD_FOR, BootTime::now())
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Forgets what no longer counts.
-    pub(crate) fn forget(&self) {
+    pub(crate) fn prune(&self) {
         lock(&self.known).forget(BootTime::now());
     }
 
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -10,8 +10,8 @@
 use snafu::Snafu;
 
 use crate::attempt::{Call, STALLED};
-use crate::event_splitter::{Cut, EventSplitter};
 use crate::dialect::Dialect;
+use crate::event_splitter::{Cut, EventSplitter};
 use crate::live::Live;
 use crate::refusal::Refusal;
 use crate::tally::Tally;
--- a/crates/direct/src/seed.rs
+++ b/crates/direct/src/seed.rs
@@ -10,7 +10,7 @@
 use wagtailreel_route::direct::Permits;
 
 use crate::agents::Agents;
-use crate::suspects::Suspects;
+use crate::quarantine_sync::QuarantineSync;
 use crate::view::View;
 
 /// How long an entry is told of requests without asking again: several of its questions.
@@ -24,17 +24,17 @@
 pub(crate) struct SeedRelay {
     view: Arc<View>,
     agents: Agents,
-    suspects: Arc<Suspects>,
+    quarantine: Arc<QuarantineSync>,
     askers: BTreeMap<SocketAddr, Instant>,
     permits: Permits,
 }
 
 impl SeedRelay {
-    pub(crate) fn new(view: Arc<View>, agents: Agents, suspects: Arc<Suspects>) -> Self {
+    pub(crate) fn new(view: Arc<View>, agents: Agents, quarantine: Arc<QuarantineSync>) -> Self {
         Self {
             view,
             agents,
-            suspects,
+            quarantine,
             askers: BTreeMap::new(),
             permits: Permits::default(),
         }
@@ -58,18 +58,18 @@
         }
         self.askers.insert(from, Instant::now());
         if !is_known {
-            self.agents.tell_one(from, &self.suspects.all());
+            self.agents.tell_one(from, &self.quarantine.all());
         }
     }
 
     /// Takes what a process tells of requests, which may be this one, and relays what is news.
     pub(crate) fn take_accounts(&self, told: &[EndedUnder], from: SocketAddr) {
         let is_own = self.agents.is_own(from);
-        let news = self.suspects.hear(told, is_own);
+        let news = self.quarantine.merge(told, is_own);
         if news.is_empty() || self.askers.is_empty() {
             return;
         }
-        let mut told = self.suspects.all();
+        let mut told = self.quarantine.all();
         told.retain(|account| news.contains(&account.fingerprint));
         self.relay(&told, Some(from));
     }
@@ -87,7 +87,7 @@
         self.askers
             .retain(|_, at| now.saturating_duration_since(*at) <= ASKER_FOR);
         if !self.askers.is_empty() {
-            self.relay(&self.suspects.learned_lately(), None);
+            self.relay(&self.quarantine.recent_reports(), None);
         }
     }
 
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -10,7 +10,7 @@
 
 use crate::agents::Agents;
 use crate::metrics::Metrics;
-use crate::suspects::Suspects;
+use crate::quarantine_sync::QuarantineSync;
 use crate::view::View;
 
 /// What all requests of an entry share.
@@ -20,7 +20,7 @@
     pub(crate) settings: DirectEntrySettings,
     pub(crate) view: Arc<View>,
     pub(crate) agents: Agents,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) quarantine: Arc<QuarantineSync>,
     pub(crate) metrics: Metrics,
     pub(crate) registry: Registry,
     /// Set once the entry leaves.
