--- a/crates/direct/src/givers.rs
+++ b/crates/direct/src/givers.rs
@@ -10,18 +10,18 @@
 use crate::view::View;
 
 /// Agents of a data centre at which what entries tell of a matter meets. One may be gone.
-const MEETING_AGENTS: usize = 2;
+const RENDEZVOUS_AGENTS: usize = 2;
 
 impl View {
     /// Returns the VMs whose agents all entries tell of the matter `key`: in each data centre the first by
     /// rendezvous rank, so that entries that never heard of each other tell the same ones.
-    pub(crate) fn meeting_agents(&self, key: &[u8]) -> Vec<IpAddr> {
+    pub(crate) fn rendezvous_agents(&self, key: &[u8]) -> Vec<IpAddr> {
         let mut ranked: BTreeMap<DataCentre, BTreeSet<(u64, IpAddr)>> = BTreeMap::new();
         for (data_centre, ip) in self.agents() {
             let ranked = ranked.entry(data_centre).or_default();
             ranked.insert((rank_score(key, &ip.to_string()), ip));
         }
-        let first = |ranked: BTreeSet<(u64, IpAddr)>| ranked.into_iter().rev().take(MEETING_AGENTS);
+        let first = |ranked: BTreeSet<(u64, IpAddr)>| ranked.into_iter().rev().take(RENDEZVOUS_AGENTS);
         let ips = ranked.into_values().flat_map(first);
         ips.map(|(_, ip)| ip).collect()
     }
--- a/crates/direct/src/quarantine_sync.rs
+++ b/crates/direct/src/quarantine_sync.rs
@@ -159,7 +159,7 @@
         let Some(account) = lock(&self.known).account(fingerprint, BootTime::now()) else {
             return;
         };
-        let ips = self.view.meeting_agents(fingerprint.as_bytes());
+        let ips = self.view.rendezvous_agents(fingerprint.as_bytes());
         let agents = self.agents.clone();
         let told = vec![account];
         agents.tell(&ips, &told);
