--- a/crates/direct/src/givers.rs
+++ b/crates/direct/src/issuers.rs
@@ -21,14 +21,15 @@
             let ranked = ranked.entry(data_centre).or_default();
             ranked.insert((rank_score(key, &ip.to_string()), ip));
         }
-        let first = |ranked: BTreeSet<(u64, IpAddr)>| ranked.into_iter().rev().take(RENDEZVOUS_AGENTS);
+        let first =
+            |ranked: BTreeSet<(u64, IpAddr)>| ranked.into_iter().rev().take(RENDEZVOUS_AGENTS);
         let ips = ranked.into_values().flat_map(first);
         ips.map(|(_, ip)| ip).collect()
     }
 
     /// Returns the VMs whose agents give permits for an upstream, the same for all entries: the one beside
     /// an engine, then those of its data centre by rank, then any.
-    pub(crate) fn permit_givers(&self, pick: &Pick, is_engine: bool) -> Vec<IpAddr> {
+    pub(crate) fn permit_issuers(&self, pick: &Pick, is_engine: bool) -> Vec<IpAddr> {
         let own = Some(pick.addr.ip()).filter(|_| is_engine);
         let rank = |(data_centre, ip): (DataCentre, IpAddr)| {
             let is_near = data_centre == pick.data_centre;
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod events;
 mod far;
 mod front;
-mod givers;
+mod issuers;
 mod limits;
 mod live;
 mod load;
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -41,9 +41,9 @@
     /// different entries together keep to what upstreams are promised.
     async fn permit(&self, pick: &Pick, limit: Limit, named_at: Instant) -> Option<Duration> {
         let agents = &self.cx.agents;
-        let givers = self.permit_givers(pick);
-        let mut givers = givers.into_iter().zip(GIVER_SHARES).enumerate();
-        let answers = givers.find(|(_, (ip, _))| !agents.is_silent(*ip));
+        let issuers = self.permit_issuers(pick);
+        let mut issuers = issuers.into_iter().zip(GIVER_SHARES).enumerate();
+        let answers = issuers.find(|(_, (ip, _))| !agents.is_silent(*ip));
         // Seeds may be gone for good, where agents come back with their engines.
         if answers.is_none() && !self.cx.view.has_agents() {
             let limit = Limit::new(limit.per_second() * ALONE_SHARE)?;
@@ -66,14 +66,14 @@
             is_withdrawn: true,
             ..ask(&pick.id, limit.per_second(), self.sent_at)
         };
-        for ip in self.permit_givers(pick) {
+        for ip in self.permit_issuers(pick) {
             self.cx.agents.tell_withdrawn(ip, withdrawn.clone());
         }
     }
 
-    fn permit_givers(&self, pick: &Pick) -> Vec<IpAddr> {
+    fn permit_issuers(&self, pick: &Pick) -> Vec<IpAddr> {
         let is_engine = self.admitted.engine.is_some();
-        self.cx.view.permit_givers(pick, is_engine)
+        self.cx.view.permit_issuers(pick, is_engine)
     }
 
     /// Takes what an answer says of its upstream's limit.
