--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -14,8 +14,8 @@
 
 use crate::agents::{Agents, OUT_OF_TURN};
 use crate::events;
-use crate::far::FarWords;
 use crate::quarantine_sync::QuarantineSync;
+use crate::remote::RemoteLoad;
 use crate::seed::SeedRelay;
 use crate::view::{Service, View};
 
@@ -47,7 +47,7 @@
 pub(crate) async fn ask_agents(
     view: Arc<View>,
     neighbours: Arc<Neighbours>,
-    far: Arc<FarWords>,
+    remote_load: Arc<RemoteLoad>,
     agents: Agents,
     quarantine: Arc<QuarantineSync>,
     home: DataCentre,
@@ -76,7 +76,7 @@
                 if round.is_multiple_of(RELAY_AGAIN_EVERY) {
                     seed.relay_again();
                 }
-                let abroad = is_far_turn.then_some(far.as_ref());
+                let abroad = is_far_turn.then_some(remote_load.as_ref());
                 let engines = engines(&view, &home, abroad);
                 if engines.values().any(|asked| asked.is_near) {
                     neighbours.agents_asked();
@@ -115,7 +115,7 @@
                 match asked_of {
                     // Of another data centre the entries are no neighbours.
                     Some(of) if of.is_near => neighbours.hear(&status.entries, BootTime::now()),
-                    Some(of) => far.hear_entries(&of.data_centre, &status.entries),
+                    Some(of) => remote_load.hear_entries(&of.data_centre, &status.entries),
                     None => {}
                 }
                 if let Some(clock_ms) = status.clock_ms {
@@ -242,7 +242,7 @@
 
 /// Returns the VMs of the engines, and whose agents are to be asked now; those of other data centres in
 /// the turns in which `abroad` is given.
-fn engines(view: &View, home: &str, abroad: Option<&FarWords>) -> BTreeMap<IpAddr, Asked> {
+fn engines(view: &View, home: &str, abroad: Option<&RemoteLoad>) -> BTreeMap<IpAddr, Asked> {
     if view.directory().is_none() {
         return all_near(view, home);
     }
@@ -293,7 +293,7 @@
 
 /// Adds the agents of other data centres. Due are all of those that nobody tells of, and of the others a
 /// few and those whose engines serve this entry.
-fn add_far(agents: &mut BTreeMap<IpAddr, Asked>, near: &Asked, abroad: &FarWords) {
+fn add_far(agents: &mut BTreeMap<IpAddr, Asked>, near: &Asked, abroad: &RemoteLoad) {
     let now = Instant::now();
     let upstreams = near.service.upstreams();
     let mut abroad_by_place: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -21,10 +21,10 @@
 
 use crate::agents::Agents;
 use crate::dialect::Dialect;
-use crate::far::{self, FarWords};
 use crate::front::Callers;
 use crate::metrics::Metrics;
 use crate::quarantine_sync::QuarantineSync;
+use crate::remote::{self, RemoteLoad};
 use crate::shared::Shared;
 use crate::view::{Bounds, View};
 use crate::{events, load, status_page};
@@ -168,8 +168,8 @@
         let mut tasks = JoinSet::new();
         let mirror = Arc::new(Mirror::default());
         let neighbours = Arc::new(Neighbours::new(own));
-        let far = FarWords::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
-        let far = Arc::new(far);
+        let remote_load = RemoteLoad::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
+        let remote_load = Arc::new(remote_load);
         let registry = Nearby::new(
             registry,
             NearbyConfig::new(cx.settings.bounds.denial, pace),
@@ -179,7 +179,8 @@
         .with_seeds(Seeds::new(own, &cx.settings.seeds))
         .with_is_seed(cx.settings.seeds.contains(&own.ip()))
         .with_counters(calls);
-        let copied = wagtailreel_nearby::router(mirror).merge(far::router(Arc::clone(&far)));
+        let copied =
+            wagtailreel_nearby::router(mirror).merge(remote::router(Arc::clone(&remote_load)));
         let copied = Routes::new(copied);
         let neighbours_server = Server::start("agents", copies, copied, counters.clone());
         tasks.spawn(follow(
@@ -192,12 +193,12 @@
         tasks.spawn(load::ask_agents(
             Arc::clone(&view),
             neighbours,
-            Arc::clone(&far),
+            Arc::clone(&remote_load),
             agents,
             Arc::clone(&quarantine),
             home,
         ));
-        tasks.spawn(far.follow());
+        tasks.spawn(remote_load.follow());
         let server = Server::start(
             "callers",
             callers,
--- a/crates/direct/src/far.rs
+++ b/crates/direct/src/remote.rs
@@ -59,7 +59,7 @@
 
 /// The load of a data centre can't be had.
 #[derive(Debug, Snafu)]
-enum FarError {
+enum RemoteLoadError {
     #[snafu(display("no entry there is known: look at the agents of that data centre"))]
     NobodyKnown,
     #[snafu(display("{url} is no address ({source}): report this as a bug"))]
@@ -105,7 +105,7 @@
 
 /// Words of load from other data centres.
 #[derive(Debug)]
-pub(crate) struct FarWords {
+pub(crate) struct RemoteLoad {
     view: Arc<View>,
     neighbours: Arc<Neighbours>,
     client: HttpClient,
@@ -114,7 +114,7 @@
     given: Mutex<BTreeMap<DataCentre, Given>>,
 }
 
-impl FarWords {
+impl RemoteLoad {
     pub(crate) fn new(view: Arc<View>, neighbours: Arc<Neighbours>, home: DataCentre) -> Self {
         Self {
             view,
@@ -173,7 +173,7 @@
                 self.note_giver(data_centre, giver, "");
             }
             Err(err) => {
-                match giver.filter(|_| matches!(err, FarError::Silent { .. })) {
+                match giver.filter(|_| matches!(err, RemoteLoadError::Silent { .. })) {
                     Some(entry) if is_reader => self.forget(data_centre, entry),
                     Some(neighbour) => {
                         self.neighbours.avoid(neighbour, BootTime::now());
@@ -189,7 +189,7 @@
         &self,
         giver: Option<SocketAddr>,
         data_centre: &str,
-    ) -> Result<Words, FarError> {
+    ) -> Result<Words, RemoteLoadError> {
         let giver = giver.context(NobodyKnownSnafu)?;
         let url = format!("http://{giver}/v1/load/{data_centre}");
         let req = Request::get(&url).body(Body::default());
@@ -283,13 +283,16 @@
 }
 
 /// Returns the routes on which other entries ask for load.
-pub(crate) fn router(words: Arc<FarWords>) -> Router {
+pub(crate) fn router(words: Arc<RemoteLoad>) -> Router {
     Router::new()
         .route("/v1/load/{data_centre}", get(give))
         .with_state(words)
 }
 
-async fn give(State(words): State<Arc<FarWords>>, Path(data_centre): Path<DataCentre>) -> Response {
+async fn give(
+    State(words): State<Arc<RemoteLoad>>,
+    Path(data_centre): Path<DataCentre>,
+) -> Response {
     let (packed, age) = words.give(&data_centre);
     packed.answer(age)
 }
