--- a/crates/direct/src/admit.rs
+++ b/crates/direct/src/admit.rs
@@ -12,7 +12,7 @@
 use wagtailreel_serve::connection_options;
 
 use crate::dialect::{Dialect, RequestHead};
-use crate::refusal::{LONG_PAUSE, Refusal};
+use crate::refusal::{LONG_RETRY_AFTER, Refusal};
 use crate::shared::Shared;
 
 /// Time that a request must have left to be worth starting.
@@ -73,7 +73,7 @@
         return Err(Refusal::Deadline);
     }
     let service = share(&route).ok_or(Refusal::NoUpstream {
-        back_in: LONG_PAUSE,
+        back_in: LONG_RETRY_AFTER,
     })?;
     let spec = directory.service(&service);
     let engine = spec.and_then(|spec| spec.engine.clone());
--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -130,7 +130,7 @@
     }
 
     /// Asks the agent on the VM `ip` how its engine is, out of turn.
-    pub(crate) fn ask(&self, ip: IpAddr) {
+    pub(crate) fn query_load(&self, ip: IpAddr) {
         self.send(
             ip,
             Query {
--- a/crates/direct/src/answered.rs
+++ b/crates/direct/src/answered.rs
@@ -1,4 +1,4 @@
-//! What an attempt's answer says, by its head.
+//! Evaluation of an answer's head.
 
 use std::time::Instant;
 
@@ -6,7 +6,7 @@
 use wagtailreel_fleet::RouteKind;
 use wagtailreel_route::direct::Ending;
 
-use crate::attempt::{Call, LEAST_FOR_RETRY, Sent};
+use crate::attempt::{AttemptOutcome, Call, MIN_TIME_FOR_RETRY};
 use crate::dialect::Dialect;
 use crate::live::Live;
 
@@ -14,56 +14,60 @@
 where
     D: Dialect,
 {
-    /// Judges the head of an answer.
-    pub(crate) fn take_answer(&mut self, live: Live, doubted_before: bool) -> Sent {
+    /// Decides from the head of an answer whether the attempt succeeded, and records what it says of the upstream.
+    pub(crate) fn on_answer_head(
+        &mut self,
+        live: Live,
+        may_have_run_before: bool,
+    ) -> AttemptOutcome {
         let now = Instant::now();
-        let is_ours = live
+        let is_same_request = live
             .marks
             .id
             .as_ref()
             .is_none_or(|id| *id == self.admitted.id);
-        if !is_ours {
-            return Sent::Ended(Ending::Lost, "answers-another-request");
+        if !is_same_request {
+            return AttemptOutcome::Ended(Ending::Lost, "answers-another-request");
         }
-        self.take_limit(&live);
+        self.record_limit(&live);
         let id = live.upstream();
         if let Some(load) = live.marks.load {
             let total = load.running.saturating_add(load.waiting);
             self.service.upstreams().load(id, total, now);
         }
         if live.marks.not_run {
-            self.may_have_run = doubted_before;
+            self.may_have_run = may_have_run_before;
             let mut upstreams = self.service.upstreams();
             if live.marks.misdirected {
                 upstreams.misdirected(id, now);
-                return Sent::Ended(Ending::NotRun, "another-instance-or-weights");
+                return AttemptOutcome::Ended(Ending::NotRun, "another-instance-or-weights");
             }
             upstreams.full(id, now);
-            return Sent::Ended(Ending::NotRun, "refused");
+            return AttemptOutcome::Ended(Ending::NotRun, "refused");
         }
         if live.head.status.is_server_error() && self.admitted.route.kind == RouteKind::Idempotent {
-            return self.take_failure(live);
+            return self.on_server_error(live);
         }
         if live.head.status != StatusCode::INTERNAL_SERVER_ERROR {
             self.service.upstreams().answered(id);
         }
-        Sent::Answer(Box::new(live))
+        AttemptOutcome::Answer(Box::new(live))
     }
 
-    /// Repeats a request that failed at an upstream, or passes the failure on.
-    fn take_failure(&mut self, live: Live) -> Sent {
+    /// Handles a server error: the request is repeated if that is possible, else the caller gets the error.
+    fn on_server_error(&mut self, live: Live) -> AttemptOutcome {
         let id = live.upstream().to_owned();
         let left = self
             .admitted
             .deadline
             .saturating_duration_since(Instant::now());
         let may_repeat = self.sent < self.admitted.route.max_attempts
-            && left > LEAST_FOR_RETRY
+            && left > MIN_TIME_FOR_RETRY
             && self.service.budget().left() >= 1.0;
         if may_repeat {
-            return Sent::Ended(Ending::Failed, "own-failure");
+            return AttemptOutcome::Ended(Ending::Failed, "own-failure");
         }
-        self.judge(&id, Ending::Failed, Instant::now());
-        Sent::Answer(Box::new(live))
+        self.record_failure(&id, Ending::Failed, Instant::now());
+        AttemptOutcome::Answer(Box::new(live))
     }
 }
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::dialect::{Dialect, Dispatch};
 use crate::events;
 use crate::live::{Lease, Live};
-use crate::lost::Seen;
+use crate::lost::Probe;
 use crate::pool::{Connection, SendError};
 use crate::refusal::Refusal;
 use crate::shared::Shared;
@@ -22,20 +22,20 @@
 use wagtailreel_route::direct::{Attempt, Ending, Next, next_step};
 use wagtailreel_route::direct::{Patience, Pick, Prediction, Suspicion};
 
-/// Time that must be left for another attempt to be worth making.
-pub(crate) const LEAST_FOR_RETRY: Duration = Duration::from_millis(60);
+/// Minimum time before the deadline with which another attempt is still made.
+pub(crate) const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(60);
 
-/// Longest wait before another look at a request that has not begun on weights of a version: newer ones may be heard
-/// of meanwhile whose bound is over soon.
-const WEIGHTS_LOOK: Duration = Duration::from_millis(100);
+/// Maximum time between two checks of the weights bound of a request that has no first event yet: newer weights
+/// with an earlier bound may be named meanwhile.
+const WEIGHTS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the log says of an attempt that was given up since its answer did not go on.
+/// Reason in the log for an attempt that is abandoned because its answer stalls.
 pub(crate) const STALLED: &str = "stalled";
 
-/// The same of one that was given up since upstreams ended under the request elsewhere.
+/// Reason in the log for an attempt that is abandoned because its request is quarantined.
 const QUARANTINED: &str = "quarantined";
 
-/// A request as it is sent to every upstream.
+/// The request as each upstream receives it, before the dialect adds its headers.
 #[derive(Debug)]
 pub(crate) struct Template {
     pub(crate) method: Method,
@@ -46,18 +46,18 @@
 
 /// One request and its attempts.
 ///
-/// Invariant: `may_have_run` is set before the first byte of an attempt can leave, and cleared only
-/// by the upstream's word that it did not run the request.
+/// Invariant: `may_have_run` is set before the first byte of an attempt is sent, and cleared only if no byte was
+/// sent or the upstream states that it did not run the request.
 #[derive(Debug)]
 pub(crate) struct Call<D> {
     pub(crate) cx: Arc<Shared<D>>,
     pub(crate) admitted: Admitted,
     pub(crate) template: Template,
     pub(crate) sent: u32,
-    /// The upstream that was chosen last, and what was known of it.
+    /// The upstream of the current attempt, with the load that the choice was based on.
     pub(crate) last_pick: Option<Pick>,
     pub(crate) sent_at: Instant,
-    patience: Patience,
+    stall_policy: Patience,
     pub(crate) service: Arc<Service>,
     pub(crate) tried: BTreeSet<UpstreamId>,
     unreached: u32,
@@ -73,7 +73,7 @@
         let service = cx.view.service(&admitted.service);
         service.budget().request();
         let route = &admitted.route;
-        let patience = Patience::new(route.objective, route.kind.gap());
+        let stall_policy = Patience::new(route.objective, route.kind.gap());
         Self {
             cx,
             admitted,
@@ -81,7 +81,7 @@
             sent: 0,
             last_pick: None,
             sent_at: Instant::now(),
-            patience,
+            stall_policy,
             service,
             tried: BTreeSet::new(),
             unreached: 0,
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the refusal that the caller gets.
+    /// Returns the refusal to send to the caller.
     pub(crate) async fn obtain(&mut self, last_event: Option<u64>) -> Result<Live, Refusal> {
         loop {
             self.check_quarantine()?;
@@ -102,8 +102,8 @@
             self.last_pick = Some(pick.clone());
             let (ending, why) = match self.connect(&pick).await {
                 Ok(conn) => match self.send(&pick, conn, last_event).await {
-                    Sent::Answer(live) => return Ok(*live),
-                    Sent::Ended(ending, why) => (ending, why),
+                    AttemptOutcome::Answer(live) => return Ok(*live),
+                    AttemptOutcome::Ended(ending, why) => (ending, why),
                 },
                 Err(ending) => (ending, "no-connection"),
             };
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Returns the refusal for a request whose time is over.
+    /// Returns the refusal for a request whose deadline has passed.
     pub(crate) const fn out_of_time(&self) -> Refusal {
         if self.may_have_run {
             Refusal::Timeout
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Takes that an attempt ended without an answer, and decides what follows; `why` is what the
-    /// log says of it.
+    /// Records that an attempt ended without an answer, and decides the next step; `why` is the reason for
+    /// the log.
     pub(crate) async fn ended(
         &mut self,
         upstream: &str,
@@ -135,9 +135,9 @@
         if ending == Ending::NotSent {
             self.unreached += 1;
         }
-        let seen = match ending {
-            Ending::Lost if why != STALLED && why != QUARANTINED => self.look_at_upstream().await,
-            _ => Seen::Unknown,
+        let probe = match ending {
+            Ending::Lost if why != STALLED && why != QUARANTINED => self.probe_upstream().await,
+            _ => Probe::Unknown,
         };
         let now = Instant::now();
         let left = self.admitted.deadline.saturating_duration_since(now);
@@ -148,19 +148,19 @@
             max_attempts: self.admitted.route.max_attempts,
             unreached: self.unreached,
             may_have_run: self.may_have_run,
-            has_time: left > LEAST_FOR_RETRY,
+            has_time: left > MIN_TIME_FOR_RETRY,
         });
-        let suspicion = self.suspect(seen);
+        let suspicion = self.record_crash(probe);
         if next == Next::Again && ending == Ending::Lost && suspicion != Suspicion::None {
             next = Next::Unknown;
         }
-        // An attempt that reached nobody costs nobody anything; the next one is the first.
+        // An attempt that reached no upstream adds no load, so the retry budget does not count it.
         let is_repeat = self.sent > 0;
         let budget = self.service.budget().left();
         if next == Next::Again && is_repeat && !self.service.budget().retry() {
-            next = self.without_budget(ending);
+            next = self.next_without_budget(ending);
         }
-        self.judge(upstream, ending, now);
+        self.record_failure(upstream, ending, now);
         let end = ending.to_string();
         self.cx.metrics.attempts.with_label_values(&[&end]).inc();
         events::ATTEMPT_ENDED.emit(&[
@@ -172,13 +172,14 @@
             ("budget", &format!("{budget:.1}")),
             ("sent", &self.sent.to_string()),
             ("left_ms", &left.as_millis().to_string()),
-            ("seen", &seen.to_string()),
-            ("fingerprint", &self.told_fingerprint(ending)),
+            ("seen", &probe.to_string()),
+            ("fingerprint", &self.logged_fingerprint(ending)),
         ]);
         next
     }
 
-    fn without_budget(&self, ending: Ending) -> Next {
+    /// Returns the next step for a request that may not be repeated because the retry budget is spent.
+    fn next_without_budget(&self, ending: Ending) -> Next {
         match ending {
             Ending::Failed => Next::PassOn,
             Ending::Lost => Next::Unknown,
@@ -187,18 +188,18 @@
         }
     }
 
-    /// Counts a failure against the upstream that it came through.
-    pub(crate) fn judge(&self, upstream: &str, ending: Ending, now: Instant) {
+    /// Counts a failed attempt against its upstream, which is ejected after repeated failures.
+    pub(crate) fn record_failure(&self, upstream: &str, ending: Ending, now: Instant) {
         if !matches!(ending, Ending::NotSent | Ending::Lost | Ending::Failed) {
             return;
         }
-        let shunned = self.service.upstreams().failed(upstream, now);
-        if let Some(shun) = shunned {
+        let ejected_for = self.service.upstreams().failed(upstream, now);
+        if let Some(ejected_for) = ejected_for {
             events::UPSTREAM_SHUNNED.emit(&[
                 ("upstream", upstream),
                 ("service", &self.admitted.service),
                 ("end", &ending.to_string()),
-                ("for_ms", &shun.as_millis().to_string()),
+                ("for_ms", &ejected_for.as_millis().to_string()),
             ]);
         }
     }
@@ -210,20 +211,25 @@
             return Ok(conn);
         }
         let opened = Connection::open(pick.addr, pick.started).await;
-        // Nothing was sent, whatever kept the connection from being made.
+        // Without a connection no byte of the request was sent.
         opened.or(Err(Ending::NotSent))
     }
 
-    async fn send(&mut self, pick: &Pick, conn: Connection, last_event: Option<u64>) -> Sent {
-        // It may have begun to leave while the connection was made.
+    async fn send(
+        &mut self,
+        pick: &Pick,
+        conn: Connection,
+        last_event: Option<u64>,
+    ) -> AttemptOutcome {
+        // The upstream may have started draining while the connection was being opened.
         if !self.service.upstreams().may_send(&pick.id) {
-            return Sent::Ended(Ending::NotSent, "began-to-leave");
+            return AttemptOutcome::Ended(Ending::NotSent, "began-to-leave");
         }
         let Some(req) = self.request(pick, last_event) else {
-            return Sent::Ended(Ending::NotSent, "no-time");
+            return AttemptOutcome::Ended(Ending::NotSent, "no-time");
         };
-        let doubted_before = self.may_have_run;
-        let lease = self.take_place(pick);
+        let may_have_run_before = self.may_have_run;
+        let lease = self.count_in_flight(pick);
         self.sent_at = Instant::now();
         self.may_have_run = true;
         self.sent += 1;
@@ -231,13 +237,15 @@
         let response = match answer {
             Ok(Ok(response)) => response,
             Ok(Err(SendError::NotSent)) => {
-                self.may_have_run = doubted_before;
+                self.may_have_run = may_have_run_before;
                 self.sent -= 1;
-                return Sent::Ended(Ending::NotSent, "connection-closed");
+                return AttemptOutcome::Ended(Ending::NotSent, "connection-closed");
+            }
+            Ok(Err(SendError::Lost)) => {
+                return AttemptOutcome::Ended(Ending::Lost, "connection-broke");
             }
-            Ok(Err(SendError::Lost)) => return Sent::Ended(Ending::Lost, "connection-broke"),
-            Err(GivenUp::Stalled) => return Sent::Ended(Ending::Lost, STALLED),
-            Err(GivenUp::Quarantined) => return Sent::Ended(Ending::Lost, QUARANTINED),
+            Err(Abandoned::Stalled) => return AttemptOutcome::Ended(Ending::Lost, STALLED),
+            Err(Abandoned::Quarantined) => return AttemptOutcome::Ended(Ending::Lost, QUARANTINED),
         };
         let (head, body) = response.into_parts();
         let marks = self.cx.dialect.answer(head.status, &head.headers);
@@ -248,87 +256,88 @@
             conn,
             lease,
         };
-        self.take_answer(live, doubted_before)
+        self.on_answer_head(live, may_have_run_before)
     }
 
-    /// Takes that the first event of an attempt has come.
-    pub(crate) fn begun(&self) {
+    /// Records how long the first event of an attempt took.
+    pub(crate) fn record_first_event(&self) {
         if let Some(pick) = &self.last_pick {
             let now = Instant::now();
-            let seen = now.saturating_duration_since(self.sent_at);
-            self.service.upstreams().begun_after(pick, seen, now);
+            let took = now.saturating_duration_since(self.sent_at);
+            self.service.upstreams().begun_after(pick, took, now);
         }
     }
 
-    /// Counts the request at its upstream, here and at the agent beside it.
-    fn take_place(&self, pick: &Pick) -> Lease {
+    /// Counts the request as in flight at its upstream, and announces it to the engine's agent.
+    fn count_in_flight(&self, pick: &Pick) -> Lease {
         let tokens = self.admitted.head.prompt_tokens;
         let lease = Lease::new(&self.service, &pick.id, tokens);
         if let Some(engine) = &self.admitted.engine {
-            let reading = Prediction::reading(engine, tokens);
+            let prefill = Prediction::reading(engine, tokens);
             let mut upstreams = self.service.upstreams();
-            upstreams.reads(&pick.id, reading, Instant::now());
+            upstreams.reads(&pick.id, prefill, Instant::now());
             drop(upstreams);
-            self.cx.agents.announce(pick.addr.ip(), reading);
+            self.cx.agents.announce(pick.addr.ip(), prefill);
         }
         lease
     }
 
-    /// Waits for the head of an answer, until the request is quarantined; a stream that may go on
-    /// elsewhere not for ever.
+    /// Sends the request and waits for the head of the answer, until the request is quarantined or, for a
+    /// stream that can be resumed at another upstream, until it stalls.
     async fn exchange(
         &self,
         mut conn: Connection,
         req: Request<Full<Bytes>>,
-    ) -> (Connection, Exchanged) {
+    ) -> (Connection, ExchangeResult) {
         let answer = tokio::select! {
-            answer = self.exchange_in_time(&mut conn, req) => answer,
+            answer = self.exchange_until_stalled(&mut conn, req) => answer,
             () = self.cx.quarantine.until_quarantined(|| self.fingerprint()) => {
-                Err(GivenUp::Quarantined)
+                Err(Abandoned::Quarantined)
             }
         };
         (conn, answer)
     }
 
-    async fn exchange_in_time(
+    async fn exchange_until_stalled(
         &self,
         conn: &mut Connection,
         req: Request<Full<Bytes>>,
-    ) -> Exchanged {
+    ) -> ExchangeResult {
         let kind = self.admitted.route.kind;
         if !kind.is_stream() || !kind.repeatable() {
             return Ok(conn.send(req).await);
         }
         let mut sending = std::pin::pin!(conn.send(req));
         loop {
-            let Some(look) = self.next_look(self.sent_at, false) else {
-                return Err(GivenUp::Stalled);
+            let Some(wait) = self.next_check(self.sent_at, false) else {
+                return Err(Abandoned::Stalled);
             };
-            if let Ok(answer) = tokio::time::timeout(look, &mut sending).await {
+            if let Ok(answer) = tokio::time::timeout(wait, &mut sending).await {
                 return Ok(answer);
             }
         }
     }
 
-    /// Returns how long to wait before the next look at a stream whose next event has been waited for
-    /// since `since`; none if it is to be taken off its upstream.
+    /// Returns the time until the next stall check of a stream that has waited for its next event since
+    /// `since`. Returns `None` if the stream is to be abandoned at its upstream.
     ///
-    /// One that has not begun is taken back where its weights are about to be too old to begin on.
-    pub(crate) fn next_look(&self, since: Instant, has_begun: bool) -> Option<Duration> {
+    /// A stream without a first event is also abandoned when the bound passes after which no request may begin
+    /// on its weights.
+    pub(crate) fn next_check(&self, since: Instant, has_begun: bool) -> Option<Duration> {
         let now = Instant::now();
         let pick = self.last_pick.as_ref()?;
         let sign = self.service.upstreams().sign(pick, now);
         let waited = now.saturating_duration_since(since);
-        let look = self.patience.next_look(waited, sign)?;
+        let wait = self.stall_policy.next_look(waited, sign)?;
         if has_begun || pick.version.is_none() {
-            return Some(look);
+            return Some(wait);
         }
-        let within = self.begin_within(pick).unwrap_or(WEIGHTS_LOOK);
-        (!within.is_zero()).then(|| look.min(within).min(WEIGHTS_LOOK))
+        let within = self.begin_within(pick).unwrap_or(WEIGHTS_CHECK_INTERVAL);
+        (!within.is_zero()).then(|| wait.min(within).min(WEIGHTS_CHECK_INTERVAL))
     }
 
-    /// Returns how much longer the request may wait to begin on the weights of `pick`; none if nothing
-    /// newer is named.
+    /// Returns the time left in which the request may begin on the weights of `pick`. Returns `None` if no
+    /// newer weights are named.
     fn begin_within(&self, pick: &Pick) -> Option<Duration> {
         let model = self.admitted.model.as_deref();
         let (model, version) = model.zip(pick.version)?;
@@ -356,21 +365,21 @@
     }
 }
 
-/// How an attempt went on after its connection was there.
-pub(crate) enum Sent {
+/// Outcome of an attempt that had a connection.
+pub(crate) enum AttemptOutcome {
     /// The upstream answered.
     Answer(Box<Live>),
-    /// It brought no answer, and what the log says of it.
+    /// No answer came; with the reason for the log.
     Ended(Ending, &'static str),
 }
 
-/// Why the head of an answer is not waited for any longer.
-enum GivenUp {
-    /// The patience for it is over.
+/// Why an attempt is abandoned before the head of its answer.
+enum Abandoned {
+    /// The stall timeout has passed.
     Stalled,
-    /// Upstreams ended under the request elsewhere.
+    /// The request was quarantined because upstreams crashed while they ran it.
     Quarantined,
 }
 
-/// What came of sending a request.
-type Exchanged = Result<Result<http::Response<Incoming>, SendError>, GivenUp>;
+/// Result of sending a request: a response, a send error, or why the attempt was abandoned.
+type ExchangeResult = Result<Result<http::Response<Incoming>, SendError>, Abandoned>;
--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -1,72 +1,72 @@
-//! Which upstream the next attempt of a request goes to.
+//! Choice of the upstream for the next attempt of a request.
 
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
 use wagtailreel_route::direct::{Ask, LoadSource, Pick, Shortage};
 
-use crate::attempt::{Call, LEAST_FOR_RETRY};
+use crate::attempt::{Call, MIN_TIME_FOR_RETRY};
 use crate::dialect::Dialect;
 use crate::events;
-use crate::refusal::{LONG_PAUSE, Refusal};
+use crate::refusal::{LONG_RETRY_AFTER, Refusal};
 
-/// Upstreams abroad that are asked before a request goes there. Of three drawn at random one has
-/// room unless four in five have none.
-const ASKED_ABROAD: usize = 3;
+/// Remote upstreams that are queried before a request goes to another data centre. With three drawn at random, at
+/// least one usually has a free slot unless four in five upstreams are full.
+const REMOTE_QUERIES: usize = 3;
 
-/// Longest wait for the words of upstreams abroad: a way there and back of 6 ms, the longest that is
-/// known, and a turn of either process.
-const ABROAD_PATIENCE: Duration = Duration::from_millis(15);
+/// Maximum wait for the answers of remote agents: the longest round trip of 6 ms, and the scheduling delay of both
+/// processes.
+const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Upstreams with a limit that one request asks for a permit. Those without room are passed over by
-/// later ones until they have some.
-const PERMITS_ASKED: usize = 4;
+/// Maximum permit requests for one request, each for another upstream. Later requests skip an upstream without a
+/// permit until one is due.
+const MAX_PERMIT_REQUESTS: usize = 4;
 
-/// When a place is expected to be free at a full plain service, whose answers nobody can predict.
-const FREE_IN: Duration = Duration::from_millis(200);
+/// Expected time until a slot is free at a full plain service, where the duration of answers is not predictable.
+const PLAIN_SLOT_FREE_IN: Duration = Duration::from_millis(200);
 
-/// Longest pause before an upstream is chosen again for a request that waits for one: limits and pauses of
-/// upstreams end without a word.
-const CHOOSE_AGAIN: Duration = Duration::from_millis(50);
+/// Maximum time between two attempts to choose an upstream for a waiting request: the end of a rate limit wait or
+/// of an ejection sends no notification.
+const CHOOSE_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<D> Call<D>
 where
     D: Dialect,
 {
-    /// Chooses an upstream, and counts whether there was one.
+    /// Chooses an upstream, and records whether there was one for the refusal rate.
     ///
-    /// A request that has not run is refused where there is none. One that may have run can't be, and waits
-    /// for as long as another attempt is worth making.
+    /// A request that has not run is refused if there is none. A request that may have run must not be refused as
+    /// not run, and waits for an upstream as long as time for another attempt is left.
     ///
     /// # Errors
     ///
-    /// Returns the refusal that the caller gets.
+    /// Returns the refusal to send to the caller.
     pub(crate) async fn choose_next(&self) -> Result<Pick, Refusal> {
         let chosen = self.choose_permitted().await;
-        self.count_shortage(chosen.is_err());
+        self.record_choice(chosen.is_err());
         match chosen {
             Err(refusal) if self.may_have_run => self.await_upstream(refusal).await,
             chosen => chosen,
         }
     }
 
-    fn count_shortage(&self, is_short: bool) {
-        let mut pressure = self.service.pressure();
-        pressure.count(is_short, Instant::now());
+    fn record_choice(&self, is_refused: bool) {
+        let mut refusals = self.service.pressure();
+        refusals.count(is_refused, Instant::now());
     }
 
-    /// Waits until an upstream can be chosen in place of the one that was lost; `shortage` is why none
-    /// could be at first.
-    async fn await_upstream(&self, shortage: Refusal) -> Result<Pick, Refusal> {
+    /// Waits until an upstream can be chosen in place of the lost one; `first_refusal` is why the first choice
+    /// failed.
+    async fn await_upstream(&self, first_refusal: Refusal) -> Result<Pick, Refusal> {
         let since = Instant::now();
-        let until = self.admitted.deadline.checked_sub(LEAST_FOR_RETRY);
+        let until = self.admitted.deadline.checked_sub(MIN_TIME_FOR_RETRY);
         let obstacles = self.service.upstreams().obstacles(&self.ask(None), since);
         let choosing = async {
             loop {
                 self.check_quarantine()?;
-                let changed = self.service.changed.notified();
-                // Some of what is waited for comes with time alone.
-                let _ = tokio::time::timeout(CHOOSE_AGAIN, changed).await;
+                let changed = self.service.registry_changed.notified();
+                // Rate limits and ejections end by time, without a change in the registry.
+                let _ = tokio::time::timeout(CHOOSE_INTERVAL, changed).await;
                 if let Ok(pick) = self.choose_permitted().await {
                     return Ok(pick);
                 }
@@ -81,7 +81,7 @@
         events::UPSTREAM_AWAITED.emit(&[
             ("id", &self.admitted.id),
             ("service", &self.admitted.service),
-            ("shortage", &shortage.to_string()),
+            ("shortage", &first_refusal.to_string()),
             ("obstacles", &obstacles.collect::<Vec<_>>().join(", ")),
             ("waited_ms", &since.elapsed().as_millis().to_string()),
             ("upstream", chosen.as_ref().map_or("", |pick| &pick.id)),
@@ -89,61 +89,62 @@
         chosen
     }
 
-    /// Chooses an upstream; asks for a permit where it names a limit, and chooses again without one.
+    /// Chooses an upstream. If the upstream has a rate limit and no permit is due, another one is chosen.
     async fn choose_permitted(&self) -> Result<Pick, Refusal> {
-        for _ in 0..PERMITS_ASKED {
-            let pick = self.choose_heard().await?;
+        for _ in 0..MAX_PERMIT_REQUESTS {
+            let pick = self.choose_confirmed().await?;
             if self.is_permitted(&pick).await {
                 return Ok(pick);
             }
         }
-        let back_in = self.back_in(Shortage::Full, &self.ask(None), Instant::now());
+        let back_in = self.retry_in(Shortage::Full, &self.ask(None), Instant::now());
         Err(Refusal::Full { back_in })
     }
 
-    /// Chooses an upstream; asks a few abroad how they are before a request goes there.
+    /// Chooses an upstream. If its load is unconfirmed, a few remote agents are queried first.
     ///
-    /// One that doesn't answer gets no request: its old word says that it has room to every entry of
-    /// every data centre, and what they send keeps its link too full for a new word.
-    async fn choose_heard(&self) -> Result<Pick, Refusal> {
+    /// An upstream whose agent does not answer gets no request. Its last load report shows free slots to the
+    /// entries of all data centres, and their requests can fill its link so that no new report gets through.
+    async fn choose_confirmed(&self) -> Result<Pick, Refusal> {
         let pick = self.choose(None)?;
         if !pick.is_hearsay {
             return Ok(pick);
         }
         let asked_at = Instant::now();
-        let heard = self.ask_abroad(asked_at).await;
-        if heard == 0 && pick.source == LoadSource::Own {
-            // No agent of the service tells of any engine.
+        let answers = self.query_remote(asked_at).await;
+        if answers == 0 && pick.source == LoadSource::Own {
+            // No agent reports load for this service, so its own count is all that the entry has.
             return Ok(pick);
         }
         self.choose(Some(asked_at))
     }
 
-    /// Asks a few upstreams abroad and waits for their words; returns how many came.
-    async fn ask_abroad(&self, asked_at: Instant) -> usize {
+    /// Queries the agents of a few remote upstreams; returns how many answered in time.
+    async fn query_remote(&self, asked_at: Instant) -> usize {
         let ips = {
             let ticket = rand::rng().random();
             let upstreams = self.service.upstreams();
-            upstreams.hearsay(&self.ask(None), ASKED_ABROAD, ticket, asked_at)
+            upstreams.hearsay(&self.ask(None), REMOTE_QUERIES, ticket, asked_at)
         };
         for ip in &ips {
-            self.cx.agents.ask(*ip);
+            self.cx.agents.query_load(*ip);
         }
         let count = || self.service.upstreams().answers_of(&ips, asked_at);
-        let all_heard = async {
+        let all_answered = async {
             loop {
-                let heard = self.service.heard.notified();
+                let updated = self.service.load_updated.notified();
                 if count() == ips.len() {
                     return;
                 }
-                heard.await;
+                updated.await;
             }
         };
-        // Those that are late count as not asked.
-        let _ = tokio::time::timeout(ABROAD_PATIENCE, all_heard).await;
+        // Late answers do not count for this choice.
+        let _ = tokio::time::timeout(REMOTE_QUERY_TIMEOUT, all_answered).await;
         count()
     }
 
+    /// Returns what the request requires of an upstream, with a load report since `heard_since` if given.
     fn ask(&self, heard_since: Option<Instant>) -> Ask<'_> {
         let model = self.admitted.model.as_deref();
         Ask {
@@ -165,7 +166,7 @@
         let now = Instant::now();
         let chosen = self.service.upstreams().choose(&ask, now);
         chosen.map_err(|shortage| {
-            let back_in = self.back_in(shortage, &ask, now);
+            let back_in = self.retry_in(shortage, &ask, now);
             match shortage {
                 Shortage::NoUpstream => Refusal::NoUpstream { back_in },
                 Shortage::Weights => Refusal::Weights { back_in },
@@ -174,19 +175,19 @@
         })
     }
 
-    /// Returns when a request that found no upstream is best sent again.
-    fn back_in(&self, shortage: Shortage, ask: &Ask<'_>, now: Instant) -> Duration {
+    /// Returns the time after which the caller should send a request again that found no upstream.
+    fn retry_in(&self, shortage: Shortage, ask: &Ask<'_>, now: Instant) -> Duration {
         let free_in = match shortage {
             Shortage::Full => self.service.upstreams().free_in(ask, now),
-            Shortage::NoUpstream | Shortage::Weights => Some(LONG_PAUSE),
+            Shortage::NoUpstream | Shortage::Weights => Some(LONG_RETRY_AFTER),
         };
         let left = self.admitted.deadline.saturating_duration_since(now);
-        let pressure = self.service.pressure();
-        pressure.pause(free_in.unwrap_or(FREE_IN), left)
+        let refusals = self.service.pressure();
+        refusals.pause(free_in.unwrap_or(PLAIN_SLOT_FREE_IN), left)
     }
 
-    /// Makes sure that a request which may have run is not refused as not run.
-    pub(crate) const fn not_sent(&self, refusal: Refusal) -> Refusal {
+    /// Returns `refusal`, or [`Refusal::Unknown`] for a request that may have run and must not be refused as not run.
+    pub(crate) const fn refuse_or_unknown(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run {
             Refusal::Unknown
         } else {
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes what an answer says of its upstream's limit.
-    pub(crate) fn take_limit(&self, live: &Live) {
+    pub(crate) fn record_limit(&self, live: &Live) {
         let named = live.marks.limit;
         let id = live.upstream();
         let mut upstreams = self.service.upstreams();
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -327,7 +327,7 @@
 fn take(service: &Service, ip: IpAddr, load: &LoadStatus, round_trip: Option<Duration>) {
     let now = Instant::now();
     let changed = service.upstreams().status(ip, load, round_trip, now);
-    service.heard.notify_waiters();
+    service.load_updated.notify_waiters();
     if changed {
         events::UPSTREAM_CHANGED.emit(&[
             ("upstream_ip", &ip.to_string()),
--- a/crates/direct/src/lost.rs
+++ b/crates/direct/src/lost.rs
@@ -1,4 +1,4 @@
-//! What a lost attempt tells of its request and of its upstream.
+//! Lost attempts: the fingerprint of the request, and whether its upstream crashed.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use crate::pool::Connection;
 use crate::refusal::Refusal;
 
-/// Longest wait for a new connection to an upstream that lost a request: the longest way there and
-/// back takes 6 ms, and an upstream that takes longer has not ended.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(30);
+/// Maximum wait for a new connection to an upstream that lost a request. The longest round trip is 6 ms; a process
+/// that has ended refuses the connection within that time.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Whether an upstream still runs after it has lost a request.
+/// Result of a new connection to an upstream that lost a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub(crate) enum Seen {
-    /// It takes a new connection, so that only the old one had ended.
+pub(crate) enum Probe {
+    /// The upstream accepts a new connection, so only the old connection had ended.
     #[display("alive")]
     Alive,
-    /// Nobody listens at its address any more.
+    /// The connection is refused: no process listens at the address.
     #[display("ended")]
     Ended,
-    /// It doesn't answer, or was not looked at.
+    /// The upstream does not answer, or was not probed.
     #[display("unknown")]
     Unknown,
 }
@@ -35,7 +35,7 @@
 where
     D: Dialect,
 {
-    /// Returns what is the same whenever this request is sent again, by the same caller.
+    /// Returns a digest of host, path, customer and body: the same for each repeat of the request by one customer.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let path = self.template.uri.path_and_query();
@@ -49,20 +49,20 @@
         })
     }
 
-    /// Returns the fingerprint as the log tells it, of attempts that were lost: of others nothing could
-    /// be learned from it.
-    pub(crate) fn told_fingerprint(&self, ending: Ending) -> String {
+    /// Returns the short fingerprint for the log entry of a lost attempt, and an empty text for other attempts,
+    /// which say nothing of a crash.
+    pub(crate) fn logged_fingerprint(&self, ending: Ending) -> String {
         match ending {
             Ending::Lost => self.fingerprint().short(),
             Ending::NotSent | Ending::NotRun | Ending::Failed => String::new(),
         }
     }
 
-    /// Refuses a request that is quarantined.
+    /// Checks that the request is not quarantined.
     ///
     /// # Errors
     ///
-    /// Returns the refusal that the caller gets.
+    /// Returns the refusal to send to the caller.
     pub(crate) fn check_quarantine(&self) -> Result<(), Refusal> {
         let quarantine = &self.cx.quarantine;
         if quarantine.is_empty() {
@@ -71,44 +71,44 @@
         let fingerprint = self.fingerprint();
         match quarantine.admit(fingerprint) {
             Suspicion::Quarantined(back_in) => {
-                quarantine.came_again(fingerprint);
-                Err(self.not_sent(Refusal::Quarantined { back_in }))
+                quarantine.record_repeat(fingerprint);
+                Err(self.refuse_or_unknown(Refusal::Quarantined { back_in }))
             }
             Suspicion::None | Suspicion::Suspected => Ok(()),
         }
     }
 
-    /// Takes how the upstream was seen that lost the request; returns what is thought of the request.
+    /// Records the end of the upstream if the probe shows that it ended; returns the suspicion against the request.
     ///
-    /// One that was leaving had its own reason to end.
-    pub(crate) fn suspect(&self, seen: Seen) -> Suspicion {
-        let pick = self.last_pick.as_ref().filter(|_| seen == Seen::Ended);
+    /// An upstream that was draining ended for a reason of its own, and is not counted against the request.
+    pub(crate) fn record_crash(&self, probe: Probe) -> Suspicion {
+        let pick = self.last_pick.as_ref().filter(|_| probe == Probe::Ended);
         match pick.filter(|pick| self.service.upstreams().may_send(&pick.id)) {
             Some(pick) => self.cx.quarantine.ended(self.fingerprint(), pick),
             None => Suspicion::None,
         }
     }
 
-    /// Takes that an upstream ran the request to its end.
+    /// Records that an upstream ran the request to its end.
     pub(crate) fn finished(&self) {
         self.cx.quarantine.finished(self.fingerprint());
     }
 
-    /// Looks whether the upstream that was chosen last still takes connections.
-    pub(crate) async fn look_at_upstream(&self) -> Seen {
+    /// Probes whether the upstream of the last attempt still accepts connections.
+    pub(crate) async fn probe_upstream(&self) -> Probe {
         let Some(pick) = &self.last_pick else {
-            return Seen::Unknown;
+            return Probe::Unknown;
         };
-        let opening = tokio::time::timeout(LOOK_TIMEOUT, TcpStream::connect(pick.addr));
+        let opening = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(pick.addr));
         match opening.await {
             Ok(Ok(stream)) => {
                 if let Ok(conn) = Connection::over(stream, pick.addr, pick.started).await {
                     self.service.pool.give_back(conn, None);
                 }
-                Seen::Alive
+                Probe::Alive
             }
-            Ok(Err(err)) if err.kind() == ErrorKind::ConnectionRefused => Seen::Ended,
-            Ok(Err(_)) | Err(_) => Seen::Unknown,
+            Ok(Err(err)) if err.kind() == ErrorKind::ConnectionRefused => Probe::Ended,
+            Ok(Err(_)) | Err(_) => Probe::Unknown,
         }
     }
 }
--- a/crates/direct/src/quarantine_sync.rs
+++ b/crates/direct/src/quarantine_sync.rs
@@ -76,7 +76,7 @@
     }
 
     /// Takes that a quarantined request came again: whoever has forgotten it is told of it.
-    pub(crate) fn came_again(&self, fingerprint: Fingerprint) {
+    pub(crate) fn record_repeat(&self, fingerprint: Fingerprint) {
         if lock(&self.known).tell_again(fingerprint, BootTime::now()) {
             self.tell(fingerprint, &[]);
         }
--- a/crates/direct/src/refusal.rs
+++ b/crates/direct/src/refusal.rs
@@ -8,10 +8,10 @@
 use rand::RngExt as _;
 
 /// How long a caller stays away from an entry that has no configuration or no upstream yet.
-pub(crate) const LONG_PAUSE: Duration = Duration::from_millis(700);
+pub(crate) const LONG_RETRY_AFTER: Duration = Duration::from_millis(700);
 
 /// How long a caller stays away that another entry can serve at once.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+const SHORT_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Share by which a time to come back is stretched at random, so that callers that were refused
 /// together don't return together.
@@ -107,12 +107,12 @@
     /// Returns when a request that was not run is best sent again.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NoConfiguration | Self::StaleConfiguration => Some(LONG_PAUSE),
+            Self::NoConfiguration | Self::StaleConfiguration => Some(LONG_RETRY_AFTER),
             Self::NoUpstream { back_in }
             | Self::Weights { back_in }
             | Self::Full { back_in }
             | Self::Quarantined { back_in } => Some(back_in),
-            Self::Leaving => Some(SHORT_PAUSE),
+            Self::Leaving => Some(SHORT_RETRY_AFTER),
             Self::UpstreamsRefused | Self::Deadline => Some(Duration::from_millis(250)),
             _ => None,
         }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -166,7 +166,7 @@
     /// Takes that the upstream under way has sent an event.
     fn begin(&mut self) {
         if !std::mem::replace(&mut self.has_begun, true) {
-            self.call.begun();
+            self.call.record_first_event();
         }
         if let Some(live) = &mut self.live {
             live.lease.begun();
@@ -183,7 +183,7 @@
             let now = Instant::now();
             let left = self.call.admitted.deadline.saturating_duration_since(now);
             let look = if is_repeatable {
-                self.call.next_look(since, self.has_begun)
+                self.call.next_check(since, self.has_begun)
             } else {
                 Some(left)
             };
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -29,10 +29,10 @@
     upstreams: Mutex<Upstreams>,
     budget: Mutex<RetryBudget>,
     pressure: Mutex<Pressure>,
-    /// An agent told of one of the upstreams.
-    pub(crate) heard: Notify,
-    /// The registry told of one of the upstreams.
-    pub(crate) changed: Notify,
+    /// Notified when a load report of one of the upstreams comes.
+    pub(crate) load_updated: Notify,
+    /// Notified when the registry record of one of the upstreams changes.
+    pub(crate) registry_changed: Notify,
     pub(crate) pool: Pool,
 }
 
@@ -150,7 +150,7 @@
     pub(crate) fn take_words(&self, words: &Words) {
         for (service, model) in self.engine_services() {
             let newest = service.upstreams().take_words(words);
-            service.heard.notify_waiters();
+            service.load_updated.notify_waiters();
             if let Some(version) = newest {
                 self.take_held(&model, version);
             }
@@ -187,8 +187,8 @@
                 upstreams: Mutex::new(upstreams),
                 budget: Mutex::new(RetryBudget::new(budget)),
                 pressure: Mutex::new(Pressure::new(Instant::now())),
-                heard: Notify::new(),
-                changed: Notify::new(),
+                load_updated: Notify::new(),
+                registry_changed: Notify::new(),
                 pool: Pool::default(),
             })
         });
@@ -256,7 +256,7 @@
             ("version", version.unwrap_or_default().to_string()),
         ];
         let is_changed = service.upstreams().update(upstream);
-        service.changed.notify_waiters();
+        service.registry_changed.notify_waiters();
         if is_changed {
             let fields: Vec<(&str, &str)> = fields.iter().map(|(k, v)| (*k, v.as_str())).collect();
             events::UPSTREAM_CHANGED.emit(&fields);
