--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -1,4 +1,4 @@
-//! Asks agents how loaded their engines are.
+//! Queries agents for the load of their engines, and handles the datagrams that come back.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -19,32 +19,32 @@
 use crate::seed::SeedRelay;
 use crate::view::{Service, View};
 
-/// Time between two questions to the agents of the own data centre. An engine starts and ends
-/// about one request in this time.
-const NEAR: Duration = Duration::from_millis(100);
+/// Time between two queries to the agents of the local data centre. An engine starts and ends about one request in
+/// this time.
+const LOCAL_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many near questions there are for each one to another data centre, whose links are narrow.
-const FAR_EVERY: u32 = 5;
+/// Local rounds for each round of queries to remote data centres, whose links have less bandwidth.
+const ROUNDS_PER_REMOTE_QUERY: u32 = 5;
 
-/// How many near questions there are for each time that requests are told of again, in fleets without agents.
-const RELAY_AGAIN_EVERY: u32 = 10;
+/// Local rounds for each repeated relay of crash reports, in fleets without agents.
+const ROUNDS_PER_REPEATED_RELAY: u32 = 10;
 
-/// Agents of another data centre, of which its entries tell, that are asked in a turn: they tell which
-/// entries there are, and hear of weights that were named.
-const FAR_ASKED: f64 = 2.0;
+/// Mean number of agents that are queried per remote round in a data centre whose entries report its load. These
+/// agents name the entries of their data centre, and learn of namings.
+const REMOTE_AGENTS_PER_ROUND: f64 = 2.0;
 
-/// Rounds of questions whose times are kept: 6.4 s. The time that a later answer took is not known.
-const ROUNDS: usize = 64;
+/// Query rounds whose times are kept, 6.4 s. The round trip of a later answer is unknown.
+const MAX_ROUNDS: usize = 64;
 
-/// How long an agent's clock is known after it told it: shorter than a VM can be replaced in by one
-/// with another clock at the same address.
-const CLOCK_KNOWN: Duration = Duration::from_secs(1);
+/// How long a reading of an agent's clock is used. A VM with another clock can't replace the agent's VM at the same
+/// address within this time.
+const CLOCK_TTL: Duration = Duration::from_secs(1);
 
-/// Longest datagram in bytes.
-const DATAGRAM: usize = 4096;
+/// Maximum datagram, in bytes.
+const MAX_DATAGRAM: usize = 4096;
 
-/// Asks the agents of all engines for their load, for as long as it is not dropped.
-pub(crate) async fn ask_agents(
+/// Queries the agents of all engines and handles incoming datagrams, until the future is dropped.
+pub(crate) async fn query_agents(
     view: Arc<View>,
     neighbours: Arc<Neighbours>,
     remote_load: Arc<RemoteLoad>,
@@ -52,41 +52,41 @@
     quarantine: Arc<QuarantineSync>,
     home: DataCentre,
 ) {
-    let mut ticks = tokio::time::interval(NEAR);
+    let mut ticks = tokio::time::interval(LOCAL_QUERY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut buf = vec![0; DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM];
     let mut round: u32 = 0;
     let mut rounds = Rounds::default();
     let mut clocks = AgentClocks::default();
     let mut seed = SeedRelay::new(Arc::clone(&view), agents.clone(), Arc::clone(&quarantine));
-    // What was asked of each VM, so that an answer locks one service alone.
-    let mut known: BTreeMap<IpAddr, Asked> = BTreeMap::new();
+    // The agent on each VM with its service, so that an answer locks one service only.
+    let mut known: BTreeMap<IpAddr, QueriedAgent> = BTreeMap::new();
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 round = round.wrapping_add(1).max(1);
                 let now = Instant::now();
-                rounds.begin(round, now);
-                let is_far_turn = round.is_multiple_of(FAR_EVERY);
-                if is_far_turn {
-                    // Those that are gone are forgotten.
+                rounds.insert(round, now);
+                let is_remote_round = round.is_multiple_of(ROUNDS_PER_REMOTE_QUERY);
+                if is_remote_round {
+                    // Drops agents that no longer exist; the loop below adds the others again.
                     known.clear();
                     seed.ask_seeds();
                 }
-                if round.is_multiple_of(RELAY_AGAIN_EVERY) {
+                if round.is_multiple_of(ROUNDS_PER_REPEATED_RELAY) {
                     seed.relay_again();
                 }
-                let abroad = is_far_turn.then_some(remote_load.as_ref());
-                let engines = engines(&view, &home, abroad);
-                if engines.values().any(|asked| asked.is_near) {
+                let remote = is_remote_round.then_some(remote_load.as_ref());
+                let engines = engine_agents(&view, &home, remote);
+                if engines.values().any(|agent| agent.is_near) {
                     neighbours.agents_asked();
                 }
-                for (ip, asked) in engines {
-                    if asked.is_due {
-                        agents.send(ip, asked.query(round, clocks.get(ip, BootTime::now())));
-                        asked.service.upstreams().asked(ip, now);
+                for (ip, agent) in engines {
+                    if agent.is_due {
+                        agents.send(ip, agent.query(round, clocks.get(ip, BootTime::now())));
+                        agent.service.upstreams().asked(ip, now);
                     }
-                    known.insert(ip, asked);
+                    known.insert(ip, agent);
                 }
             }
             received = agents.socket().recv_from(&mut buf) => {
@@ -111,30 +111,30 @@
                     }
                     Err(_) => continue,
                 };
-                let asked_of = known.get(&from.ip());
-                match asked_of {
-                    // Of another data centre the entries are no neighbours.
-                    Some(of) if of.is_near => neighbours.hear(&status.entries, BootTime::now()),
-                    Some(of) => remote_load.hear_entries(&of.data_centre, &status.entries),
+                let agent = known.get(&from.ip());
+                match agent {
+                    // Only entries of the local data centre are neighbours.
+                    Some(agent) if agent.is_near => neighbours.hear(&status.entries, BootTime::now()),
+                    Some(agent) => remote_load.add_entries(&agent.data_centre, &status.entries),
                     None => {}
                 }
                 if let Some(clock_ms) = status.clock_ms {
-                    let told = BootTime::from_millis(clock_ms);
-                    clocks.hear(from.ip(), told, BootTime::now());
+                    let reading = BootTime::from_millis(clock_ms);
+                    clocks.insert(from.ip(), reading, BootTime::now());
                 }
-                // What comes without being asked for, or much later, answers no round that is known.
-                let asked = rounds.get(status.nonce);
-                if let (Some(naming), Some(asked)) = (&status.naming, asked) {
-                    view.learn_naming(naming, asked.boot_time, from.ip());
+                // Unsolicited and very late datagrams match no known round.
+                let sent = rounds.get(status.nonce);
+                if let (Some(naming), Some(sent)) = (&status.naming, sent) {
+                    view.merge_naming(naming, sent.boot_time, from.ip());
                 }
-                if let (Some(load), Some(of)) = (status.load, asked_of) {
-                    let round_trip = asked.map(|asked| asked.at.elapsed());
+                if let (Some(load), Some(agent)) = (status.load, agent) {
+                    let round_trip = sent.map(|sent| sent.at.elapsed());
                     if status.nonce == OUT_OF_TURN {
-                        of.service.upstreams().answered_by(from.ip(), Instant::now());
+                        agent.service.upstreams().answered_by(from.ip(), Instant::now());
                     }
-                    take(&of.service, from.ip(), &load, round_trip);
-                    if let (Some(model), Some(version)) = (&of.model, load.version) {
-                        view.take_held(model, version);
+                    record_load(&agent.service, from.ip(), &load, round_trip);
+                    if let (Some(model), Some(version)) = (&agent.model, load.version) {
+                        view.record_held(model, version);
                     }
                 }
             }
@@ -142,25 +142,25 @@
     }
 }
 
-/// When a round of questions went out.
+/// When the queries of a round were sent.
 #[derive(Clone, Copy, Debug)]
 struct Round {
     at: Instant,
     boot_time: BootTime,
 }
 
-/// The last rounds of questions, by their nonces.
+/// The last query rounds, by nonce.
 #[derive(Debug, Default)]
 struct Rounds(BTreeMap<u32, Round>);
 
 impl Rounds {
-    fn begin(&mut self, nonce: u32, at: Instant) {
+    fn insert(&mut self, nonce: u32, at: Instant) {
         let round = Round {
             at,
             boot_time: BootTime::now(),
         };
         self.0.insert(nonce, round);
-        if self.0.len() > ROUNDS {
+        if self.0.len() > MAX_ROUNDS {
             self.0.pop_first();
         }
     }
@@ -170,58 +170,58 @@
     }
 }
 
-/// An agent's clock as it told it, and when.
+/// A reading of an agent's clock.
 #[derive(Clone, Copy, Debug)]
 struct AgentClock {
-    /// What it told.
-    told: BootTime,
-    /// When this entry heard it, by its own clock.
+    /// The time on the agent's clock.
+    reading: BootTime,
+    /// The time of receipt on this entry's clock.
     at: BootTime,
 }
 
 impl AgentClock {
     /// Returns `moment` on the agent's clock.
     ///
-    /// The agent told its clock before this entry heard of it, so that the result is never later than
-    /// the moment: a later one would let requests begin on older weights for too long.
+    /// The agent read its clock before this entry received the reading, so the result is never later than `moment`.
+    /// A later result would let requests begin on older weights for too long.
     fn translate(&self, moment: BootTime) -> BootTime {
         let (before, after) = (self.at.since(moment), moment.since(self.at));
-        self.told.plus(after).minus(before)
+        self.reading.plus(after).minus(before)
     }
 }
 
-/// The clocks of agents that want to be told when weights were not named yet.
+/// The clocks of agents, for queries that carry the time of a naming on the agent's clock.
 #[derive(Debug, Default)]
 struct AgentClocks(BTreeMap<IpAddr, AgentClock>);
 
 impl AgentClocks {
-    fn hear(&mut self, ip: IpAddr, told: BootTime, at: BootTime) {
-        self.0.insert(ip, AgentClock { told, at });
+    fn insert(&mut self, ip: IpAddr, reading: BootTime, at: BootTime) {
+        self.0.insert(ip, AgentClock { reading, at });
     }
 
     fn get(&self, ip: IpAddr, now: BootTime) -> Option<AgentClock> {
         let clock = self.0.get(&ip).copied();
-        clock.filter(|clock| now.since(clock.at) <= CLOCK_KNOWN)
+        clock.filter(|clock| now.since(clock.at) <= CLOCK_TTL)
     }
 }
 
-/// An agent that may be asked.
+/// An agent that may be queried.
 #[derive(Clone, Debug)]
-struct Asked {
+struct QueriedAgent {
     service: Arc<Service>,
-    /// The model of its engine; none while no configuration says so.
+    /// The model of its engine; `None` as long as the entry has no configuration.
     model: Option<ModelName>,
-    /// What its engine is to serve.
+    /// The newest naming of the model.
     naming: Option<Naming>,
     data_centre: DataCentre,
-    /// It stands in the entry's data centre.
+    /// Whether the agent is in the entry's data centre.
     is_near: bool,
-    /// It is asked now; what the others say is taken too.
+    /// Whether the agent is queried in this round. Datagrams of the other agents are accepted as well.
     is_due: bool,
 }
 
-impl Asked {
-    /// Returns the question in the round `nonce` to an agent with `clock`.
+impl QueriedAgent {
+    /// Returns the query of the round `nonce`; an agent whose `clock` is known gets the time of the naming on it.
     fn query(&self, nonce: u32, clock: Option<AgentClock>) -> Query {
         let naming = self.naming.as_ref();
         let after = naming.and_then(|naming| naming.after);
@@ -240,15 +240,19 @@
     }
 }
 
-/// Returns the VMs of the engines, and whose agents are to be asked now; those of other data centres in
-/// the turns in which `abroad` is given.
-fn engines(view: &View, home: &str, abroad: Option<&RemoteLoad>) -> BTreeMap<IpAddr, Asked> {
+/// Returns the agents of the engines by the addresses of their VMs; those of remote data centres only if `remote` is
+/// given.
+fn engine_agents(
+    view: &View,
+    home: &str,
+    remote: Option<&RemoteLoad>,
+) -> BTreeMap<IpAddr, QueriedAgent> {
     if view.directory().is_none() {
-        return all_near(view, home);
+        return all_local(view, home);
     }
     let mut agents = BTreeMap::new();
     for (service, model) in view.engine_services() {
-        let asked = Asked {
+        let agent = QueriedAgent {
             service,
             naming: view.newest_weights(&model),
             model: Some(model),
@@ -256,22 +260,22 @@
             is_near: true,
             is_due: true,
         };
-        add_near(&mut agents, &asked);
-        if let Some(abroad) = abroad {
-            add_far(&mut agents, &asked, abroad);
+        add_local(&mut agents, &agent);
+        if let Some(remote) = remote {
+            add_remote(&mut agents, &agent, remote);
         }
     }
     agents
 }
 
-/// Returns the VMs of all upstreams of the own data centre.
+/// Returns the agents on the VMs of all upstreams of the local data centre.
 ///
-/// Without a configuration it is not known which of them are engines, and their agents tell through
-/// which neighbour the configuration is to be had.
-fn all_near(view: &View, home: &str) -> BTreeMap<IpAddr, Asked> {
+/// Without a configuration the entry can't tell which upstreams are engines, and needs the agents' answers to learn
+/// from which neighbour the configuration can be read.
+fn all_local(view: &View, home: &str) -> BTreeMap<IpAddr, QueriedAgent> {
     let mut agents = BTreeMap::new();
     for service in view.services() {
-        let asked = Asked {
+        let agent = QueriedAgent {
             service,
             model: None,
             naming: None,
@@ -279,52 +283,59 @@
             is_near: true,
             is_due: true,
         };
-        add_near(&mut agents, &asked);
+        add_local(&mut agents, &agent);
     }
     agents
 }
 
-fn add_near(agents: &mut BTreeMap<IpAddr, Asked>, asked: &Asked) {
-    let upstreams = asked.service.upstreams();
+fn add_local(agents: &mut BTreeMap<IpAddr, QueriedAgent>, agent: &QueriedAgent) {
+    let upstreams = agent.service.upstreams();
     let members = upstreams.members();
-    let near = members.filter(|it| it.upstream.data_centre == asked.data_centre);
-    agents.extend(near.map(|it| (it.upstream.addr.ip(), asked.clone())));
+    let local = members.filter(|it| it.upstream.data_centre == agent.data_centre);
+    agents.extend(local.map(|it| (it.upstream.addr.ip(), agent.clone())));
 }
 
-/// Adds the agents of other data centres. Due are all of those that nobody tells of, and of the others a
-/// few and those whose engines serve this entry.
-fn add_far(agents: &mut BTreeMap<IpAddr, Asked>, near: &Asked, abroad: &RemoteLoad) {
+/// Adds the agents of remote data centres.
+///
+/// All agents of a data centre are due if no entry there reports its load. Else a few drawn at random are due, and
+/// those whose engines serve requests of this entry.
+fn add_remote(
+    agents: &mut BTreeMap<IpAddr, QueriedAgent>,
+    local: &QueriedAgent,
+    remote: &RemoteLoad,
+) {
     let now = Instant::now();
-    let upstreams = near.service.upstreams();
-    let mut abroad_by_place: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
+    let upstreams = local.service.upstreams();
+    let mut by_data_centre: BTreeMap<&DataCentre, Vec<&Member>> = BTreeMap::new();
     for member in upstreams.members() {
         let data_centre = &member.upstream.data_centre;
-        if *data_centre != near.data_centre {
-            abroad_by_place.entry(data_centre).or_default().push(member);
+        if *data_centre != local.data_centre {
+            by_data_centre.entry(data_centre).or_default().push(member);
         }
     }
-    for (data_centre, members) in abroad_by_place {
-        // A data centre has at least the one member that brought it here.
+    for (data_centre, members) in by_data_centre {
+        // No division by zero: a data centre is in the map only with a member.
         #[allow(clippy::cast_precision_loss)]
-        let few = (FAR_ASKED / members.len() as f64).min(1.0);
-        let share = if abroad.is_told(data_centre) {
-            few
+        let sampled = (REMOTE_AGENTS_PER_ROUND / members.len() as f64).min(1.0);
+        let share = if remote.is_reported(data_centre) {
+            sampled
         } else {
             1.0
         };
         for member in members {
-            let asked = Asked {
+            let agent = QueriedAgent {
                 data_centre: data_centre.clone(),
                 is_near: false,
                 is_due: member.needs_own_word(now) || rand::rng().random_bool(share),
-                ..near.clone()
+                ..local.clone()
             };
-            agents.insert(member.upstream.addr.ip(), asked);
+            agents.insert(member.upstream.addr.ip(), agent);
         }
     }
 }
 
-fn take(service: &Service, ip: IpAddr, load: &LoadStatus, round_trip: Option<Duration>) {
+/// Records a load report, and logs a change of the weights that the engine holds.
+fn record_load(service: &Service, ip: IpAddr, load: &LoadStatus, round_trip: Option<Duration>) {
     let now = Instant::now();
     let changed = service.upstreams().status(ip, load, round_trip, now);
     service.load_updated.notify_waiters();
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -190,7 +190,7 @@
         ));
         let upstreams = upstreams_follow(pace, lapse_after);
         tasks.spawn(follow(registry, Arc::clone(&view), upstreams));
-        tasks.spawn(load::ask_agents(
+        tasks.spawn(load::query_agents(
             Arc::clone(&view),
             neighbours,
             Arc::clone(&remote_load),
--- a/crates/direct/src/remote.rs
+++ b/crates/direct/src/remote.rs
@@ -127,7 +127,7 @@
     }
 
     /// Takes which entries an agent in `data_centre` is asked by.
-    pub(crate) fn hear_entries(&self, data_centre: &str, entries: &[SocketAddr]) {
+    pub(crate) fn add_entries(&self, data_centre: &str, entries: &[SocketAddr]) {
         if entries.is_empty() {
             return;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Says whether others tell of the engines in `data_centre`.
-    pub(crate) fn is_told(&self, data_centre: &str) -> bool {
+    pub(crate) fn is_reported(&self, data_centre: &str) -> bool {
         let abroad = lock(&self.abroad);
         let told_at = abroad.get(data_centre).and_then(|it| it.told_at);
         told_at.is_some_and(|at| at.elapsed() <= TOLD_FOR)
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -152,7 +152,7 @@
             let newest = service.upstreams().take_words(words);
             service.load_updated.notify_waiters();
             if let Some(version) = newest {
-                self.take_held(&model, version);
+                self.record_held(&model, version);
             }
         }
     }
--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -15,7 +15,7 @@
     ///
     /// The age was told after the question, however long the answer took: counted back from the
     /// question it never makes the naming younger than it is.
-    pub(crate) fn learn_naming(&self, naming: &HeardNaming, asked_at: BootTime, from: IpAddr) {
+    pub(crate) fn merge_naming(&self, naming: &HeardNaming, asked_at: BootTime, from: IpAddr) {
         let now = BootTime::now();
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
@@ -33,7 +33,7 @@
     }
 
     /// Takes that an engine of `model` holds `version` whole.
-    pub(crate) fn take_held(&self, model: &str, version: WeightsVersion) {
+    pub(crate) fn record_held(&self, model: &str, version: WeightsVersion) {
         let weights = NamedWeights {
             model: model.to_owned(),
             version,
