--- a/crates/direct/src/answered.rs
+++ b/crates/direct/src/answered.rs
@@ -14,7 +14,8 @@
 where
     D: Dialect,
 {
-    /// Decides from the head of an answer whether the attempt succeeded, and records what it says of the upstream.
+    /// Decides from the head of an answer whether the attempt succeeded, and records what it says of the
+    /// upstream.
     pub(crate) fn on_answer_head(
         &mut self,
         live: Live,
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -25,8 +25,8 @@
 /// Minimum time before the deadline with which another attempt is still made.
 pub(crate) const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(60);
 
-/// Maximum time between two checks of the weights bound of a request that has no first event yet: newer weights
-/// with an earlier bound may be named meanwhile.
+/// Maximum time between two checks of the weights bound of a request that has no first event yet: newer
+/// weights with an earlier bound may be named meanwhile.
 const WEIGHTS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reason in the log for an attempt that is abandoned because its answer stalls.
@@ -46,8 +46,8 @@
 
 /// One request and its attempts.
 ///
-/// Invariant: `may_have_run` is set before the first byte of an attempt is sent, and cleared only if no byte was
-/// sent or the upstream states that it did not run the request.
+/// Invariant: `may_have_run` is set before the first byte of an attempt is sent, and cleared only if no
+/// byte was sent or the upstream states that it did not run the request.
 #[derive(Debug)]
 pub(crate) struct Call<D> {
     pub(crate) cx: Arc<Shared<D>>,
@@ -321,8 +321,8 @@
     /// Returns the time until the next stall check of a stream that has waited for its next event since
     /// `since`. Returns `None` if the stream is to be abandoned at its upstream.
     ///
-    /// A stream without a first event is also abandoned when the bound passes after which no request may begin
-    /// on its weights.
+    /// A stream without a first event is also abandoned when the bound passes after which no request may
+    /// begin on its weights.
     pub(crate) fn next_check(&self, since: Instant, has_begun: bool) -> Option<Duration> {
         let now = Instant::now();
         let pick = self.last_pick.as_ref()?;
--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -10,23 +10,24 @@
 use crate::events;
 use crate::refusal::{LONG_RETRY_AFTER, Refusal};
 
-/// Remote upstreams that are queried before a request goes to another data centre. With three drawn at random, at
-/// least one usually has a free slot unless four in five upstreams are full.
+/// Remote upstreams that are queried before a request goes to another data centre. With three drawn at
+/// random, at least one usually has a free slot unless four in five upstreams are full.
 const REMOTE_QUERIES: usize = 3;
 
-/// Maximum wait for the answers of remote agents: the longest round trip of 6 ms, and the scheduling delay of both
-/// processes.
+/// Maximum wait for the answers of remote agents: the longest round trip of 6 ms, and the scheduling delay
+/// of both processes.
 const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(15);
 
-/// Maximum permit requests for one request, each for another upstream. Later requests skip an upstream without a
-/// permit until one is due.
+/// Maximum permit requests for one request, each for another upstream. Later requests skip an upstream
+/// without a permit until one is due.
 const MAX_PERMIT_REQUESTS: usize = 4;
 
-/// Expected time until a slot is free at a full plain service, where the duration of answers is not predictable.
+/// Expected time until a slot is free at a full plain service, where the duration of answers is not
+/// predictable.
 const PLAIN_SLOT_FREE_IN: Duration = Duration::from_millis(200);
 
-/// Maximum time between two attempts to choose an upstream for a waiting request: the end of a rate limit wait or
-/// of an ejection sends no notification.
+/// Maximum time between two attempts to choose an upstream for a waiting request: the end of a rate limit
+/// wait or of an ejection sends no notification.
 const CHOOSE_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<D> Call<D>
@@ -35,8 +36,8 @@
 {
     /// Chooses an upstream, and records whether there was one for the refusal rate.
     ///
-    /// A request that has not run is refused if there is none. A request that may have run must not be refused as
-    /// not run, and waits for an upstream as long as time for another attempt is left.
+    /// A request that has not run is refused if there is none. A request that may have run must not be
+    /// refused as not run, and waits for an upstream as long as time for another attempt is left.
     ///
     /// # Errors
     ///
@@ -55,8 +56,8 @@
         refusals.count(is_refused, Instant::now());
     }
 
-    /// Waits until an upstream can be chosen in place of the lost one; `first_refusal` is why the first choice
-    /// failed.
+    /// Waits until an upstream can be chosen in place of the lost one; `first_refusal` is why the first
+    /// choice failed.
     async fn await_upstream(&self, first_refusal: Refusal) -> Result<Pick, Refusal> {
         let since = Instant::now();
         let until = self.admitted.deadline.checked_sub(MIN_TIME_FOR_RETRY);
@@ -186,7 +187,8 @@
         refusals.pause(free_in.unwrap_or(PLAIN_SLOT_FREE_IN), left)
     }
 
-    /// Returns `refusal`, or [`Refusal::Unknown`] for a request that may have run and must not be refused as not run.
+    /// Returns `refusal`, or [`Refusal::Unknown`] for a request that may have run and must not be refused
+    /// as not run.
     pub(crate) const fn refuse_or_unknown(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run {
             Refusal::Unknown
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -19,8 +19,8 @@
 use crate::seed::SeedRelay;
 use crate::view::{Service, View};
 
-/// Time between two queries to the agents of the local data centre. An engine starts and ends about one request in
-/// this time.
+/// Time between two queries to the agents of the local data centre. An engine starts and ends about one
+/// request in this time.
 const LOCAL_QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Local rounds for each round of queries to remote data centres, whose links have less bandwidth.
@@ -29,15 +29,15 @@
 /// Local rounds for each repeated relay of crash reports, in fleets without agents.
 const ROUNDS_PER_REPEATED_RELAY: u32 = 10;
 
-/// Mean number of agents that are queried per remote round in a data centre whose entries report its load. These
-/// agents name the entries of their data centre, and learn of namings.
+/// Mean number of agents that are queried per remote round in a data centre whose entries report its load.
+/// These agents name the entries of their data centre, and learn of namings.
 const REMOTE_AGENTS_PER_ROUND: f64 = 2.0;
 
 /// Query rounds whose times are kept, 6.4 s. The round trip of a later answer is unknown.
 const MAX_ROUNDS: usize = 64;
 
-/// How long a reading of an agent's clock is used. A VM with another clock can't replace the agent's VM at the same
-/// address within this time.
+/// How long a reading of an agent's clock is used. A VM with another clock can't replace the agent's VM at
+/// the same address within this time.
 const CLOCK_TTL: Duration = Duration::from_secs(1);
 
 /// Maximum datagram, in bytes.
@@ -182,8 +182,8 @@
 impl AgentClock {
     /// Returns `moment` on the agent's clock.
     ///
-    /// The agent read its clock before this entry received the reading, so the result is never later than `moment`.
-    /// A later result would let requests begin on older weights for too long.
+    /// The agent read its clock before this entry received the reading, so the result is never later than
+    /// `moment`. A later result would let requests begin on older weights for too long.
     fn translate(&self, moment: BootTime) -> BootTime {
         let (before, after) = (self.at.since(moment), moment.since(self.at));
         self.reading.plus(after).minus(before)
@@ -221,7 +221,8 @@
 }
 
 impl QueriedAgent {
-    /// Returns the query of the round `nonce`; an agent whose `clock` is known gets the time of the naming on it.
+    /// Returns the query of the round `nonce`; an agent whose `clock` is known gets the time of the naming
+    /// on it.
     fn query(&self, nonce: u32, clock: Option<AgentClock>) -> Query {
         let naming = self.naming.as_ref();
         let after = naming.and_then(|naming| naming.after);
@@ -240,8 +241,8 @@
     }
 }
 
-/// Returns the agents of the engines by the addresses of their VMs; those of remote data centres only if `remote` is
-/// given.
+/// Returns the agents of the engines by the addresses of their VMs; those of remote data centres only if
+/// `remote` is given.
 fn engine_agents(
     view: &View,
     home: &str,
@@ -270,8 +271,8 @@
 
 /// Returns the agents on the VMs of all upstreams of the local data centre.
 ///
-/// Without a configuration the entry can't tell which upstreams are engines, and needs the agents' answers to learn
-/// from which neighbour the configuration can be read.
+/// Without a configuration the entry can't tell which upstreams are engines, and needs the agents' answers
+/// to learn from which neighbour the configuration can be read.
 fn all_local(view: &View, home: &str) -> BTreeMap<IpAddr, QueriedAgent> {
     let mut agents = BTreeMap::new();
     for service in view.services() {
@@ -297,8 +298,8 @@
 
 /// Adds the agents of remote data centres.
 ///
-/// All agents of a data centre are due if no entry there reports its load. Else a few drawn at random are due, and
-/// those whose engines serve requests of this entry.
+/// All agents of a data centre are due if no entry there reports its load. Else a few drawn at random are
+/// due, and those whose engines serve requests of this entry.
 fn add_remote(
     agents: &mut BTreeMap<IpAddr, QueriedAgent>,
     local: &QueriedAgent,
--- a/crates/direct/src/lost.rs
+++ b/crates/direct/src/lost.rs
@@ -13,8 +13,8 @@
 use crate::pool::Connection;
 use crate::refusal::Refusal;
 
-/// Maximum wait for a new connection to an upstream that lost a request. The longest round trip is 6 ms; a process
-/// that has ended refuses the connection within that time.
+/// Maximum wait for a new connection to an upstream that lost a request. The longest round trip is 6 ms; a
+/// process that has ended refuses the connection within that time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Result of a new connection to an upstream that lost a request.
@@ -35,7 +35,8 @@
 where
     D: Dialect,
 {
-    /// Returns a digest of host, path, customer and body: the same for each repeat of the request by one customer.
+    /// Returns a digest of host, path, customer and body: the same for each repeat of the request by one
+    /// customer.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let path = self.template.uri.path_and_query();
@@ -49,8 +50,8 @@
         })
     }
 
-    /// Returns the short fingerprint for the log entry of a lost attempt, and an empty text for other attempts,
-    /// which say nothing of a crash.
+    /// Returns the short fingerprint for the log entry of a lost attempt, and an empty text for other
+    /// attempts, which say nothing of a crash.
     pub(crate) fn logged_fingerprint(&self, ending: Ending) -> String {
         match ending {
             Ending::Lost => self.fingerprint().short(),
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Records the end of the upstream if the probe shows that it ended; returns the suspicion against the request.
+    /// Records the end of the upstream if the probe shows that it ended; returns the suspicion against the
+    /// request.
     ///
     /// An upstream that was draining ended for a reason of its own, and is not counted against the request.
     pub(crate) fn record_crash(&self, probe: Probe) -> Suspicion {
--- a/crates/direct/src/remote.rs
+++ b/crates/direct/src/remote.rs
@@ -1,12 +1,13 @@
-//! Words of load from other data centres, heard by one entry for all of its own.
+//! Load reports from remote data centres, read by one entry for all entries of its data centre.
 //!
-//! Each entry hears of the engines nearby from their agents. For those of another data centre one entry
-//! asks one entry there for all of them, and its neighbours ask it. So what crosses the links between
-//! regions grows with the data centres and the engines, and not with the entries times the engines:
-//! each entry before each engine, twice a second, took 0.7 of all worth at 300 machines.
+//! Each entry queries the agents of its own data centre. For a remote data centre one entry, the reader,
+//! asks one entry there for the load of all its engines, and the reader's neighbours ask the reader. So the
+//! traffic between regions grows with the number of data centres and engines, and not with entries times
+//! engines: when each entry queried each engine twice a second, that cost 0.7 of the value of all answers
+//! at 300 machines.
 //!
-//! Which entry asks follows from rendezvous ranks, without an election; where it or the entry abroad
-//! does not answer, entries ask the agents abroad themselves as long as that lasts.
+//! The reader follows from rendezvous ranks, without an election. While the reader or the remote entry does
+//! not answer, entries query the remote agents themselves.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -32,86 +33,87 @@
 use crate::events;
 use crate::view::{View, lock};
 
-/// Time between two questions for the load of a data centre.
-const PACE: Duration = Duration::from_millis(500);
+/// Time between two reads of the load of a data centre.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an answer may take: it crosses between regions at most once.
-const TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time for an answer, which crosses between regions at most once.
+const READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a connection may take to be made.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Maximum time to open a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Oldest word that is told on. With the pace of two questions it stays below the 1.5 s for which a word
-/// counts.
-const OLDEST: Duration = Duration::from_millis(700);
+/// Maximum age of a load report that is passed on. Together with the read interval it stays below the 1.5 s
+/// for which a report is used.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(700);
 
-/// How long an answer is given to others without being made anew.
-const GIVEN_FOR: Duration = Duration::from_millis(100);
+/// How long an answer is cached for other entries.
+const ANSWER_TTL: Duration = Duration::from_millis(100);
 
-/// How long a data centre counts as told of after the last answer: two questions, and an answer.
-const TOLD_FOR: Duration = Duration::from_millis(1300);
+/// How long after the last answer the load of a data centre counts as reported: two read intervals and the
+/// time for an answer.
+const REPORTED_TTL: Duration = Duration::from_millis(1300);
 
-/// How long an entry abroad counts as there after an agent named it.
-const NAMED_FOR: Duration = Duration::from_secs(3);
+/// How long a remote entry is used after an agent named it.
+const ENTRY_TTL: Duration = Duration::from_secs(3);
 
-/// Longest answer, in bytes. An engine takes about 100.
-const LONGEST: usize = 1 << 20;
+/// Maximum answer, in bytes. An engine takes about 100 bytes.
+const MAX_ANSWER: usize = 1 << 20;
 
-/// The load of a data centre can't be had.
+/// Why the load of a data centre could not be read.
 #[derive(Debug, Snafu)]
 enum RemoteLoadError {
-    #[snafu(display("no entry there is known: look at the agents of that data centre"))]
-    NobodyKnown,
-    #[snafu(display("{url} is no address ({source}): report this as a bug"))]
+    #[snafu(display("no entry of the data centre is known: check its agents"))]
+    NoEntry,
+    #[snafu(display("{url} is not a valid URL ({source}): report this as a bug"))]
     Address { url: String, source: http::Error },
-    #[snafu(display("no answer ({source}): look at the entry and the link to it"))]
-    Silent { source: PlatformError },
-    #[snafu(display("refused with {status}: run the same version everywhere"))]
+    #[snafu(display("no answer ({source}): check the entry and the link to it"))]
+    NoAnswer { source: PlatformError },
+    #[snafu(display("refused with status {status}: run the same version on all entries"))]
     Refused { status: u16 },
     #[snafu(transparent)]
     Unreadable { source: UnpackError },
-    #[snafu(display("it hears of none of its engines: look at its link"))]
+    #[snafu(display("the entry has no load report of its engines: check its links"))]
     Empty,
 }
 
-/// A word on one engine, as it is told on.
+/// Load report of one engine, as entries pass it on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct ToldWord {
+struct SharedReport {
     #[serde(rename = "i")]
     ip: IpAddr,
-    /// How long before the answer it was heard, in milliseconds.
+    /// Time from its receipt to the answer, in milliseconds.
     #[serde(rename = "h")]
-    heard_ms: u32,
+    received_ms_ago: u32,
     #[serde(flatten)]
     status: LoadStatus,
 }
 
-/// An answer that was made for others.
+/// A cached answer for other entries.
 #[derive(Debug)]
-struct Given {
+struct CachedAnswer {
     at: Instant,
     packed: Packed,
 }
 
-/// What is known of how another data centre is heard of.
+/// Where the load of a remote data centre is read.
 #[derive(Debug, Default)]
-struct Abroad {
-    /// Its entries, by what its agents say, and when they said it.
+struct RemoteDataCentre {
+    /// The entries that its agents named, and when.
     entries: BTreeMap<SocketAddr, Instant>,
-    told_at: Option<Instant>,
-    /// Whom the last answer came from; none if agents are asked.
-    giver: Option<SocketAddr>,
+    answered_at: Option<Instant>,
+    /// The source of the last answer; `None` if agents are queried.
+    source: Option<SocketAddr>,
 }
 
-/// Words of load from other data centres.
+/// Reads load reports of remote data centres, and answers reads of other entries.
 #[derive(Debug)]
 pub(crate) struct RemoteLoad {
     view: Arc<View>,
     neighbours: Arc<Neighbours>,
     client: HttpClient,
     home: DataCentre,
-    abroad: Mutex<BTreeMap<DataCentre, Abroad>>,
-    given: Mutex<BTreeMap<DataCentre, Given>>,
+    data_centres: Mutex<BTreeMap<DataCentre, RemoteDataCentre>>,
+    answers: Mutex<BTreeMap<DataCentre, CachedAnswer>>,
 }
 
 impl RemoteLoad {
@@ -119,42 +121,42 @@
         Self {
             view,
             neighbours,
-            client: HttpClient::with_connect_timeout(CONNECT),
+            client: HttpClient::with_connect_timeout(CONNECT_TIMEOUT),
             home,
-            abroad: Mutex::default(),
-            given: Mutex::default(),
+            data_centres: Mutex::default(),
+            answers: Mutex::default(),
         }
     }
 
-    /// Takes which entries an agent in `data_centre` is asked by.
+    /// Records which entries query an agent in `data_centre`.
     pub(crate) fn add_entries(&self, data_centre: &str, entries: &[SocketAddr]) {
         if entries.is_empty() {
             return;
         }
         let now = Instant::now();
-        let mut abroad = lock(&self.abroad);
-        let known = abroad.entry(data_centre.to_owned()).or_default();
+        let mut data_centres = lock(&self.data_centres);
+        let known = data_centres.entry(data_centre.to_owned()).or_default();
         for entry in entries {
             known.entries.insert(*entry, now);
         }
     }
 
-    /// Says whether others tell of the engines in `data_centre`.
+    /// Returns whether another entry lately reported the load of the engines in `data_centre`.
     pub(crate) fn is_reported(&self, data_centre: &str) -> bool {
-        let abroad = lock(&self.abroad);
-        let told_at = abroad.get(data_centre).and_then(|it| it.told_at);
-        told_at.is_some_and(|at| at.elapsed() <= TOLD_FOR)
+        let data_centres = lock(&self.data_centres);
+        let answered_at = data_centres.get(data_centre).and_then(|it| it.answered_at);
+        answered_at.is_some_and(|at| at.elapsed() <= REPORTED_TTL)
     }
 
-    /// Asks for the load of the other data centres, for as long as it is not dropped.
+    /// Reads the load of the remote data centres periodically, until the future is dropped.
     pub(crate) async fn follow(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(PACE);
+        let mut ticks = tokio::time::interval(READ_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             let data_centres = self.view.engine_data_centres();
-            let abroad = data_centres.iter().filter(|it| **it != self.home);
-            join_all(abroad.map(|data_centre| self.read(data_centre))).await;
+            let remote = data_centres.iter().filter(|it| **it != self.home);
+            join_all(remote.map(|data_centre| self.read(data_centre))).await;
         }
     }
 
@@ -162,137 +164,139 @@
         let own = self.neighbours.own();
         let reader = self.neighbours.first_for(data_centre, BootTime::now());
         let is_reader = reader == own;
-        let giver = if is_reader {
+        let source = if is_reader {
             self.entry_in(data_centre)
         } else {
             Some(reader)
         };
-        match self.read_from(giver, data_centre).await {
-            Ok(words) => {
-                self.view.take_words(&words);
-                self.note_giver(data_centre, giver, "");
+        match self.read_from(source, data_centre).await {
+            Ok(reports) => {
+                self.view.take_words(&reports);
+                self.record_source(data_centre, source, "");
             }
             Err(err) => {
-                match giver.filter(|_| matches!(err, RemoteLoadError::Silent { .. })) {
-                    Some(entry) if is_reader => self.forget(data_centre, entry),
+                match source.filter(|_| matches!(err, RemoteLoadError::NoAnswer { .. })) {
+                    Some(entry) if is_reader => self.remove_entry(data_centre, entry),
                     Some(neighbour) => {
                         self.neighbours.avoid(neighbour, BootTime::now());
                     }
                     None => {}
                 }
-                self.note_giver(data_centre, None, &err.to_string());
+                self.record_source(data_centre, None, &err.to_string());
             }
         }
     }
 
     async fn read_from(
         &self,
-        giver: Option<SocketAddr>,
+        source: Option<SocketAddr>,
         data_centre: &str,
     ) -> Result<Words, RemoteLoadError> {
-        let giver = giver.context(NobodyKnownSnafu)?;
-        let url = format!("http://{giver}/v1/load/{data_centre}");
+        let source = source.context(NoEntrySnafu)?;
+        let url = format!("http://{source}/v1/load/{data_centre}");
         let req = Request::get(&url).body(Body::default());
         let req = req.with_context(|_| AddressSnafu { url: url.clone() })?;
         let sent = Instant::now();
-        let answer = self.client.request_within(req, TIMEOUT).await;
-        let (head, body) = answer.context(SilentSnafu)?.into_parts();
-        let body = collect_body(&url, body, LONGEST, TIMEOUT).await;
-        let body = body.context(SilentSnafu)?;
+        let answer = self.client.request_within(req, READ_TIMEOUT).await;
+        let (head, body) = answer.context(NoAnswerSnafu)?.into_parts();
+        let body = collect_body(&url, body, MAX_ANSWER, READ_TIMEOUT).await;
+        let body = body.context(NoAnswerSnafu)?;
         if head.status != StatusCode::OK {
             let status = head.status.as_u16();
             return RefusedSnafu { status }.fail();
         }
         let age = age_of(&head.headers)?;
-        let told: Vec<ToldWord> = unpack(&head.headers, &body)?;
-        if told.is_empty() {
+        let reports: Vec<SharedReport> = unpack(&head.headers, &body)?;
+        if reports.is_empty() {
             return EmptySnafu.fail();
         }
-        // Counted back from the question, a word never looks younger than it is.
-        let heard_at =
-            |told: &ToldWord| sent.checked_sub(age + Duration::from_millis(told.heard_ms.into()));
-        let word = |told: ToldWord| {
-            let heard_at = heard_at(&told)?;
-            let status = told.status;
-            Some((told.ip, Word { status, heard_at }))
+        // The ages count back from the sending of the request, so a report never looks younger than it is.
+        let heard_at = |report: &SharedReport| {
+            sent.checked_sub(age + Duration::from_millis(report.received_ms_ago.into()))
         };
-        Ok(told.into_iter().filter_map(word).collect())
+        let load = |report: SharedReport| {
+            let heard_at = heard_at(&report)?;
+            let status = report.status;
+            Some((report.ip, Word { status, heard_at }))
+        };
+        Ok(reports.into_iter().filter_map(load).collect())
     }
 
-    /// Returns the entry in `data_centre` to be asked: each reader another.
+    /// Returns the entry in `data_centre` to read from. The rank depends on the reader, so readers spread
+    /// over the entries.
     fn entry_in(&self, data_centre: &str) -> Option<SocketAddr> {
         let own = self.neighbours.own().to_string();
-        let mut abroad = lock(&self.abroad);
-        let known = abroad.get_mut(data_centre)?;
-        known.entries.retain(|_, at| at.elapsed() <= NAMED_FOR);
+        let mut data_centres = lock(&self.data_centres);
+        let known = data_centres.get_mut(data_centre)?;
+        known.entries.retain(|_, at| at.elapsed() <= ENTRY_TTL);
         first_ranked(own.as_bytes(), known.entries.keys().copied())
     }
 
-    fn forget(&self, data_centre: &str, entry: SocketAddr) {
-        if let Some(known) = lock(&self.abroad).get_mut(data_centre) {
+    fn remove_entry(&self, data_centre: &str, entry: SocketAddr) {
+        if let Some(known) = lock(&self.data_centres).get_mut(data_centre) {
             known.entries.remove(&entry);
         }
     }
 
-    /// Notes whom the words of a data centre came from; tells of it once.
-    fn note_giver(&self, data_centre: &str, giver: Option<SocketAddr>, reason: &str) {
+    /// Records the source of the load of a data centre, and logs a change.
+    fn record_source(&self, data_centre: &str, source: Option<SocketAddr>, reason: &str) {
         let before = {
-            let mut abroad = lock(&self.abroad);
-            let known = abroad.entry(data_centre.to_owned()).or_default();
-            if giver.is_some() {
-                known.told_at = Some(Instant::now());
+            let mut data_centres = lock(&self.data_centres);
+            let known = data_centres.entry(data_centre.to_owned()).or_default();
+            if source.is_some() {
+                known.answered_at = Some(Instant::now());
             }
-            std::mem::replace(&mut known.giver, giver)
+            std::mem::replace(&mut known.source, source)
         };
-        if before != giver {
-            let giver = giver.map_or_else(|| "agents".to_owned(), |it| it.to_string());
+        if before != source {
+            let source = source.map_or_else(|| "agents".to_owned(), |it| it.to_string());
             events::FAR_WORDS.emit(&[
                 ("data_centre", data_centre),
-                ("giver", &giver),
+                ("giver", &source),
                 ("reason", reason),
             ]);
         }
     }
 
-    /// Returns what this entry knows of the engines in `data_centre`, and how old the answer is.
-    fn give(&self, data_centre: &str) -> (Packed, Duration) {
+    /// Returns this entry's load reports of the engines in `data_centre`, and the age of the answer.
+    fn answer(&self, data_centre: &str) -> (Packed, Duration) {
         let now = Instant::now();
-        let mut given = lock(&self.given);
-        let last = given.get(data_centre);
-        if let Some(last) = last.filter(|it| it.at.elapsed() <= GIVEN_FOR) {
+        let mut answers = lock(&self.answers);
+        let last = answers.get(data_centre);
+        if let Some(last) = last.filter(|it| it.at.elapsed() <= ANSWER_TTL) {
             return (last.packed.clone(), last.at.elapsed());
         }
-        let told = |(ip, word): (IpAddr, Word)| {
-            let heard = now.saturating_duration_since(word.heard_at).as_millis();
-            ToldWord {
+        let shared = |(ip, load): (IpAddr, Word)| {
+            let received_ago = now.saturating_duration_since(load.heard_at).as_millis();
+            SharedReport {
                 ip,
-                heard_ms: u32::try_from(heard).unwrap_or(u32::MAX),
-                status: word.status,
+                received_ms_ago: u32::try_from(received_ago).unwrap_or(u32::MAX),
+                status: load.status,
             }
         };
-        let words = self.view.words(data_centre, OLDEST, now);
-        let words: Vec<ToldWord> = words.into_iter().map(told).collect();
-        let packed = Packed::new(&words);
-        let fresh = Given {
+        let reports = self.view.words(data_centre, MAX_REPORT_AGE, now);
+        let reports: Vec<SharedReport> = reports.into_iter().map(shared).collect();
+        let packed = Packed::new(&reports);
+        let fresh = CachedAnswer {
             at: now,
             packed: packed.clone(),
         };
-        given.insert(data_centre.to_owned(), fresh);
+        answers.insert(data_centre.to_owned(), fresh);
         (packed, Duration::ZERO)
     }
 }
 
-/// Returns the routes on which other entries ask for load.
-pub(crate) fn router(words: Arc<RemoteLoad>) -> Router {
+/// Returns the routes on which other entries read load.
+pub(crate) fn router(remote_load: Arc<RemoteLoad>) -> Router {
     Router::new()
-        .route("/v1/load/{data_centre}", get(give))
-        .with_state(words)
+        .route("/v1/load/{data_centre}", get(answer_load))
+        .with_state(remote_load)
 }
 
-async fn give(
-    State(words): State<Arc<RemoteLoad>>,
+async fn answer_load(
+    State(remote_load): State<Arc<RemoteLoad>>,
     Path(data_centre): Path<DataCentre>,
 ) -> Response {
-    let (packed, age) = words.give(&data_centre);
+    let (packed, age) = remote_load.answer(&data_centre);
     packed.answer(age)
 }
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -1,4 +1,4 @@
-//! What the entry believes of its fleet, each belief with its age.
+//! The last known state of the fleet: configuration, upstreams and namings, with the age of each topic.
 
 mod naming;
 
@@ -19,11 +19,11 @@
 use crate::pool::Pool;
 use wagtailreel_route::direct::{Naming, NamingBounds, Namings, Pressure, Upstreams, Words};
 
-/// Retries that this entry may save up for each service. The budget is one for all entries; with
-/// 8 entries they spend 40 of the 104 that the users allow beyond the share of the requests.
+/// Maximum retries that this entry may save up for each service. The users allow all entries together 104
+/// retries beyond the share of the requests; 8 entries spend at most 40 of these.
 const RETRY_BURST: f64 = 5.0;
 
-/// One service: its upstreams, its retries and its connections, each under a lock of its own.
+/// One service: its upstreams, retry budget, refusal rate and connections, each under a separate lock.
 #[derive(Debug)]
 pub(crate) struct Service {
     upstreams: Mutex<Upstreams>,
@@ -50,21 +50,21 @@
     }
 }
 
-/// Bounds of what the entry believes.
+/// Limits from the settings that apply to all services.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Bounds {
-    /// How long older weights may still be used.
+    /// How long requests may begin on older weights after newer ones are named.
     pub(crate) weights: NamingBounds,
-    /// Retries for each request.
+    /// Retries that each request adds to the budget.
     pub(crate) retry_ratio: f64,
 }
 
-/// What the entry believes of its fleet.
+/// The last known state of the fleet.
 #[derive(Debug)]
 pub(crate) struct View {
     data_centre: DataCentre,
     regions: BTreeMap<DataCentre, Region>,
-    /// Entries that the settings of all entries name.
+    /// Entries that the settings of all entries name as seeds.
     seeds: Vec<IpAddr>,
     bounds: Bounds,
     directory: RwLock<Option<Arc<Directory>>>,
@@ -72,12 +72,12 @@
     services: RwLock<BTreeMap<ServiceName, Arc<Service>>>,
     homes: Mutex<BTreeMap<UpstreamId, ServiceName>>,
     namings: Mutex<Namings>,
-    /// Others know of newer weights than were read.
+    /// Notified when other processes report newer weights than the registry has named to this entry.
     read_due: Notify,
     started: BootTime,
-    /// The registry was away and came back since the start.
-    saw_return: AtomicBool,
-    /// When the last call for the settings that the registry did not answer was sent.
+    /// Whether the registry was unreachable and answered again since the start.
+    registry_returned: AtomicBool,
+    /// When the last read of the settings was sent that the registry did not answer.
     unanswered: Mutex<Option<BootTime>>,
 }
 
@@ -99,12 +99,12 @@
             namings: Mutex::new(Namings::new(bounds.weights)),
             read_due: Notify::new(),
             started: BootTime::now(),
-            saw_return: AtomicBool::new(false),
+            registry_returned: AtomicBool::new(false),
             unanswered: Mutex::default(),
         }
     }
 
-    /// Names entries that all entries know.
+    /// Sets the entries that the settings name as seeds.
     pub(crate) fn with_seeds(mut self, seeds: Vec<IpAddr>) -> Self {
         self.seeds = seeds;
         self
@@ -114,7 +114,7 @@
         &self.seeds
     }
 
-    /// Returns the services whose upstreams are engines, each with its model.
+    /// Returns the services whose upstreams are engines, each with the model that it serves.
     pub(crate) fn engine_services(&self) -> Vec<(Arc<Service>, ModelName)> {
         let Some(directory) = self.directory() else {
             return Vec::new();
@@ -126,7 +126,7 @@
         engines.collect()
     }
 
-    /// Returns the data centres in which engines stand.
+    /// Returns the data centres that have engines.
     pub(crate) fn engine_data_centres(&self) -> BTreeSet<DataCentre> {
         let mut data_centres = BTreeSet::new();
         for (service, _) in self.engine_services() {
@@ -137,19 +137,19 @@
         data_centres
     }
 
-    /// Returns the words on engines in `data_centre` that are no older than `oldest`.
+    /// Returns the load reports of engines in `data_centre` that are no older than `oldest`.
     pub(crate) fn words(&self, data_centre: &str, oldest: Duration, now: Instant) -> Words {
-        let mut words = Words::new();
+        let mut reports = Words::new();
         for (service, _) in self.engine_services() {
-            words.extend(service.upstreams().words(data_centre, oldest, now));
+            reports.extend(service.upstreams().words(data_centre, oldest, now));
         }
-        words
+        reports
     }
 
-    /// Takes what another entry heard of engines.
-    pub(crate) fn take_words(&self, words: &Words) {
+    /// Merges load reports that another entry received.
+    pub(crate) fn take_words(&self, reports: &Words) {
         for (service, model) in self.engine_services() {
-            let newest = service.upstreams().take_words(words);
+            let newest = service.upstreams().take_words(reports);
             service.load_updated.notify_waiters();
             if let Some(version) = newest {
                 self.record_held(&model, version);
@@ -163,13 +163,14 @@
         directory.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns how long ago the registry last confirmed what is believed of `topic`.
+    /// Returns the time since the registry last confirmed the known state of `topic`. Returns `None` if it
+    /// never has.
     pub(crate) fn age(&self, topic: Topic) -> Option<Duration> {
         let as_of = lock(&self.confirmed).get(&topic).copied()?;
         Some(BootTime::now().since(as_of))
     }
 
-    /// Returns a service, made empty if it is new.
+    /// Returns a service, and creates it without upstreams if it is new.
     pub(crate) fn service(&self, name: &str) -> Arc<Service> {
         let services = self.services.read();
         if let Some(service) = services.unwrap_or_else(PoisonError::into_inner).get(name) {
@@ -207,18 +208,18 @@
         lock(&self.namings).least_version(model, BootTime::now())
     }
 
-    /// Returns the newest weights of `model` that are named.
+    /// Returns the naming of the newest version of `model`.
     pub(crate) fn newest_weights(&self, model: &str) -> Option<Naming> {
         lock(&self.namings).newest(model)
     }
 
-    /// Returns how much longer a request may wait to begin on `version` of `model`; none if nothing
-    /// newer is named.
+    /// Returns the time left in which a request may begin on `version` of `model`. Returns `None` if no
+    /// newer version is named.
     pub(crate) fn begin_within(&self, model: &str, version: WeightsVersion) -> Option<Duration> {
         lock(&self.namings).begin_within(model, version, BootTime::now())
     }
 
-    fn take_directory(&self, directory: Directory) {
+    fn apply_directory(&self, directory: Directory) {
         let slot = self.directory.write();
         let mut slot = slot.unwrap_or_else(PoisonError::into_inner);
         let before = slot.as_ref().map(|it| it.version());
@@ -238,7 +239,7 @@
         }
     }
 
-    fn take_upstream(&self, upstream: Upstream) {
+    fn apply_upstream(&self, upstream: Upstream) {
         let service = self.service(&upstream.service);
         let home = lock(&self.homes).insert(upstream.id.clone(), upstream.service.clone());
         if let Some(home) = home
@@ -276,19 +277,19 @@
 impl Sink for View {
     fn apply(&self, change: Change) {
         match change {
-            Change::Config(directory) => self.take_directory(*directory),
-            Change::Weights(weights) => self.take_weights(&weights),
-            Change::Upstream(upstream) => self.take_upstream(*upstream),
+            Change::Config(directory) => self.apply_directory(*directory),
+            Change::Weights(weights) => self.apply_weights(&weights),
+            Change::Upstream(upstream) => self.apply_upstream(*upstream),
             Change::Gone(id) => self.remove_upstream(&id),
-            // The follower has told of it. Of the settings the last good belief stays; a record of an
-            // upstream names none any more.
+            // The follower has logged the unreadable record. The last readable settings stay in force,
+            // whereas an upstream without a readable record is removed.
             Change::Unreadable { key, .. } => self.remove_upstream(&key),
         }
     }
 
     fn returned(&self, topic: Topic, unanswered: Option<BootTime>) {
         if topic == Topic::Settings {
-            self.saw_return.store(true, Ordering::Relaxed);
+            self.registry_returned.store(true, Ordering::Relaxed);
             let mut known = lock(&self.unanswered);
             *known = unanswered.max(*known);
         }
@@ -308,7 +309,8 @@
     }
 }
 
-/// Locks a mutex; what a panicking thread left is still sound, since every change is one step.
+/// Locks a mutex, also after a thread panicked with it: each change is a single step, so the state stays
+/// consistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -1,4 +1,4 @@
-//! What the entry is told of the weights that are named.
+//! Namings that the entry learns of from the registry, agents and engines.
 
 use std::net::IpAddr;
 use std::sync::atomic::Ordering;
@@ -11,16 +11,17 @@
 use crate::events;
 
 impl View {
-    /// Takes when weights were not named yet by the agent at `from`, which was asked at `asked_at`.
+    /// Merges a naming that the agent at `from` reported in answer to a query sent at `asked_at`, with a
+    /// time at which the weights were not named yet.
     ///
-    /// The age was told after the question, however long the answer took: counted back from the
-    /// question it never makes the naming younger than it is.
+    /// The agent computed the age after the query was sent. Counted back from the sending, the age never
+    /// makes the naming younger than it is, however long the answer took.
     pub(crate) fn merge_naming(&self, naming: &HeardNaming, asked_at: BootTime, from: IpAddr) {
         let now = BootTime::now();
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
-        let binding_from =
-            self.take_missed(|namings| namings.take_word(&naming.weights, after, read_as_of, now));
+        let binding_from = self
+            .merge_reported(|namings| namings.take_word(&naming.weights, after, read_as_of, now));
         if let Some(binding_from) = binding_from {
             events::NAMING_LEARNED.emit(&[
                 ("model", &naming.weights.model),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Takes that an engine of `model` holds `version` whole.
+    /// Records that an engine of `model` holds all chunks of `version`.
     pub(crate) fn record_held(&self, model: &str, version: WeightsVersion) {
         let weights = NamedWeights {
             model: model.to_owned(),
@@ -40,49 +41,50 @@
         };
         let now = BootTime::now();
         let read_as_of = self.read_as_of();
-        let binding_from = self.take_missed(|namings| namings.take_held(&weights, read_as_of, now));
-        tell_named(&weights, Told::Held, binding_from, now);
+        let binding_from =
+            self.merge_reported(|namings| namings.take_held(&weights, read_as_of, now));
+        log_naming(&weights, Told::Held, binding_from, now);
     }
 
-    /// Takes weights that others know of, and has the registry read where that has to show whether their
-    /// naming was missed.
-    fn take_missed<F, T>(&self, take: F) -> T
+    /// Merges weights that other processes report, and triggers a read of the registry if only that can
+    /// show whether this entry missed their naming.
+    fn merge_reported<F, T>(&self, merge: F) -> T
     where
         F: FnOnce(&mut Namings) -> T,
     {
         let mut namings = lock(&self.namings);
-        let taken = take(&mut namings);
+        let merged = merge(&mut namings);
         if namings.take_read_due() {
             self.read_due.notify_one();
         }
-        taken
+        merged
     }
 
-    /// Returns the moment of which the last read of the settings speaks.
+    /// Returns the time whose state the last read of the settings shows.
     fn read_as_of(&self) -> Option<BootTime> {
         lock(&self.confirmed).get(&Topic::Settings).copied()
     }
 
-    pub(super) fn take_weights(&self, weights: &NamedWeights) {
+    pub(super) fn apply_weights(&self, weights: &NamedWeights) {
         let now = BootTime::now();
-        let told = if self.read_as_of().is_some() {
-            self.news(now)
-        } else if self.saw_return.load(Ordering::Relaxed) {
+        let source = if self.read_as_of().is_some() {
+            self.named_since_last_read(now)
+        } else if self.registry_returned.load(Ordering::Relaxed) {
             Told::AfterOutage
         } else {
             Told::BeforeStart(self.started)
         };
-        let binding_from = lock(&self.namings).take(weights, told, now);
-        tell_named(weights, told, binding_from, now);
+        let binding_from = lock(&self.namings).take(weights, source, now);
+        log_naming(weights, source, binding_from, now);
     }
 
-    /// Returns how weights that the registry names now are told.
+    /// Returns the source for weights that the registry has named since the last read.
     ///
-    /// They were named after the last read that did not know them. Counted from when it is heard of, the bound
-    /// of a process that stood still, or reads through one that does, would end as much later. The time in which
-    /// the registry left calls unanswered does not count.
-    fn news(&self, now: BootTime) -> Told {
-        // Without a read before there is nothing that the weights could be news to.
+    /// Their bound counts from the last read, which did not show them. If it counted from their receipt,
+    /// the bound would end later by the time for which this process, or the one that it reads through, was
+    /// suspended. The time in which the registry left calls unanswered does not count.
+    fn named_since_last_read(&self, now: BootTime) -> Told {
+        // Only called after a first read; without one the weights count as named now.
         let after = self.read_as_of().unwrap_or(now);
         let unanswered = *lock(&self.unanswered);
         Told::News {
@@ -92,18 +94,18 @@
     }
 }
 
-/// Tells of weights from which on nothing older may begin; of nothing where they are no news.
-fn tell_named(weights: &NamedWeights, told: Told, binding_from: Option<BootTime>, now: BootTime) {
+/// Logs a naming and when it becomes binding; logs nothing if the naming is not new.
+fn log_naming(weights: &NamedWeights, source: Told, binding_from: Option<BootTime>, now: BootTime) {
     let Some(binding_from) = binding_from else {
         return;
     };
-    let age = told
+    let age = source
         .after()
         .map_or_else(|| "unknown".to_owned(), |after| millis(now.since(after)));
     events::WEIGHTS_NAMED.emit(&[
         ("model", &weights.model),
         ("version", &weights.version.to_string()),
-        ("told", &told.to_string()),
+        ("told", &source.to_string()),
         ("age_ms", &age),
         ("binding_in_ms", &millis(binding_from.since(now))),
     ]);
