--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -1,4 +1,4 @@
-//! The way to the agents beside engines.
+//! Client of the agents beside engines, over UDP.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,41 +13,41 @@
 
 use crate::view::lock;
 
-/// Nonce of a question that is asked for one request. Rounds are counted from 1, and what an agent tells unasked
-/// carries 0.
-pub(crate) const OUT_OF_TURN: u32 = u32::MAX;
+/// Nonce of a query on behalf of one request. Periodic rounds count from 1, and an agent's unsolicited
+/// datagrams carry 0.
+pub(crate) const REQUEST_QUERY_NONCE: u32 = u32::MAX;
 
-/// Longest wait for an agent's permit: the longest way there and back takes 6 ms.
-const PERMIT_PATIENCE: Duration = Duration::from_millis(20);
+/// Maximum wait for an agent's permit. The longest round trip takes 6 ms.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How long an agent that left a question for a permit open is passed over.
-const SILENT_FOR: Duration = Duration::from_secs(3);
+/// How long an agent that did not answer a permit request gets no other one.
+const SILENT_BACKOFF: Duration = Duration::from_secs(3);
 
-/// The way to the agents beside engines.
+/// Client of the agents beside engines.
 #[derive(Clone, Debug)]
 pub(crate) struct Agents {
     socket: Arc<UdpSocket>,
     port: u16,
-    /// Entries that do what agents do in a fleet without any; they listen on the port of this one.
+    /// Entries that act as agents in a fleet without agents; they listen on the port of this entry.
     seeds: Arc<[IpAddr]>,
     own: SocketAddr,
-    permits: Arc<Mutex<AskedPermits>>,
+    permits: Arc<Mutex<PermitRequests>>,
 }
 
-/// Permits that were asked for.
+/// State of permit requests.
 #[derive(Debug, Default)]
-struct AskedPermits {
-    /// Who waits for an answer, by its nonce.
+struct PermitRequests {
+    /// Open requests by nonce.
     waiting: BTreeMap<u32, oneshot::Sender<Duration>>,
     last: u32,
-    /// Agents that did not answer, and until when they are passed over.
+    /// Agents that did not answer, and the time until which they get no request.
     silent: BTreeMap<IpAddr, Instant>,
-    /// The entry's own share where there are no agents.
-    alone: Permits,
+    /// Permits out of the entry's own share, if there are no agents.
+    uncoordinated: Permits,
 }
 
 impl Agents {
-    /// Makes the way of the entry at `own` to agents that listen on `port` of their VMs.
+    /// Creates the client of the entry at `own` for agents that listen on `port` of their VMs.
     pub(crate) fn new(socket: UdpSocket, own: SocketAddr, port: u16, seeds: &[IpAddr]) -> Self {
         Self {
             socket: Arc::new(socket),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Says whether a datagram from `from` is this entry's own.
+    /// Returns whether `from` is the address of this entry.
     pub(crate) fn is_own(&self, from: SocketAddr) -> bool {
         from == self.own
     }
@@ -67,9 +67,9 @@
         &self.socket
     }
 
-    /// Asks the agent on the VM `ip` for leave to send one request to an upstream that names a limit; returns
-    /// how long the upstream has no room yet, or none if the agent does not answer.
-    pub(crate) async fn ask_permit(&self, ip: IpAddr, ask: AskPermit) -> Option<Duration> {
+    /// Requests a permit from the agent on the VM `ip` to send one request to an upstream that has a rate
+    /// limit. Returns the time until a permit is due, or `None` if the agent does not answer.
+    pub(crate) async fn request_permit(&self, ip: IpAddr, req: AskPermit) -> Option<Duration> {
         let (tx, rx) = oneshot::channel();
         let nonce = {
             let mut permits = lock(&self.permits);
@@ -78,38 +78,45 @@
             permits.waiting.insert(nonce, tx);
             nonce
         };
-        self.send_datagram(ip, &Datagram::AskPermit(AskPermit { nonce, ..ask }));
-        let answer = tokio::time::timeout(PERMIT_PATIENCE, rx).await;
+        self.send_datagram(ip, &Datagram::AskPermit(AskPermit { nonce, ..req }));
+        let answer = tokio::time::timeout(PERMIT_TIMEOUT, rx).await;
         let mut permits = lock(&self.permits);
         permits.waiting.remove(&nonce);
         if answer.is_err() {
-            permits.silent.insert(ip, Instant::now() + SILENT_FOR);
+            permits.silent.insert(ip, Instant::now() + SILENT_BACKOFF);
         }
         answer.ok()?.ok()
     }
 
-    /// Tells the agent on the VM `ip` that an upstream names no limit any more.
-    pub(crate) fn tell_withdrawn(&self, ip: IpAddr, withdrawn: AskPermit) {
+    /// Notifies the agent on the VM `ip` that an upstream no longer has a limit.
+    pub(crate) fn send_withdrawal(&self, ip: IpAddr, withdrawn: AskPermit) {
         self.send_datagram(ip, &Datagram::AskPermit(withdrawn));
     }
 
-    /// Gives a permit out of the entry's own share, where there is no agent to ask; returns how long there is
-    /// none yet.
-    pub(crate) fn permit_alone(&self, id: &str, limit: Limit, named_at: Instant) -> Duration {
+    /// Takes a permit out of the entry's own share, if no agent issues permits. Returns the time until one
+    /// is due.
+    pub(crate) fn permit_uncoordinated(
+        &self,
+        id: &str,
+        limit: Limit,
+        named_at: Instant,
+    ) -> Duration {
         let mut permits = lock(&self.permits);
-        permits.alone.ask(id, limit, named_at, Instant::now())
+        permits
+            .uncoordinated
+            .ask(id, limit, named_at, Instant::now())
     }
 
-    /// Takes an agent's answer to a question for a permit.
-    pub(crate) fn take_permit(&self, permit: &Permit) {
+    /// Passes an agent's permit on to the request that waits for it.
+    pub(crate) fn on_permit(&self, permit: &Permit) {
         let waiting = lock(&self.permits).waiting.remove(&permit.nonce);
         if let Some(waiting) = waiting {
-            // Whoever asked may have left.
+            // The request that asked may have been dropped.
             let _ = waiting.send(Duration::from_millis(permit.wait_ms.into()));
         }
     }
 
-    /// Says whether the agent on the VM `ip` left a question for a permit open lately.
+    /// Returns whether the agent on the VM `ip` lately did not answer a permit request.
     pub(crate) fn is_silent(&self, ip: IpAddr) -> bool {
         let now = Instant::now();
         let mut permits = lock(&self.permits);
@@ -117,44 +124,44 @@
         permits.silent.contains_key(&ip)
     }
 
-    /// Tells the agent on the VM `ip` of a request that is about to go to its engine, whose prompt
-    /// takes `reading`.
-    pub(crate) fn announce(&self, ip: IpAddr, reading: Duration) {
+    /// Announces to the agent on the VM `ip` a request to its engine with `prefill` as the time to prefill
+    /// its prompt.
+    pub(crate) fn announce(&self, ip: IpAddr, prefill: Duration) {
         self.send(
             ip,
             Query {
-                sends_us: Some(u32::try_from(reading.as_micros()).unwrap_or(u32::MAX)),
+                sends_us: Some(u32::try_from(prefill.as_micros()).unwrap_or(u32::MAX)),
                 ..Query::default()
             },
         );
     }
 
-    /// Asks the agent on the VM `ip` how its engine is, out of turn.
+    /// Queries the agent on the VM `ip` for the load of its engine, outside the periodic rounds.
     pub(crate) fn query_load(&self, ip: IpAddr) {
         self.send(
             ip,
             Query {
-                nonce: OUT_OF_TURN,
+                nonce: REQUEST_QUERY_NONCE,
                 ..Query::default()
             },
         );
     }
 
-    /// Tells the agents on the VMs `ips` of requests that upstreams ended under.
-    pub(crate) fn tell(&self, ips: &[IpAddr], ended: &[EndedUnder]) {
+    /// Sends crash reports to the agents on the VMs `ips`.
+    pub(crate) fn send_reports(&self, ips: &[IpAddr], reports: &[EndedUnder]) {
         for ip in ips {
-            self.tell_one(self.addr_of(*ip), ended);
+            self.send_reports_to(self.addr_of(*ip), reports);
         }
     }
 
-    /// Tells the process at `addr` of requests that upstreams ended under.
-    pub(crate) fn tell_one(&self, addr: SocketAddr, ended: &[EndedUnder]) {
-        for ended in ended.chunks(ENDED_A_DATAGRAM) {
-            self.send_to(addr, &Datagram::Ended(ended.to_vec()));
+    /// Sends crash reports to the process at `addr`.
+    pub(crate) fn send_reports_to(&self, addr: SocketAddr, reports: &[EndedUnder]) {
+        for reports in reports.chunks(ENDED_A_DATAGRAM) {
+            self.send_to(addr, &Datagram::Ended(reports.to_vec()));
         }
     }
 
-    /// Asks, or tells, the agent on the VM `ip`.
+    /// Sends a query or an announcement to the agent on the VM `ip`.
     pub(crate) fn send(&self, ip: IpAddr, query: Query) {
         self.send_datagram(ip, &Datagram::Query(query));
     }
@@ -165,7 +172,7 @@
 
     /// Sends a datagram to the process at `addr`.
     pub(crate) fn send_to(&self, addr: SocketAddr, datagram: &Datagram) {
-        // What is lost is made up for by the next question, or told again.
+        // A lost datagram is made up for by the next query, or by a repeated report.
         let _ = self.socket.try_send_to(&datagram.to_bytes(), addr);
     }
 
--- a/crates/direct/src/issuers.rs
+++ b/crates/direct/src/issuers.rs
@@ -1,5 +1,5 @@
-//! Processes that entries turn to with what concerns all of them: the same ones at each entry. These are
-//! agents, or in a fleet without any the entries that the settings name as seeds.
+//! Choice of the processes that coordinate entries, the same at each entry: agents, or the seeds of the
+//! settings in a fleet without agents.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -9,12 +9,12 @@
 
 use crate::view::View;
 
-/// Agents of a data centre at which what entries tell of a matter meets. One may be gone.
+/// Agents per data centre that get the reports on one key, so that one of them may be unreachable.
 const RENDEZVOUS_AGENTS: usize = 2;
 
 impl View {
-    /// Returns the VMs whose agents all entries tell of the matter `key`: in each data centre the first by
-    /// rendezvous rank, so that entries that never heard of each other tell the same ones.
+    /// Returns the VMs whose agents get the reports of all entries on `key`: in each data centre the first
+    /// by rendezvous rank, so that entries that don't know of each other report to the same agents.
     pub(crate) fn rendezvous_agents(&self, key: &[u8]) -> Vec<IpAddr> {
         let mut ranked: BTreeMap<DataCentre, BTreeSet<(u64, IpAddr)>> = BTreeMap::new();
         for (data_centre, ip) in self.agents() {
@@ -27,8 +27,8 @@
         ips.map(|(_, ip)| ip).collect()
     }
 
-    /// Returns the VMs whose agents give permits for an upstream, the same for all entries: the one beside
-    /// an engine, then those of its data centre by rank, then any.
+    /// Returns the VMs whose agents issue permits for an upstream, the same for all entries: the agent
+    /// beside an engine first, then the agents of its data centre by rank, then any other.
     pub(crate) fn permit_issuers(&self, pick: &Pick, is_engine: bool) -> Vec<IpAddr> {
         let own = Some(pick.addr.ip()).filter(|_| is_engine);
         let rank = |(data_centre, ip): (DataCentre, IpAddr)| {
@@ -44,7 +44,8 @@
             .collect()
     }
 
-    /// Says whether any engine is registered, beside which an agent stands.
+    /// Returns whether the fleet has agents: whether any engine is registered, since each has an agent
+    /// beside it.
     pub(crate) fn has_agents(&self) -> bool {
         self.engine_services().into_iter().any(|(service, _)| {
             let upstreams = service.upstreams();
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Returns the VMs that have agents: those of the engines, or the seeds where there are none.
+    /// Returns the VMs that have agents: those of the engines, or the seeds if there are no engines.
     fn agents(&self) -> BTreeSet<(DataCentre, IpAddr)> {
         let mut agents = BTreeSet::new();
         for (service, _) in self.engine_services() {
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name for all entries together.
+//! Rate limits that upstreams set for all entries together.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -11,25 +11,25 @@
 use crate::events;
 use crate::live::Live;
 
-/// Share of a limit that an entry takes in a fleet without agents whose seeds don't answer: none knows how many
-/// entries there are.
-const ALONE_SHARE: f64 = 0.1;
+/// Share of a limit that each entry uses in a fleet without agents whose seeds don't answer, where no entry
+/// knows the number of entries.
+const UNCOORDINATED_SHARE: f64 = 0.1;
 
-/// How long an upstream with a limit gets no request where no agent answers.
-const WITHOUT_ANSWER: Duration = Duration::from_millis(500);
+/// How long an upstream with a limit gets no request from this entry after no agent answered.
+const NO_ANSWER_BACKOFF: Duration = Duration::from_millis(500);
 
 impl<D> Call<D>
 where
     D: Dialect,
 {
-    /// Asks for leave to send a request to an upstream that names a limit; notes how long there is no
-    /// room. Others need none.
+    /// Requests a permit to send to an upstream that has a rate limit, and records how long none is due. An
+    /// upstream without a limit needs no permit.
     pub(crate) async fn is_permitted(&self, pick: &Pick) -> bool {
         let Some((limit, named_at)) = self.service.upstreams().limit(&pick.id) else {
             return true;
         };
         let wait = self.permit(pick, limit, named_at).await;
-        let wait = wait.unwrap_or(WITHOUT_ANSWER);
+        let wait = wait.unwrap_or(NO_ANSWER_BACKOFF);
         if !wait.is_zero() {
             let mut upstreams = self.service.upstreams();
             upstreams.limited(&pick.id, wait, Instant::now());
@@ -37,37 +37,38 @@
         wait.is_zero()
     }
 
-    /// Asks the first agent that answers, one at most; a later one gives less, so that all that give to
-    /// different entries together keep to what upstreams are promised.
+    /// Requests a permit from the first agent that is not silent, and from no other. An agent later in the
+    /// order issues a smaller share, so that agents that issue to different entries together keep the
+    /// limit.
     async fn permit(&self, pick: &Pick, limit: Limit, named_at: Instant) -> Option<Duration> {
         let agents = &self.cx.agents;
         let issuers = self.permit_issuers(pick);
         let mut issuers = issuers.into_iter().zip(GIVER_SHARES).enumerate();
-        let answers = issuers.find(|(_, (ip, _))| !agents.is_silent(*ip));
-        // Seeds may be gone for good, where agents come back with their engines.
-        if answers.is_none() && !self.cx.view.has_agents() {
-            let limit = Limit::new(limit.per_second() * ALONE_SHARE)?;
-            return Some(agents.permit_alone(&pick.id, limit, named_at));
+        let first = issuers.find(|(_, (ip, _))| !agents.is_silent(*ip));
+        // Seeds may be gone for good, whereas agents come back with their engines.
+        if first.is_none() && !self.cx.view.has_agents() {
+            let limit = Limit::new(limit.per_second() * UNCOORDINATED_SHARE)?;
+            return Some(agents.permit_uncoordinated(&pick.id, limit, named_at));
         }
-        let (place, (ip, share)) = answers?;
-        let ask = AskPermit {
-            is_stand_in: place > 0,
-            ..ask(&pick.id, limit.per_second() * share, named_at)
+        let (position, (ip, share)) = first?;
+        let req = AskPermit {
+            is_stand_in: position > 0,
+            ..permit_request(&pick.id, limit.per_second() * share, named_at)
         };
-        agents.ask_permit(ip, ask).await
+        agents.request_permit(ip, req).await
     }
 
-    /// Tells the agents that give permits for an upstream that it names no limit any more.
-    fn tell_withdrawn(&self, limit: Limit) {
+    /// Notifies the agents that issue permits for the upstream that it no longer has a limit.
+    fn send_withdrawal(&self, limit: Limit) {
         let Some(pick) = &self.last_pick else {
             return;
         };
         let withdrawn = AskPermit {
             is_withdrawn: true,
-            ..ask(&pick.id, limit.per_second(), self.sent_at)
+            ..permit_request(&pick.id, limit.per_second(), self.sent_at)
         };
         for ip in self.permit_issuers(pick) {
-            self.cx.agents.tell_withdrawn(ip, withdrawn.clone());
+            self.cx.agents.send_withdrawal(ip, withdrawn.clone());
         }
     }
 
@@ -76,7 +77,7 @@
         self.cx.view.permit_issuers(pick, is_engine)
     }
 
-    /// Takes what an answer says of its upstream's limit.
+    /// Records the rate limit that an answer states for its upstream, and logs a change.
     pub(crate) fn record_limit(&self, live: &Live) {
         let named = live.marks.limit;
         let id = live.upstream();
@@ -88,7 +89,7 @@
             return;
         }
         if let (NamedLimit::None, Some((limit, _))) = (named, before) {
-            self.tell_withdrawn(limit);
+            self.send_withdrawal(limit);
         }
         let now = match named {
             NamedLimit::None => String::new(),
@@ -105,7 +106,7 @@
     }
 }
 
-fn ask(id: &str, per_second: f64, at: Instant) -> AskPermit {
+fn permit_request(id: &str, per_second: f64, at: Instant) -> AskPermit {
     let age = at.elapsed().as_millis();
     AskPermit {
         nonce: 0,
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -12,7 +12,7 @@
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_route::direct::{Member, Naming};
 
-use crate::agents::{Agents, OUT_OF_TURN};
+use crate::agents::{Agents, REQUEST_QUERY_NONCE};
 use crate::events;
 use crate::quarantine_sync::QuarantineSync;
 use crate::remote::RemoteLoad;
@@ -106,7 +106,7 @@
                         continue;
                     }
                     Ok(Datagram::Permit(permit)) => {
-                        agents.take_permit(&permit);
+                        agents.on_permit(&permit);
                         continue;
                     }
                     Err(_) => continue,
@@ -129,7 +129,7 @@
                 }
                 if let (Some(load), Some(agent)) = (status.load, agent) {
                     let round_trip = sent.map(|sent| sent.at.elapsed());
-                    if status.nonce == OUT_OF_TURN {
+                    if status.nonce == REQUEST_QUERY_NONCE {
                         agent.service.upstreams().answered_by(from.ip(), Instant::now());
                     }
                     record_load(&agent.service, from.ip(), &load, round_trip);
--- a/crates/direct/src/quarantine_sync.rs
+++ b/crates/direct/src/quarantine_sync.rs
@@ -1,8 +1,8 @@
-//! Requests under which upstreams end: what this entry learns of them, and what others do.
+//! Shares crash reports, on requests during which upstreams crash, with the other entries.
 //!
-//! Entries tell agents, since those are known to all entries by the registry: in each data centre the
-//! same few for the same request, so that what several entries saw meets there. From there all entries
-//! that ask the agent hear of it.
+//! Entries send crash reports to agents, which all entries know from the registry. The agents of a request
+//! are the same few per data centre for each entry, so that the reports of several entries meet there. The
+//! agents pass them on to all entries that query them.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -18,13 +18,13 @@
 use crate::events;
 use crate::view::{View, lock};
 
-/// Pauses before an account is told to the same agents again, for datagrams that are lost.
-const REPEATS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
+/// Delays before a crash report is sent to the same agents again, in case datagrams are lost.
+const REPEAT_DELAYS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
 
-/// How long others are told again of what was learned of a request, for datagrams that are lost.
-const TOLD_FOR: Duration = Duration::from_secs(5);
+/// How long after a change the report of a request is relayed again, in case datagrams are lost.
+const RECENT_REPORT_TTL: Duration = Duration::from_secs(5);
 
-/// Requests under which upstreams end.
+/// The quarantine of this entry, kept in sync with those of other processes.
 #[derive(Debug)]
 pub(crate) struct QuarantineSync {
     known: Mutex<Quarantine>,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Says whether no request is suspected.
+    /// Returns whether no request is suspected.
     pub(crate) fn is_empty(&self) -> bool {
         lock(&self.known).is_empty()
     }
 
-    /// Returns what is thought of a request that has come.
+    /// Returns the suspicion against a request that has arrived.
     pub(crate) fn admit(&self, fingerprint: Fingerprint) -> Suspicion {
         lock(&self.known).admit(fingerprint, BootTime::now())
     }
@@ -58,63 +58,65 @@
         lock(&self.known).suspicion(fingerprint, BootTime::now())
     }
 
-    /// Takes that an upstream ended while it had a request; returns what is thought of the request now.
+    /// Records that an upstream crashed while it ran a request, and reports it; returns the suspicion
+    /// against the request now.
     pub(crate) fn ended(&self, fingerprint: Fingerprint, pick: &Pick) -> Suspicion {
         let now = BootTime::now();
         self.change(fingerprint, "own", |known| {
             known.ended(fingerprint, &pick.id, pick.started, now);
         });
-        self.tell(fingerprint, &REPEATS);
+        self.report(fingerprint, &REPEAT_DELAYS);
         self.suspicion(fingerprint)
     }
 
-    /// Takes that a request ran to its end.
+    /// Records that a request ran to its end, and reports it if the request was suspected.
     pub(crate) fn finished(&self, fingerprint: Fingerprint) {
         if lock(&self.known).finished(fingerprint, BootTime::now()) {
-            self.tell(fingerprint, &[]);
+            self.report(fingerprint, &[]);
         }
     }
 
-    /// Takes that a quarantined request came again: whoever has forgotten it is told of it.
+    /// Records that a quarantined request came again, and reports it again for agents that no longer have
+    /// the report.
     pub(crate) fn record_repeat(&self, fingerprint: Fingerprint) {
         if lock(&self.known).tell_again(fingerprint, BootTime::now()) {
-            self.tell(fingerprint, &[]);
+            self.report(fingerprint, &[]);
         }
     }
 
-    /// Takes what another process tells, or this one told itself if `is_own`; returns the requests of which
-    /// others have not heard so.
-    pub(crate) fn merge(&self, told: &[EndedUnder], is_own: bool) -> BTreeSet<Fingerprint> {
-        let mut news = BTreeSet::new();
-        for account in told {
-            let mut is_news = false;
-            self.change(account.fingerprint, "heard", |known| {
-                is_news = known.hear(account, BootTime::now());
+    /// Merges crash reports of another process, or of this one if `is_own`. Returns the requests whose
+    /// reports are to be passed on.
+    pub(crate) fn merge(&self, reports: &[EndedUnder], is_own: bool) -> BTreeSet<Fingerprint> {
+        let mut updated = BTreeSet::new();
+        for report in reports {
+            let mut is_new = false;
+            self.change(report.fingerprint, "heard", |known| {
+                is_new = known.hear(report, BootTime::now());
             });
-            if is_news || is_own {
-                news.insert(account.fingerprint);
+            if is_new || is_own {
+                updated.insert(report.fingerprint);
             }
         }
-        news
+        updated
     }
 
-    /// Returns all that others are to know.
+    /// Returns all crash reports.
     pub(crate) fn all(&self) -> Vec<EndedUnder> {
         lock(&self.known).told_of(Duration::MAX, BootTime::now())
     }
 
-    /// Returns what others are told again.
+    /// Returns the crash reports that changed lately and are relayed again.
     pub(crate) fn recent_reports(&self) -> Vec<EndedUnder> {
-        lock(&self.known).told_of(TOLD_FOR, BootTime::now())
+        lock(&self.known).told_of(RECENT_REPORT_TTL, BootTime::now())
     }
 
-    /// Waits until a request is quarantined.
+    /// Waits until the request with `fingerprint` is quarantined.
     pub(crate) async fn until_quarantined<F>(&self, fingerprint: F)
     where
         F: Fn() -> Fingerprint,
     {
         let mut last = self.last.subscribe();
-        // The sender lives as long as this.
+        // The loop ends only with a return, since `self` holds the sender.
         while last.changed().await.is_ok() {
             if *last.borrow_and_update() == Some(fingerprint()) {
                 return;
@@ -122,11 +124,12 @@
         }
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired reports.
     pub(crate) fn prune(&self) {
         lock(&self.known).forget(BootTime::now());
     }
 
+    /// Applies a change to the quarantine, and logs the request if the change quarantines it.
     fn change<F>(&self, fingerprint: Fingerprint, source: &str, change: F)
     where
         F: FnOnce(&mut Quarantine),
@@ -136,16 +139,16 @@
         let before = known.suspicion(fingerprint, now);
         change(&mut known);
         let after = known.suspicion(fingerprint, now);
-        let account = known.account(fingerprint, now);
+        let report = known.account(fingerprint, now);
         drop(known);
-        let (Suspicion::Quarantined(left), Some(account)) = (after, account) else {
+        let (Suspicion::Quarantined(left), Some(report)) = (after, report) else {
             return;
         };
         if matches!(before, Suspicion::Quarantined(_)) {
             return;
         }
         self.last.send_replace(Some(fingerprint));
-        let upstreams: Vec<String> = account.upstreams.into_keys().collect();
+        let upstreams: Vec<String> = report.upstreams.into_keys().collect();
         events::REQUEST_QUARANTINED.emit(&[
             ("fingerprint", &fingerprint.short()),
             ("source", source),
@@ -154,38 +157,39 @@
         ]);
     }
 
-    /// Tells the agents at which accounts of the request meet what is known here.
-    fn tell(&self, fingerprint: Fingerprint, repeats: &'static [Duration]) {
-        let Some(account) = lock(&self.known).account(fingerprint, BootTime::now()) else {
+    /// Sends this entry's crash report of the request to the agents that collect reports on it, at once and
+    /// again after each of `delays`.
+    fn report(&self, fingerprint: Fingerprint, delays: &'static [Duration]) {
+        let Some(report) = lock(&self.known).account(fingerprint, BootTime::now()) else {
             return;
         };
         let ips = self.view.rendezvous_agents(fingerprint.as_bytes());
         let agents = self.agents.clone();
-        let told = vec![account];
-        agents.tell(&ips, &told);
-        if !repeats.is_empty() {
-            tokio::spawn(repeat(agents, ips, told, repeats));
+        let reports = vec![report];
+        agents.send_reports(&ips, &reports);
+        if !delays.is_empty() {
+            tokio::spawn(repeat(agents, ips, reports, delays));
         }
     }
 }
 
-async fn repeat(agents: Agents, ips: Vec<IpAddr>, told: Vec<EndedUnder>, pauses: &[Duration]) {
-    let begun = BootTime::now();
-    for pause in pauses {
-        tokio::time::sleep(*pause).await;
-        agents.tell(&ips, &older(&told, BootTime::now().since(begun)));
+async fn repeat(agents: Agents, ips: Vec<IpAddr>, reports: Vec<EndedUnder>, delays: &[Duration]) {
+    let first_sent = BootTime::now();
+    for delay in delays {
+        tokio::time::sleep(*delay).await;
+        agents.send_reports(&ips, &aged(&reports, BootTime::now().since(first_sent)));
     }
 }
 
-/// Returns the same accounts `age` later.
-fn older(told: &[EndedUnder], age: Duration) -> Vec<EndedUnder> {
+/// Returns the reports with `age` added to the age of each event in them.
+fn aged(reports: &[EndedUnder], age: Duration) -> Vec<EndedUnder> {
     let age = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-    let mut told = told.to_vec();
-    for account in &mut told {
-        let ends = account.upstreams.values_mut();
-        for ms in ends.chain(&mut account.finished_ms) {
+    let mut reports = reports.to_vec();
+    for report in &mut reports {
+        let ends = report.upstreams.values_mut();
+        for ms in ends.chain(&mut report.finished_ms) {
             *ms = ms.saturating_add(age);
         }
     }
-    told
+    reports
 }
--- a/crates/direct/src/seed.rs
+++ b/crates/direct/src/seed.rs
@@ -58,7 +58,7 @@
         }
         self.askers.insert(from, Instant::now());
         if !is_known {
-            self.agents.tell_one(from, &self.quarantine.all());
+            self.agents.send_reports_to(from, &self.quarantine.all());
         }
     }
 
@@ -93,7 +93,7 @@
 
     fn relay(&self, told: &[EndedUnder], from: Option<SocketAddr>) {
         for asker in self.askers.keys().filter(|asker| Some(**asker) != from) {
-            self.agents.tell_one(*asker, told);
+            self.agents.send_reports_to(*asker, told);
         }
     }
 }
