--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -323,13 +323,13 @@
     ///
     /// A stream without a first event is also abandoned when the bound passes after which no request may
     /// begin on its weights.
-    pub(crate) fn next_check(&self, since: Instant, has_begun: bool) -> Option<Duration> {
+    pub(crate) fn next_check(&self, since: Instant, has_first_event: bool) -> Option<Duration> {
         let now = Instant::now();
         let pick = self.last_pick.as_ref()?;
         let sign = self.service.upstreams().sign(pick, now);
         let waited = now.saturating_duration_since(since);
         let wait = self.stall_policy.next_look(waited, sign)?;
-        if has_begun || pick.version.is_none() {
+        if has_first_event || pick.version.is_none() {
             return Some(wait);
         }
         let within = self.begin_within(pick).unwrap_or(WEIGHTS_CHECK_INTERVAL);
--- a/crates/direct/src/event_splitter.rs
+++ b/crates/direct/src/event_splitter.rs
@@ -1,24 +1,24 @@
-//! Cuts a stream of events into whole ones.
+//! Splits the bytes of a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event that are kept until its end comes. Events hold some hundred bytes; a stream
-/// without ends must not fill the memory.
-const MOST_PENDING: usize = 1 << 20;
+/// Maximum bytes that are buffered for one incomplete event. Events hold some hundred bytes; the bound
+/// keeps a stream without event ends from filling the memory.
+const MAX_PENDING: usize = 1 << 20;
 
-/// What a frame brought.
+/// Result of one frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// Whole events, which may be none, for the caller.
+pub enum Split {
+    /// Complete events for the caller; empty if the frame completed none.
     Events(Bytes),
-    /// An event is missing, or the stream is none.
+    /// An event is missing, or the bytes are not an event stream.
     Broken,
 }
 
-/// Cuts the stream that one answer consists of, over all upstreams that give it.
+/// Splits the event stream of one answer, across all upstreams that send a part of the answer.
 ///
-/// Invariant: what it lets through are whole events, each once and with no gap in their ids,
-/// wherever an upstream broke off.
+/// Invariant: the output consists of complete events, each once and without a gap in the ids, wherever an
+/// upstream breaks off.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -27,7 +27,7 @@
 }
 
 impl EventSplitter {
-    /// Makes a splitter for a caller that has the events up to `last`.
+    /// Creates a splitter for a caller that has the events up to the id `last`.
     pub fn new(last: Option<u64>) -> Self {
         Self {
             pending: BytesMut::new(),
@@ -36,78 +36,78 @@
         }
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub const fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Returns how many events were let through.
+    /// Returns the number of events with an id that were passed on.
     pub const fn events(&self) -> u64 {
         self.events
     }
 
-    /// Says whether a part of an event waits for its rest.
+    /// Returns whether an incomplete event is buffered.
     pub fn is_mid_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Forgets the part of an event that another upstream will send whole.
+    /// Discards the incomplete event, which another upstream will send again from its start.
     pub fn restart(&mut self) {
         self.pending.clear();
     }
 
-    /// Takes the next bytes.
-    pub fn push(&mut self, data: &Bytes) -> Cut {
-        // The usual frame is one whole event, which goes on as it is.
+    /// Adds the next bytes, and returns the events that they complete.
+    pub fn push(&mut self, data: &Bytes) -> Split {
+        // The usual frame is one complete event, which is passed on without a copy.
         if self.pending.is_empty() && end_of_event(data) == Some(data.len()) {
-            return match self.judge(data) {
-                Judgement::Pass => Cut::Events(data.clone()),
-                Judgement::Skip => Cut::Events(Bytes::new()),
-                Judgement::Gap => Cut::Broken,
+            return match self.check_order(data) {
+                Order::Pass => Split::Events(data.clone()),
+                Order::Skip => Split::Events(Bytes::new()),
+                Order::Gap => Split::Broken,
             };
         }
         self.pending.extend_from_slice(data);
         let mut out = BytesMut::new();
         while let Some(end) = end_of_event(&self.pending) {
             let event = self.pending.split_to(end);
-            match self.judge(&event) {
-                Judgement::Pass => out.extend_from_slice(&event),
-                Judgement::Skip => {}
-                Judgement::Gap => return Cut::Broken,
+            match self.check_order(&event) {
+                Order::Pass => out.extend_from_slice(&event),
+                Order::Skip => {}
+                Order::Gap => return Split::Broken,
             }
         }
-        if self.pending.len() > MOST_PENDING {
-            return Cut::Broken;
+        if self.pending.len() > MAX_PENDING {
+            return Split::Broken;
         }
-        Cut::Events(out.freeze())
+        Split::Events(out.freeze())
     }
 
-    /// Compares an event's id with the last one.
-    fn judge(&mut self, event: &[u8]) -> Judgement {
+    /// Compares the id of an event with the last id, and advances the last id if the event comes next.
+    fn check_order(&mut self, event: &[u8]) -> Order {
         let Some(id) = id_of(event) else {
-            return Judgement::Pass;
+            return Order::Pass;
         };
         match self.last {
-            Some(last) if id <= last => return Judgement::Skip,
-            Some(last) if id > last + 1 => return Judgement::Gap,
+            Some(last) if id <= last => return Order::Skip,
+            Some(last) if id > last + 1 => return Order::Gap,
             _ => {}
         }
         self.last = Some(id);
         self.events += 1;
-        Judgement::Pass
+        Order::Pass
     }
 }
 
-enum Judgement {
-    /// The event comes next, or has no id.
+enum Order {
+    /// The event is the next one, or has no id.
     Pass,
-    /// The caller has the event.
+    /// The caller already has the event.
     Skip,
     /// An event before it is missing.
     Gap,
 }
 
-/// Returns where the first event ends, its empty line included.
+/// Returns the length of the first event, including the empty line at its end.
 fn end_of_event(buf: &[u8]) -> Option<usize> {
     let mut at_line_start = false;
     for (position, byte) in buf.iter().enumerate() {
@@ -121,7 +121,7 @@
     None
 }
 
-/// Reads the id of an event.
+/// Returns the id of an event, if it has one.
 fn id_of(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -37,7 +37,7 @@
 mod view;
 
 pub use dialect::{AnswerHead, Dialect, Dispatch, RequestHead, ServerLoad};
-pub use event_splitter::{Cut, EventSplitter};
+pub use event_splitter::{EventSplitter, Split};
 pub use process::{DirectEntry, DirectError};
 pub use refusal::Refusal;
 pub use wagtailreel_route::direct::{
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes answers on to callers.
+//! Relays answers of upstreams to callers.
 
 use std::time::{Duration, Instant};
 
@@ -11,34 +11,34 @@
 
 use crate::attempt::{Call, STALLED};
 use crate::dialect::Dialect;
-use crate::event_splitter::{Cut, EventSplitter};
+use crate::event_splitter::{EventSplitter, Split};
 use crate::live::Live;
 use crate::refusal::Refusal;
 use crate::tally::Tally;
 use wagtailreel_route::direct::{Ending, Next};
 
-/// Longest body of an answer that is no stream which is read whole before it is passed on, so that
-/// one that breaks off can be asked for again or told as a failure.
-const WHOLE_BODY: usize = 256 * 1024;
+/// Maximum body that is buffered before it is relayed, for answers that are not streams. If a buffered body
+/// breaks off, the request can still be repeated or answered with an error status.
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
 
-/// An answer broke off after a part of it was passed on. The connection ends with it, so that the
-/// caller sees that the answer isn't whole.
+/// An answer broke off after a part of it was relayed. The error closes the connection, so that the caller
+/// sees that the answer is incomplete.
 #[derive(Clone, Copy, Debug, Snafu)]
-#[snafu(display("the answer broke off: ask for the rest or send the request again"))]
+#[snafu(display("the answer broke off: resume it after its last event or send the request again"))]
 pub(crate) struct BrokenOff;
 
-/// A whole answer, or the part that was read and the rest.
+/// Outcome of buffering a body.
 #[derive(Debug)]
 pub(crate) enum Collected {
-    /// The whole body.
+    /// The complete body.
     Whole(Bytes),
-    /// The body is too long to be read whole.
+    /// The body is too long to be buffered: its first part, and the answer with the rest.
     Long(Bytes, Box<Live>),
-    /// The body broke off.
+    /// The body of the upstream with this id broke off.
     Broken(String),
 }
 
-/// Reads the body of an answer, if it isn't long.
+/// Buffers the body of an answer, up to the maximum.
 pub(crate) async fn collect(mut live: Live) -> Collected {
     let mut buf: Vec<u8> = Vec::new();
     loop {
@@ -53,7 +53,7 @@
                     continue;
                 };
                 buf.extend_from_slice(&data);
-                if buf.len() > WHOLE_BODY {
+                if buf.len() > MAX_BUFFERED_BODY {
                     return Collected::Long(Bytes::from(buf), Box::new(live));
                 }
             }
@@ -61,16 +61,17 @@
     }
 }
 
-/// How a relayed answer is kept whole.
+/// How the bytes of an answer are relayed.
 #[derive(Debug)]
 enum Mode {
-    /// Events, which another upstream may go on with.
+    /// Event by event, so that another upstream can resume the stream.
     Events(EventSplitter),
-    /// Bytes as they come.
+    /// As they come.
     Bytes,
 }
 
-/// An answer on its way to the caller. Dropping it ends the work at the upstream.
+/// An answer that is relayed to the caller. Dropping it closes the connection to the upstream, which ends
+/// its work.
 #[derive(Debug)]
 pub(crate) struct Relay<D> {
     call: Call<D>,
@@ -78,15 +79,15 @@
     first: Option<Bytes>,
     mode: Mode,
     tally: Tally,
-    /// The upstream under way has sent an event.
-    has_begun: bool,
+    /// Whether the current upstream has sent an event.
+    has_first_event: bool,
 }
 
 impl<D> Relay<D>
 where
     D: Dialect,
 {
-    /// Makes the relay of a stream of events.
+    /// Creates the relay of an event stream.
     pub(crate) fn events(call: Call<D>, live: Live, tally: Tally) -> Self {
         let splitter = EventSplitter::new(call.admitted.head.last_event);
         Self {
@@ -95,11 +96,11 @@
             first: None,
             mode: Mode::Events(splitter),
             tally,
-            has_begun: false,
+            has_first_event: false,
         }
     }
 
-    /// Makes the relay of a long body of which `first` was read.
+    /// Creates the relay of a long body whose first part `first` was buffered.
     pub(crate) fn bytes(call: Call<D>, first: Bytes, live: Box<Live>, tally: Tally) -> Self {
         Self {
             call,
@@ -107,7 +108,7 @@
             first: Some(first),
             mode: Mode::Bytes,
             tally,
-            has_begun: false,
+            has_first_event: false,
         }
     }
 
@@ -126,23 +127,23 @@
         })
     }
 
-    /// Returns the next bytes for the caller, none after the last.
+    /// Returns the next bytes for the caller, or `None` after the last.
     async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
         loop {
             let ending = match self.read().await {
-                Read::Data(data) => match self.cut(&data) {
+                Read::Data(data) => match self.split(&data) {
                     Some(out) if out.is_empty() => continue,
                     Some(out) => {
-                        self.begin();
+                        self.on_event();
                         self.tally.first_byte();
                         return Ok(Some(out));
                     }
                     None => "gap",
                 },
-                Read::End if self.is_whole() => {
+                Read::End if self.is_complete() => {
                     if let Some(live) = self.live.take() {
                         if live.is_framed() {
                             self.call.finished();
@@ -154,7 +155,7 @@
                 Read::End => "cut",
                 Read::Broken => "broken",
                 Read::Stalled => STALLED,
-                Read::Late => {
+                Read::TimedOut => {
                     self.tally.done("timeout");
                     return Err(BrokenOff);
                 }
@@ -163,9 +164,9 @@
         }
     }
 
-    /// Takes that the upstream under way has sent an event.
-    fn begin(&mut self) {
-        if !std::mem::replace(&mut self.has_begun, true) {
+    /// Records that the current upstream has sent an event.
+    fn on_event(&mut self) {
+        if !std::mem::replace(&mut self.has_first_event, true) {
             self.call.record_first_event();
         }
         if let Some(live) = &mut self.live {
@@ -182,55 +183,55 @@
         loop {
             let now = Instant::now();
             let left = self.call.admitted.deadline.saturating_duration_since(now);
-            let look = if is_repeatable {
-                self.call.next_check(since, self.has_begun)
+            let wait = if is_repeatable {
+                self.call.next_check(since, self.has_first_event)
             } else {
                 Some(left)
             };
-            let Some(look) = look.map(|look| look.min(left)) else {
+            let Some(wait) = wait.map(|wait| wait.min(left)) else {
                 return Read::Stalled;
             };
-            match tokio::time::timeout(look, live.body.frame()).await {
+            match tokio::time::timeout(wait, live.body.frame()).await {
                 Ok(None) => return Read::End,
                 Ok(Some(Ok(frame))) => {
                     let data = frame.into_data().unwrap_or_default();
                     return Read::Data(data);
                 }
                 Ok(Some(Err(_))) => return Read::Broken,
-                Err(_) if look == left => return Read::Late,
+                Err(_) if wait == left => return Read::TimedOut,
                 Err(_) => {}
             }
         }
     }
 
-    /// Returns what of `data` the caller gets, none if the stream is broken.
-    fn cut(&mut self, data: &Bytes) -> Option<Bytes> {
+    /// Returns the part of `data` to relay, or `None` if the stream is broken.
+    fn split(&mut self, data: &Bytes) -> Option<Bytes> {
         match &mut self.mode {
             Mode::Bytes => Some(data.clone()),
             Mode::Events(splitter) => match splitter.push(data) {
-                Cut::Events(events) => {
+                Split::Events(events) => {
                     self.tally.passed_on(splitter.events());
                     Some(events)
                 }
-                Cut::Broken => None,
+                Split::Broken => None,
             },
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match &self.mode {
             Mode::Bytes => true,
             Mode::Events(splitter) => !splitter.is_mid_event(),
         }
     }
 
-    /// Goes on at another upstream where that is allowed.
+    /// Resumes the stream at another upstream if the route and the retry budget allow it.
     async fn resume(&mut self, why: &'static str) -> Result<(), BrokenOff> {
         let Some(live) = self.live.take() else {
             return Err(BrokenOff);
         };
         let upstream = live.upstream().to_owned();
-        // Ends the work at the upstream before another begins with it.
+        // Ends the work at the lost upstream before another one starts it.
         drop(live);
         let next = self.call.ended(&upstream, Ending::Lost, why).await;
         let Mode::Events(splitter) = &mut self.mode else {
@@ -247,7 +248,7 @@
             Ok(live) if live.head.status.is_success() => {
                 self.tally.resumed(live.upstream());
                 self.live = Some(Box::new(live));
-                self.has_begun = false;
+                self.has_first_event = false;
                 Ok(())
             }
             Ok(_) => {
@@ -269,15 +270,15 @@
     }
 }
 
-/// What was read of an answer.
+/// Outcome of one read of an answer's body.
 enum Read {
     Data(Bytes),
-    /// The answer ended as its framing says.
+    /// The end of the body.
     End,
     /// The connection broke.
     Broken,
-    /// Nothing came for too long, and another upstream may go on.
+    /// The stall timeout has passed, and another upstream may resume the stream.
     Stalled,
-    /// The request's time is over.
-    Late,
+    /// The deadline of the request has passed.
+    TimedOut,
 }
--- a/crates/direct/tests/event_splitter.rs
+++ b/crates/direct/tests/event_splitter.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use rstest::rstest;
-use wagtailreel_direct::{Cut, EventSplitter};
+use wagtailreel_direct::{EventSplitter, Split};
 
 fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
@@ -12,8 +12,8 @@
 
 fn push(splitter: &mut EventSplitter, text: &str) -> Option<String> {
     match splitter.push(&Bytes::from(text.to_owned())) {
-        Cut::Events(events) => Some(String::from_utf8(events.to_vec()).unwrap()),
-        Cut::Broken => None,
+        Split::Events(events) => Some(String::from_utf8(events.to_vec()).unwrap()),
+        Split::Broken => None,
     }
 }
 
