--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -61,7 +61,7 @@
     async fn await_upstream(&self, first_refusal: Refusal) -> Result<Pick, Refusal> {
         let since = Instant::now();
         let until = self.admitted.deadline.checked_sub(MIN_TIME_FOR_RETRY);
-        let obstacles = self.service.upstreams().obstacles(&self.ask(None), since);
+        let obstacles = self.service.upstreams().obstacles(&self.needs(None), since);
         let choosing = async {
             loop {
                 self.check_quarantine()?;
@@ -98,7 +98,7 @@
                 return Ok(pick);
             }
         }
-        let retry_in = self.retry_in(Shortage::Full, &self.ask(None), Instant::now());
+        let retry_in = self.retry_in(Shortage::Full, &self.needs(None), Instant::now());
         Err(Refusal::Full { retry_in })
     }
 
@@ -125,7 +125,7 @@
         let ips = {
             let ticket = rand::rng().random();
             let upstreams = self.service.upstreams();
-            upstreams.hearsay(&self.ask(None), REMOTE_QUERIES, ticket, asked_at)
+            upstreams.hearsay(&self.needs(None), REMOTE_QUERIES, ticket, asked_at)
         };
         for ip in &ips {
             self.cx.agents.query_load(*ip);
@@ -146,7 +146,7 @@
     }
 
     /// Returns what the request requires of an upstream, with a load report since `heard_since` if given.
-    fn ask(&self, heard_since: Option<Instant>) -> Ask<'_> {
+    fn needs(&self, heard_since: Option<Instant>) -> Ask<'_> {
         let model = self.admitted.model.as_deref();
         Ask {
             model,
@@ -163,11 +163,11 @@
         if self.admitted.customer.is_some() && !self.cx.trusts_keys() {
             return Err(Refusal::StaleConfiguration);
         }
-        let ask = self.ask(heard_since);
+        let needs = self.needs(heard_since);
         let now = Instant::now();
-        let chosen = self.service.upstreams().choose(&ask, now);
+        let chosen = self.service.upstreams().choose(&needs, now);
         chosen.map_err(|shortage| {
-            let retry_in = self.retry_in(shortage, &ask, now);
+            let retry_in = self.retry_in(shortage, &needs, now);
             match shortage {
                 Shortage::NoUpstream => Refusal::NoUpstream { retry_in },
                 Shortage::Weights => Refusal::Weights { retry_in },
@@ -177,9 +177,9 @@
     }
 
     /// Returns the time after which the caller should send a request again that found no upstream.
-    fn retry_in(&self, shortage: Shortage, ask: &Ask<'_>, now: Instant) -> Duration {
+    fn retry_in(&self, shortage: Shortage, needs: &Ask<'_>, now: Instant) -> Duration {
         let free_in = match shortage {
-            Shortage::Full => self.service.upstreams().free_in(ask, now),
+            Shortage::Full => self.service.upstreams().free_in(needs, now),
             Shortage::NoUpstream | Shortage::Weights => Some(LONG_RETRY_AFTER),
         };
         let left = self.admitted.deadline.saturating_duration_since(now);
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -93,16 +93,16 @@
                 let Ok((len, from)) = received else { continue };
                 let status = match Datagram::from_bytes(&buf[..len]) {
                     Ok(Datagram::Status(status)) => status,
-                    Ok(Datagram::Ended(told)) => {
-                        seed.take_accounts(&told, from);
+                    Ok(Datagram::Ended(reports)) => {
+                        seed.take_accounts(&reports, from);
                         continue;
                     }
                     Ok(Datagram::Query(_)) => {
                         seed.take_query(from);
                         continue;
                     }
-                    Ok(Datagram::AskPermit(ask)) => {
-                        seed.give_permit(&ask, from);
+                    Ok(Datagram::AskPermit(req)) => {
+                        seed.give_permit(&req, from);
                         continue;
                     }
                     Ok(Datagram::Permit(permit)) => {
