--- a/crates/direct/tests/places.rs
+++ b/crates/direct/tests/announcements.rs
@@ -1,4 +1,4 @@
-//! What an entry tells agents, and asks them, of the requests that it is about to send.
+//! Announcements and queries that an entry sends to agents before it sends requests.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -15,14 +15,14 @@
 
 const WRITTEN: &str = "/written/1";
 
-/// Nonce of questions that are asked for one request.
-const OUT_OF_TURN: u32 = u32::MAX;
+/// Nonce of queries on behalf of one request.
+const REQUEST_QUERY_NONCE: u32 = u32::MAX;
 
-/// Who asked, and the nonce that the answer is to carry.
-type Asker = (SocketAddr, u32);
+/// The entry that sent a query, and the nonce for the answer.
+type Sender = (SocketAddr, u32);
 
-/// Waits for the next question that `is_it` looks for.
-async fn until_asked<F>(socket: &UdpSocket, is_it: F) -> Asker
+/// Waits for the next query that `matches` accepts.
+async fn until_query<F>(socket: &UdpSocket, matches: F) -> Sender
 where
     F: Fn(&Query) -> bool,
 {
@@ -30,15 +30,15 @@
     loop {
         let (len, from) = socket.recv_from(&mut buf).await.unwrap();
         if let Ok(Datagram::Query(query)) = Datagram::from_bytes(&buf[..len])
-            && is_it(&query)
+            && matches(&query)
         {
             return (from, query.nonce);
         }
     }
 }
 
-/// Answers a question: the engine works on `running` requests.
-async fn tell(socket: &UdpSocket, (entry, nonce): Asker, running: u32) {
+/// Answers a query with a load of `running` requests.
+async fn answer_query(socket: &UdpSocket, (entry, nonce): Sender, running: u32) {
     let load = LoadStatus {
         version: Some(1),
         running,
@@ -64,12 +64,13 @@
     registry.upstream(writer_in("hall", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
-    until_asked(&socket, |query| query.sends_us.is_some()).await;
+    until_query(&socket, |query| query.sends_us.is_some()).await;
 }
 
-/// Words from abroad are old: an engine that was free then may be full.
+/// Guards against requests to a remote engine that was free at its last load report and is full now: the
+/// entry queries its agent first.
 #[tokio::test]
-async fn asked_abroad() {
+async fn remote_agent_queried() {
     let registry = RegistryStandin::default();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
@@ -77,15 +78,15 @@
     registry.config(directory(1));
     registry.upstream(writer_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
-    // Without an answer the request goes by what is known.
+    // The agent has not answered any query yet, so the request goes by the entry's own count.
     until_status(entry.callers(), WRITTEN, 200).await;
     let reached = upstream.seen().len();
-    let is_out_of_turn = |query: &Query| query.nonce == OUT_OF_TURN;
+    let is_for_request = |query: &Query| query.nonce == REQUEST_QUERY_NONCE;
     let callers = entry.callers();
     let agent = tokio::spawn(async move {
         loop {
-            let from = until_asked(&socket, is_out_of_turn).await;
-            tell(&socket, from, 900).await;
+            let from = until_query(&socket, is_for_request).await;
+            answer_query(&socket, from, 900).await;
         }
     });
     let answer = loop {
@@ -100,10 +101,10 @@
     assert!(upstream.seen().len() >= reached);
 }
 
-/// An engine abroad whose agent told of room, and no longer answers, gets no request: its link is cut,
-/// or full of what others send to it.
+/// A remote engine gets no request if its agent reported a free slot and no longer answers: its link is
+/// cut, or full with the traffic of other entries.
 #[tokio::test]
-async fn no_answer_abroad() {
+async fn remote_agent_silent() {
     let registry = RegistryStandin::default();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
@@ -113,8 +114,11 @@
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     let agent = tokio::spawn(async move {
         loop {
-            let from = until_asked(&socket, |query| !matches!(query.nonce, 0 | OUT_OF_TURN)).await;
-            tell(&socket, from, 0).await;
+            let from = until_query(&socket, |query| {
+                !matches!(query.nonce, 0 | REQUEST_QUERY_NONCE)
+            })
+            .await;
+            answer_query(&socket, from, 0).await;
         }
     });
     until_status(entry.callers(), WRITTEN, 200).await;
--- a/crates/direct/tests/await_upstream.rs
+++ b/crates/direct/tests/await_upstream.rs
@@ -1,4 +1,4 @@
-//! A request that may have run waits for another upstream, and one that has not is refused at once.
+//! A request that may have run waits for another upstream. A request that has not run is refused at once.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -15,11 +15,11 @@
 
 use crate::common::TestDialect;
 
-/// How long after the loss of the only upstream another one registers.
-const LATER: Duration = Duration::from_millis(300);
+/// Time from the loss of the only upstream to the registration of another one.
+const REGISTRATION_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest time after which a request that can't be served is refused.
-const AT_ONCE: Duration = Duration::from_millis(250);
+/// Maximum time to the refusal of a request that can't be served.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(250);
 
 async fn entry_before(upstream: &TestUpstream) -> (RegistryStandin, DirectEntry<TestDialect>) {
     let registry = RegistryStandin::default();
@@ -27,13 +27,13 @@
     (registry, entry)
 }
 
-/// Guards against answers that are broken off, with time left, since no other upstream has room at once.
+/// Guards against answers that are broken off with time left because no other upstream is available at once.
 #[rstest]
 #[case::stream_cut("/stream/1", Act::CutEvents(1, 3), Act::Events(4, 6), body_of(1, 6))]
 #[case::read_closed("/read/1", Act::Close, Act::Answer(200, "ok"), "ok".to_owned())]
 #[case::read_cut("/read/1", Act::CutBody, Act::Answer(200, "ok"), "ok".to_owned())]
 #[tokio::test]
-async fn upstream_comes_later(
+async fn upstream_registers_later(
     #[case] path: &'static str,
     #[case] first: Act,
     #[case] second: Act,
@@ -45,7 +45,7 @@
     let addr = entry.callers();
     let calling = tokio::spawn(async move { call(addr, "GET", path).await });
     upstream.until_seen(1).await;
-    sleep(LATER).await;
+    sleep(REGISTRATION_DELAY).await;
     register(&registry, "b", other.addr);
     let answer = calling.await.unwrap();
     assert_eq!((answer.status, answer.body), (200, body));
@@ -64,21 +64,24 @@
     let sent = Instant::now();
     let answer = call(entry.callers(), "GET", path).await;
     assert_eq!(answer.status, status);
-    assert!(sent.elapsed() < AT_ONCE, "answered at once");
+    assert!(sent.elapsed() < MAX_REFUSAL_TIME, "answered at once");
 }
 
-/// Guards against requests that wait past their time for an upstream that never comes.
+/// Guards against requests that wait past their deadline for an upstream that never registers.
 #[rstest]
 #[case::stream_cut("/stream/1", Act::CutEvents(1, 3), false)]
 #[case::read_closed("/read/1", Act::Close, true)]
 #[tokio::test]
-async fn no_upstream_comes(#[case] path: &str, #[case] first: Act, #[case] is_whole: bool) {
+async fn no_upstream_registers(#[case] path: &str, #[case] first: Act, #[case] is_whole: bool) {
     let upstream = TestUpstream::start(&[first]).await;
     let (_registry, entry) = entry_before(&upstream).await;
     let sent = Instant::now();
     let answer = call(entry.callers(), "GET", path).await;
-    // The time of the routes of these tests.
-    assert!(sent.elapsed() < Duration::from_secs(5), "given up in time");
+    // The timeout of the routes of these tests.
+    assert!(
+        sent.elapsed() < Duration::from_secs(5),
+        "answered before the deadline"
+    );
     assert_eq!(answer.is_whole, is_whole);
     assert!(answer.status != 503, "it may have run");
 }
--- a/crates/direct/tests/crashing.rs
+++ b/crates/direct/tests/crashing.rs
@@ -1,4 +1,5 @@
-//! A request that ends whoever runs it reaches few upstreams, at whichever entry it comes.
+//! A request that crashes each upstream that runs it reaches few upstreams, at whichever entries the
+//! request arrives.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -19,35 +20,36 @@
 use wagtailreel_fleet::{Change, Datagram, LoadStatus, LoadedModel, Status, Upstream};
 use wagtailreel_standins::RegistryStandin;
 
-/// Upstreams that have to end under a request before it counts.
-const ENDS: usize = 3;
+/// Crashes after which a request is quarantined.
+const CRASHES: usize = 3;
 
-/// Time after the third end from which arrivals are counted.
+/// Time after the last of these crashes; arrivals are counted from then on.
 const WINDOW: Duration = Duration::from_secs(3);
 
-/// Arrivals that are allowed after it.
-const ALLOWED: usize = 3;
+/// Maximum arrivals after the window.
+const MAX_ARRIVALS: usize = 3;
 
-/// How long an upstream that ended is away.
-const AWAY: Duration = Duration::from_millis(300);
+/// Time from the crash of an upstream to its restart.
+const RESTART_TIME: Duration = Duration::from_millis(300);
 
-/// Pause between two repeats.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Time between two repeats.
+const INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same where each entry, left to itself, takes longer than the window to see upstreams end three times.
-const LONG_PAUSE: Duration = Duration::from_millis(400);
+/// Time between two repeats with which a single entry would take longer than the window to see three
+/// crashes by itself.
+const LONG_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What marks a request under which upstreams end.
+/// Text in a request that crashes upstreams.
 const MARK: &str = "ends-you";
 
 #[derive(Debug, Default)]
 struct Record {
     arrivals: Vec<Instant>,
-    ends: Vec<Instant>,
-    births: usize,
+    crashes: Vec<Instant>,
+    starts: usize,
 }
 
-/// Upstreams that end under marked requests, and start again under another id.
+/// Upstreams that crash while they run a marked request, and restart under another id.
 #[derive(Clone, Debug)]
 struct Fleet {
     registry: RegistryStandin,
@@ -69,21 +71,21 @@
         for number in 1..=upstreams {
             let listener = TcpListener::bind(format!("127.79.{net}.{number}:0")).await;
             let is_engine = number % 2 == 0;
-            tokio::spawn(self.clone().live(listener.unwrap(), is_engine));
+            tokio::spawn(self.clone().run_upstream(listener.unwrap(), is_engine));
         }
     }
 
-    /// Lives, ends under a marked request, and starts again, over and over.
-    async fn live(self, listener: TcpListener, is_engine: bool) {
+    /// Serves until a marked request, crashes and restarts, repeatedly.
+    async fn run_upstream(self, listener: TcpListener, is_engine: bool) {
         let addr = listener.local_addr().unwrap();
         let mut listener = Some(listener);
         loop {
-            let births = {
+            let starts = {
                 let mut record = self.record.lock().unwrap();
-                record.births += 1;
-                record.births
+                record.starts += 1;
+                record.starts
             };
-            let id = format!("u-{births}");
+            let id = format!("u-{starts}");
             self.registry.upstream(record_of(&id, addr, is_engine));
             let end = CancellationToken::new();
             let listening = listener.take().unwrap();
@@ -93,18 +95,18 @@
                 }
             };
             let _ = end.run_until_cancelled(accepting).await;
-            self.record.lock().unwrap().ends.push(Instant::now());
+            self.record.lock().unwrap().crashes.push(Instant::now());
             drop(listening);
-            sleep(AWAY).await;
+            sleep(RESTART_TIME).await;
             self.registry.upstream(Change::Gone(id));
             listener = Some(TcpListener::bind(addr).await.unwrap());
         }
     }
 
-    /// Returns how often marked requests arrived after the window behind the third end.
+    /// Returns the number of marked requests that arrived after the window.
     fn late_arrivals(&self) -> usize {
         let record = self.record.lock().unwrap();
-        let Some(third) = record.ends.get(ENDS - 1) else {
+        let Some(third) = record.crashes.get(CRASHES - 1) else {
             return 0;
         };
         let late = record.arrivals.iter().filter(|at| **at > *third + WINDOW);
@@ -113,7 +115,7 @@
 }
 
 fn record_of(id: &str, addr: SocketAddr, is_engine: bool) -> Change {
-    let desk = registered(id, addr);
+    let plain = registered(id, addr);
     let engine = || Upstream {
         service: "writers".to_owned(),
         models: vec![LoadedModel {
@@ -123,10 +125,10 @@
         }],
         ..registered(id, addr)
     };
-    Change::Upstream(Box::new(if is_engine { engine() } else { desk }))
+    Change::Upstream(Box::new(if is_engine { engine() } else { plain }))
 }
 
-/// Answers requests on a connection until the upstream ends.
+/// Answers requests on a connection until the upstream crashes.
 async fn serve(stream: TcpStream, record: Arc<Mutex<Record>>, end: CancellationToken) {
     let answering = answer(stream, record, end.clone());
     let _ = end.run_until_cancelled(answering).await;
@@ -175,7 +177,7 @@
     }
 }
 
-/// Stands in for the agents: answers questions, and passes on what entries tell of requests.
+/// Acts as an agent: answers queries, and passes crash reports on to the entries.
 async fn relay(addr: SocketAddr) {
     let socket = UdpSocket::bind(addr).await.unwrap();
     let mut entries: BTreeMap<SocketAddr, ()> = BTreeMap::new();
@@ -211,8 +213,12 @@
     });
 }
 
-/// Starts entries of a fleet without agents, which know the first of them as seeds.
-async fn entries_alone(fleet: &Fleet, net: u8, count: u8) -> Vec<DirectEntry<TestDialect>> {
+/// Starts entries of a fleet without agents. The first three entries are the seeds.
+async fn entries_without_agents(
+    fleet: &Fleet,
+    net: u8,
+    count: u8,
+) -> Vec<DirectEntry<TestDialect>> {
     let port = common::agent::free_port().await;
     let seeds = [101, 102, 103].map(|number| IpAddr::from([127, 79, net, number]));
     let mut entries = Vec::new();
@@ -261,10 +267,10 @@
         relay(SocketAddr::from(([127, 79, net, number], agent_port))).await;
     }
     let entries = entries(&fleet, agent_port, 3).await;
-    repeat_at(&fleet, &entries, PAUSE, method, path, body).await;
+    repeat_at(&fleet, &entries, INTERVAL, method, path, body).await;
 }
 
-/// The same in a fleet of plain upstreams, which has no agents.
+/// As [`repeats_at_any_entry`], in a fleet of plain upstreams, which has no agents.
 #[rstest]
 #[case::by_path(4, "GET", "/read/ends-you", "")]
 #[case::by_body(5, "POST", "/order/1", "ends-you")]
@@ -278,17 +284,17 @@
     let fleet = Fleet::new();
     for number in 1..=12 {
         let listener = TcpListener::bind(format!("127.79.{net}.{number}:0")).await;
-        tokio::spawn(fleet.clone().live(listener.unwrap(), false));
+        tokio::spawn(fleet.clone().run_upstream(listener.unwrap(), false));
     }
-    let entries = entries_alone(&fleet, net, 6).await;
-    repeat_at(&fleet, &entries, LONG_PAUSE, method, path, body).await;
+    let entries = entries_without_agents(&fleet, net, 6).await;
+    repeat_at(&fleet, &entries, LONG_INTERVAL, method, path, body).await;
 }
 
-/// Repeats a request that ends upstreams at all entries, and holds what upstreams saw against the promise.
+/// Repeats a request that crashes upstreams at all entries, and checks the number of its arrivals.
 async fn repeat_at(
     fleet: &Fleet,
     entries: &[DirectEntry<TestDialect>],
-    pause: Duration,
+    interval: Duration,
     method: &str,
     path: &str,
     body: &str,
@@ -301,7 +307,7 @@
     let started = Instant::now();
     let mut number = 0;
     let mut unserved = 0;
-    while started.elapsed() < WINDOW + Duration::from_secs(3) + pause * 5 {
+    while started.elapsed() < WINDOW + Duration::from_secs(3) + interval * 5 {
         number += 1;
         let entry = entries[number % entries.len()].callers();
         let refused = call(entry, number, method, path, body).await;
@@ -311,10 +317,16 @@
         if started.elapsed() > WINDOW + Duration::from_secs(1) && served.status != 200 {
             unserved += 1;
         }
-        sleep(pause).await;
+        sleep(interval).await;
     }
     let late = fleet.late_arrivals();
-    let ended = fleet.record.lock().unwrap().ends.len();
-    assert!(late <= ALLOWED, "{late} late arrivals, {ended} ended");
-    assert_eq!(unserved, 0, "innocent requests, {ended} upstreams ended");
+    let crashed = fleet.record.lock().unwrap().crashes.len();
+    assert!(
+        late <= MAX_ARRIVALS,
+        "{late} late arrivals, {crashed} crashed"
+    );
+    assert_eq!(
+        unserved, 0,
+        "innocent requests, {crashed} upstreams crashed"
+    );
 }
--- a/crates/direct/tests/event_splitter.rs
+++ b/crates/direct/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Events stay whole wherever a stream is cut.
+//! The event splitter yields complete events wherever frames and upstreams end.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use bytes::Bytes;
@@ -71,7 +71,7 @@
 }
 
 #[rstest]
-fn endless_event() {
+fn event_without_end() {
     let mut splitter = EventSplitter::new(None);
     let line = "data: x".repeat(1 << 16);
     let ends = (0..8).any(|_| push(&mut splitter, &line).is_none());
@@ -79,18 +79,18 @@
 }
 
 proptest! {
-    /// Whatever the frames and wherever upstreams break off, the caller gets each event once.
+    /// The caller gets each event once, for any frames and wherever upstreams break off.
     #[test]
-    fn any_frames(cuts in prop::collection::vec(1usize..40, 1..60), breaks in 0u64..4) {
+    fn any_frames(frame_sizes in prop::collection::vec(1usize..40, 1..60), breaks in 0u64..4) {
         let all: String = (1..=12).map(event).collect();
         let mut splitter = EventSplitter::new(None);
         let mut got = String::new();
-        let mut sizes = cuts.iter().cycle();
+        let mut sizes = frame_sizes.iter().cycle();
         for round in 0..=breaks {
             splitter.restart();
             let from = splitter.last().unwrap_or(0);
             let rest: String = (from + 1..=12).map(event).collect();
-            // All but the last upstream break off somewhere.
+            // All upstreams but the last break off in the middle.
             let stop = if round == breaks { rest.len() } else { rest.len() / 2 };
             let mut sent = 0;
             while sent < stop {
--- a/crates/direct/tests/beliefs.rs
+++ b/crates/direct/tests/known_state.rs
@@ -1,4 +1,4 @@
-//! What an entry does with what it believes, and with what it no longer can.
+//! What an entry does with its last known state of the fleet, and when that is too old to use.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -19,7 +19,10 @@
     let entry = entry(&registry, Duration::from_secs(4)).await;
     until_readiness(&entry, 503).await;
     let answer = call(entry.callers(), "GET", "/none/").await;
-    assert_eq!(answer.status, 503, "nothing is denied on no knowledge");
+    assert_eq!(
+        answer.status, 503,
+        "no request is denied without a configuration"
+    );
     assert!(answer.header("retry-after").is_some());
     registry.config(directory(1));
     registry.set_away(false);
@@ -37,7 +40,7 @@
     until_readiness(&entry, 200).await;
     registry.set_away(true);
     let answer = call(entry.callers(), "GET", "/read/1").await;
-    assert_eq!(answer.status, 200, "a short outage changes nothing");
+    assert_eq!(answer.status, 200, "a short outage has no effect");
     until_readiness(&entry, 503).await;
     let reached = upstream.seen().len();
     for path in ["/read/1", "/none/"] {
@@ -45,9 +48,13 @@
         assert_eq!(answer.status, 503, "{path}");
         assert!(answer.header("retry-after").is_some());
     }
-    assert_eq!(upstream.seen().len(), reached, "refused is not run");
+    assert_eq!(
+        upstream.seen().len(),
+        reached,
+        "a refused request is not run"
+    );
     let answer = call(entry.callers(), "GET", "/public/1").await;
-    assert_eq!(answer.status, 200, "what needs no key goes on");
+    assert_eq!(answer.status, 200, "public routes still work");
     registry.set_away(false);
     until_readiness(&entry, 200).await;
     until_status(entry.callers(), "/read/1", 200).await;
@@ -71,7 +78,10 @@
     registry.config(directory(1));
     registry.config(directory(1));
     let answer = call(entry.callers(), "GET", "/read/1").await;
-    assert_eq!(answer.status, 401, "an older configuration never returns");
+    assert_eq!(
+        answer.status, 401,
+        "an older configuration is never applied"
+    );
 }
 
 #[tokio::test]
@@ -113,15 +123,12 @@
         }
     }
     let answer = call(callers, "GET", "/read/2").await;
-    assert_eq!(
-        answer.status, 200,
-        "callers that come late are still served"
-    );
+    assert_eq!(answer.status, 200, "late callers are still served");
     assert_eq!(answer.header("connection"), Some("close"));
     assert_eq!(
         open.await.unwrap().status,
         504,
-        "what was open got its answer"
+        "the open request got its answer"
     );
     ending.await.unwrap();
     assert!(tokio::net::TcpStream::connect(callers).await.is_err());
@@ -130,12 +137,12 @@
 #[tokio::test]
 async fn record_becomes_unreadable() {
     let registry = RegistryStandin::default();
-    let (spoilt, sound) = (
+    let (unreadable, readable) = (
         TestUpstream::start(&[]).await,
         TestUpstream::start(&[]).await,
     );
-    let named = [("a", spoilt.addr), ("b", sound.addr)];
-    let entry = ready_entry(&registry, &named).await;
+    let registered = [("a", unreadable.addr), ("b", readable.addr)];
+    let entry = ready_entry(&registry, &registered).await;
     registry.upstream(Change::Unreadable {
         key: "a".to_owned(),
         reason: "no state `odd` is known".to_owned(),
@@ -144,17 +151,20 @@
         key: "nobody".to_owned(),
         reason: "EOF".to_owned(),
     });
-    // Both take turns until the record is read.
-    let mut last = spoilt.seen().len();
+    // Both upstreams get requests until the entry reads the record.
+    let mut last = unreadable.seen().len();
     loop {
         for _ in 0..4 {
             assert_eq!(call(entry.callers(), "GET", "/read/1").await.status, 200);
         }
-        let seen = spoilt.seen().len();
+        let seen = unreadable.seen().len();
         if seen == last {
             break;
         }
         last = seen;
     }
-    assert!(!sound.seen().is_empty(), "the other one holds");
+    assert!(
+        !readable.seen().is_empty(),
+        "the other upstream still serves"
+    );
 }
--- a/crates/direct/tests/limit.rs
+++ b/crates/direct/tests/limit.rs
@@ -1,4 +1,4 @@
-//! A limit that an upstream names holds for all entries together, and is used.
+//! All entries together keep to the rate limit of an upstream, and use most of it.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -22,24 +22,24 @@
 /// Span over which requests are counted.
 const SPAN: Duration = Duration::from_secs(4);
 
-/// Time after a limit was first named from which requests are counted.
-const STABLE: Duration = Duration::from_secs(1);
+/// Time after the first answer that states a limit; requests are counted from then on.
+const SETTLING_TIME: Duration = Duration::from_secs(1);
 
 /// Requests beyond one and a half times the limit that are allowed in a span.
 const SLACK: f64 = 5.0;
 
-/// Share of a limit that is used at least where more is asked for.
-const USED: f64 = 0.9;
+/// Minimum share of a limit that is used if the demand is higher.
+const MIN_USED: f64 = 0.9;
 
-/// Longest time after which a request that finds no room is refused.
-const AT_ONCE: Duration = Duration::from_millis(250);
+/// Maximum time to the refusal of a request that gets no permit.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(250);
 
 const ENTRIES: usize = 6;
 
-/// Pause between two requests to an entry.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Time between two requests to an entry.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Which upstreams a fleet has; agents stand beside engines.
+/// Which upstreams a fleet has. Only engines have agents beside them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Engines,
@@ -49,7 +49,7 @@
 
 type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
-/// Starts an upstream that names `limit` in its answers, or nothing.
+/// Starts an upstream that states `limit` in its answers.
 async fn upstream(ip: &str, limit: &'static str) -> (SocketAddr, Arrivals) {
     let listener = TcpListener::bind((ip, 0)).await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns the most requests of any span, counted from the stable time after the first.
+/// Returns the maximum number of requests in any span that starts after the settling time.
 fn worst_span(arrivals: &[Instant]) -> usize {
     let Some(first) = arrivals.first() else {
         return 0;
@@ -90,7 +90,7 @@
     let counted: Vec<Instant> = arrivals
         .iter()
         .copied()
-        .filter(|at| *at > *first + STABLE)
+        .filter(|at| *at > *first + SETTLING_TIME)
         .collect();
     let within = |from: &Instant| {
         counted
@@ -101,12 +101,13 @@
     counted.iter().map(within).max().unwrap_or_default()
 }
 
-/// Returns how many requests are allowed in any span.
+/// Returns the number of requests that are allowed in any span.
 fn allowed(limit: f64) -> usize {
     (1.5 * limit * SPAN.as_secs_f64() + SLACK).floor() as usize
 }
 
-/// Sends requests to the entry at `addr`, one after the other; each refusal comes at once and names a time.
+/// Sends requests to the entry at `addr`, one after the other. Each refusal has to come within the maximum
+/// time, with a `retry-after`.
 async fn call_until(addr: SocketAddr, entry: usize, path: &'static str, until: Instant) {
     let mut count = 0;
     while Instant::now() < until {
@@ -116,11 +117,11 @@
         let sent = Instant::now();
         let answer = send(addr, &request("GET", path, &headers, "")).await;
         if answer.status == 503 {
-            assert!(sent.elapsed() < AT_ONCE, "refused at once");
-            let back_in: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-            assert!(back_in > 0.0, "{answer:?}");
+            assert!(sent.elapsed() < MAX_REFUSAL_TIME, "refused at once");
+            let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+            assert!(retry_after > 0.0, "{answer:?}");
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
@@ -167,7 +168,7 @@
         until_readiness(&entry, 200).await;
         entries.push(entry);
     }
-    let until = Instant::now() + STABLE + SPAN + SPAN / 2;
+    let until = Instant::now() + SETTLING_TIME + SPAN + SPAN / 2;
     let calling = entries.iter().enumerate().map(|(number, entry)| {
         let addr = entry.callers();
         call_until(addr, number, path, until)
@@ -183,7 +184,7 @@
         );
         let counted = until - SPAN..until;
         let used = arrivals.iter().filter(|at| counted.contains(at)).count();
-        let least = (USED * limit * SPAN.as_secs_f64()).floor() as usize;
+        let least = (MIN_USED * limit * SPAN.as_secs_f64()).floor() as usize;
         assert!(
             used >= least,
             "limit {limit}: {used} in the last span, at least {least} fit"
@@ -191,7 +192,8 @@
     }
 }
 
-/// A limit is kept where entries reach different agents, so that several give permits for one upstream.
+/// Guards against more requests than the limit if entries reach different agents, so that several agents
+/// issue permits for one upstream.
 #[rstest]
 #[tokio::test]
 async fn agents_cut_off() {
@@ -204,7 +206,7 @@
     let mut agents = [1, 2, 3].map(|it| IpAddr::from([127, 79, 86, it]));
     agents.sort_by_key(|ip| Reverse(rank_score(b"u", &ip.to_string())));
     for (number, ip) in agents.into_iter().enumerate() {
-        // The first agent is heard by a third of the entries, the second one by two thirds.
+        // A third of the entries reach the first agent, and two thirds reach the second.
         let cut_off = entries[2 * (number + 1)..].to_vec();
         Beside::start_cut_off(&ip.to_string(), port, cut_off).await;
         let id = format!("e-{number}");
@@ -220,7 +222,7 @@
         until_readiness(&entry, 200).await;
         callers.push(entry);
     }
-    let until = Instant::now() + STABLE + SPAN + SPAN / 2;
+    let until = Instant::now() + SETTLING_TIME + SPAN + SPAN / 2;
     let calling = callers.iter().enumerate().map(|(number, entry)| {
         let addr = entry.callers();
         call_until(addr, number, "/read/1", until)
@@ -231,7 +233,7 @@
     assert!(worst <= allowed, "{worst} in a span, allowed {allowed}");
 }
 
-/// An upstream that names a limit is still used, and little, where no agent or seed gives permits.
+/// An upstream with a limit still gets a few requests if no agent or seed issues permits.
 #[rstest]
 #[case::no_seeds(83, &[])]
 #[case::gone_seeds(85, &[IpAddr::from([127, 79, 85, 101]), IpAddr::from([127, 79, 85, 102])])]
@@ -244,11 +246,11 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let entry = entry_at(&registry, Duration::from_secs(60), any, 9, seeds).await;
     until_readiness(&entry, 200).await;
-    let until = Instant::now() + STABLE + SPAN;
+    let until = Instant::now() + SETTLING_TIME + SPAN;
     let headers = [("x-id", "r1"), ("x-key", "k1")];
     while Instant::now() < until {
         send(entry.callers(), &request("GET", "/read/1", &headers, "")).await;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
     let counted = worst_span(&arrivals.lock().unwrap());
     assert!((1..=6).contains(&counted), "{counted} in a span");
--- a/crates/direct/tests/endings.rs
+++ b/crates/direct/tests/next_step.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt.
+//! The next step after an attempt ended without an answer.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -57,7 +57,7 @@
     assert_eq!(next_step(late), Next::Refuse);
 }
 
-/// Guards against answers that are broken off, with time left, since three other upstreams were gone.
+/// Guards against answers that are broken off with time left because three other upstreams were unreachable.
 #[rstest]
 #[case::may_have_run(true, Next::Again)]
 #[case::has_not_run(false, Next::Refuse)]
@@ -87,10 +87,10 @@
 }
 
 proptest! {
-    /// Over any series of ends: what may not be repeated runs once at most, nothing that may have
-    /// run is refused as not run, and no more upstreams are reached than allowed.
+    /// For any series of attempts: a request that may not be repeated runs at most once, a request that may
+    /// have run is not refused as not run, and the request reaches at most the allowed number of upstreams.
     #[test]
-    fn any_series(kind in kinds(), ends in prop::collection::vec(endings(), 1..12), most in 1u32..4) {
+    fn any_series(kind in kinds(), ends in prop::collection::vec(endings(), 1..12), max_attempts in 1u32..4) {
         let mut sent = 0;
         let mut unreached = 0;
         let mut may_have_run = false;
@@ -106,7 +106,7 @@
                 }
             }
             let next = next_step(Attempt {
-                kind, ending, sent, max_attempts: most, unreached, may_have_run, has_time: true,
+                kind, ending, sent, max_attempts, unreached, may_have_run, has_time: true,
             });
             match next {
                 Next::Again => continue,
@@ -115,7 +115,7 @@
             }
             break;
         }
-        prop_assert!(sent <= most);
+        prop_assert!(sent <= max_attempts);
         if !kind.repeatable() {
             prop_assert!(ran <= 1);
         }
--- a/crates/direct/tests/remote.rs
+++ b/crates/direct/tests/remote.rs
@@ -1,4 +1,4 @@
-//! Words of load from other data centres.
+//! Load reports from remote data centres.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -21,26 +21,26 @@
 
 const WRITTEN: &str = "/written/1";
 
-/// How long a test waits at most for what it waits for.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum wait of a test for the expected event.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An entry of another data centre that notes what it is asked, and tells nothing.
-async fn entry_abroad() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+/// Starts an entry of a remote data centre that records the paths that are read, and reports no load.
+async fn remote_entry() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-    let log = Arc::clone(&asked);
+    let paths: Arc<Mutex<Vec<String>>> = Arc::default();
+    let log = Arc::clone(&paths);
     let routes = Router::new().fallback(move |uri: Uri| {
         log.lock().unwrap().push(uri.path().to_owned());
         let nothing: Vec<u32> = Vec::new();
         async move { Packed::new(&nothing).answer(Duration::ZERO) }
     });
     tokio::spawn(async move { axum::serve(listener, routes).await.unwrap() });
-    (addr, asked)
+    (addr, paths)
 }
 
-/// Answers questions as an agent that is asked by `entry`, with an engine that holds its weights.
-async fn agent_asked_by(entry: SocketAddr) -> u16 {
+/// Starts an agent that names `entry` as the entry that queries it, with an engine that holds its weights.
+async fn agent_naming(entry: SocketAddr) -> u16 {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
     answer_questions(socket, move |_| Status {
@@ -54,39 +54,39 @@
     port
 }
 
-/// An entry asks one of another data centre for the load there, and never reads the registry through it;
-/// where that one knows nothing, it goes on asking the agents.
+/// An entry reads the load of a remote data centre from an entry there, and never reads the registry
+/// through that entry. If the remote entry has no load reports, the reader goes on querying the agents.
 #[tokio::test]
-async fn asked_for_load() {
+async fn remote_entry_read() {
     let registry = RegistryStandin::default();
-    let (abroad, asked) = entry_abroad().await;
-    let port = agent_asked_by(abroad).await;
+    let (remote, paths) = remote_entry().await;
+    let port = agent_naming(remote).await;
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
     registry.upstream(writer_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     let twice = async {
-        while asked.lock().unwrap().len() < 2 {
+        while paths.lock().unwrap().len() < 2 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, twice).await.unwrap();
-    let asked = asked.lock().unwrap().clone();
+    tokio::time::timeout(TIMEOUT, twice).await.unwrap();
+    let paths = paths.lock().unwrap().clone();
     assert!(
-        asked.iter().all(|path| path == "/v1/load/quay"),
-        "{asked:?}"
+        paths.iter().all(|path| path == "/v1/load/quay"),
+        "{paths:?}"
     );
     assert_eq!(call(entry.callers(), "GET", WRITTEN).await.status, 200);
 }
 
-/// An entry tells another of the engines of its data centre.
+/// An entry answers a read of another entry with the load of the engines of its own data centre.
 #[tokio::test]
-async fn told_load() {
+async fn load_answered() {
     let registry = RegistryStandin::default();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let own = socket.local_addr().unwrap();
-    let port = agent_asked_by(own).await;
+    let port = agent_naming(own).await;
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
     registry.upstream(writer_in("hall", &upstream));
@@ -94,26 +94,26 @@
     until_status(entry.callers(), WRITTEN, 200).await;
     let client = HttpClient::new();
     let url = format!("http://{}/v1/load/hall", entry.neighbours_read_at());
-    let told = async {
+    let answered = async {
         loop {
             let req = http::Request::get(&url).body(Body::default()).unwrap();
             let answer = client.request(req).await.unwrap();
             let (head, body) = answer.into_parts();
-            let body = collect_body(&url, body, 1 << 16, PATIENCE).await.unwrap();
-            let words: Vec<LoadStatus> = unpack(&head.headers, &body).unwrap();
-            if let Some(word) = words.into_iter().next() {
-                return word;
+            let body = collect_body(&url, body, 1 << 16, TIMEOUT).await.unwrap();
+            let reports: Vec<LoadStatus> = unpack(&head.headers, &body).unwrap();
+            if let Some(report) = reports.into_iter().next() {
+                return report;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let word = tokio::time::timeout(PATIENCE, told).await.unwrap();
-    assert_eq!((word.version, word.running), (Some(1), 3));
+    let report = tokio::time::timeout(TIMEOUT, answered).await.unwrap();
+    assert_eq!((report.version, report.running), (Some(1), 3));
 }
 
-/// Without a word from anywhere an entry serves as before.
+/// An entry without any load report still serves requests.
 #[tokio::test]
-async fn nobody_tells() {
+async fn no_load_reports() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
--- a/crates/direct/tests/patience.rs
+++ b/crates/direct/tests/stall.rs
@@ -1,4 +1,4 @@
-//! How long a stream is left to the engine that has it.
+//! How long an entry waits for the first event of a stream before it abandons the engine.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -14,13 +14,13 @@
 
 const WRITTEN: &str = "/written/1";
 
-/// A stream waits in the queue of an engine that lives and is full, and is taken off one that has room
-/// and still sends nothing. Callers of this route leave after 2 s.
+/// A stream stays in the queue of an engine that answers queries and is full. It is abandoned at an engine
+/// that has a free slot and still sends nothing. Callers of this route leave after 2 s.
 #[rstest]
 #[case::full(4, Act::Late(1500, 1, 2), 200)]
-#[case::has_room(1, Act::Late(1500, 1, 2), 502)]
+#[case::free_slot(1, Act::Late(1500, 1, 2), 502)]
 #[tokio::test]
-async fn late_begin(#[case] running: u32, #[case] act: Act, #[case] status: u16) {
+async fn late_first_event(#[case] running: u32, #[case] act: Act, #[case] status: u16) {
     let registry = RegistryStandin::default();
     let engine = TestUpstream::start(&[Act::Events(1, 1), act]).await;
     let port = free_port().await;
