--- a/crates/direct/tests/members.rs
+++ b/crates/direct/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Choice of the upstream for a request.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -65,7 +65,7 @@
 }
 
 #[rstest]
-fn own_data_centre() {
+fn local_data_centre_first() {
     let now = Instant::now();
     let mut fleet = fleet(&[
         upstream("far", 1, "quay"),
@@ -80,7 +80,7 @@
     }
     assert!(
         fleet.choose(&Ask::default(), now).is_ok(),
-        "one may wait at each"
+        "one request may wait at each"
     );
 }
 
@@ -107,7 +107,7 @@
     assert_eq!(pick.source, LoadSource::Agent);
     let later = now + Duration::from_secs(2);
     let pick = fleet.choose(&Ask::default(), later).unwrap();
-    assert_eq!(pick.source, LoadSource::Own, "old words don't count");
+    assert_eq!(pick.source, LoadSource::Own, "old reports are not used");
 }
 
 #[rstest]
@@ -120,7 +120,7 @@
     assert!(fleet.update(leaving));
     assert!(
         !fleet.may_send("a"),
-        "also for a request that has chosen it"
+        "also if a request has already chosen the upstream"
     );
     assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
 }
@@ -134,7 +134,10 @@
     assert!(!fleet.may_send("a"));
     assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
     fleet.finished("a", 0);
-    assert!(!fleet.remove("a"), "it was forgotten with its last request");
+    assert!(
+        !fleet.remove("a"),
+        "the upstream was removed with its last request"
+    );
 }
 
 #[rstest]
@@ -146,7 +149,7 @@
 }
 
 #[rstest]
-#[case::older_is_enough(Some(1), Ok("a"))]
+#[case::new_enough(Some(1), Ok("a"))]
 #[case::any_version(None, Ok("a"))]
 #[case::too_old(Some(2), Err(Shortage::Weights))]
 fn weights(#[case] least: Option<u64>, #[case] expected: Result<&str, Shortage>) {
@@ -175,7 +178,7 @@
     fleet.status(ip(1), &status(0), None, now);
     assert!(
         fleet.choose(&ask, now).is_ok(),
-        "the agent knows before the registry"
+        "the agent reports weights before the registry does"
     );
 }
 
@@ -192,7 +195,7 @@
     let later = now + Duration::from_secs(2);
     assert!(
         choose(&mut fleet, later).is_ok(),
-        "a lost word doesn't last"
+        "an old report is not used for ever"
     );
 }
 
@@ -200,27 +203,31 @@
 fn failing_upstream() {
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
-    assert_eq!(fleet.failed("a", now), None, "once is usual");
-    let shun = fleet.failed("a", now).unwrap();
+    assert_eq!(
+        fleet.failed("a", now),
+        None,
+        "a single failure does not eject"
+    );
+    let ejected_for = fleet.failed("a", now).unwrap();
     assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
     assert!(
-        choose(&mut fleet, now + shun).is_ok(),
-        "it gets another chance"
+        choose(&mut fleet, now + ejected_for).is_ok(),
+        "the upstream is chosen again after the ejection"
     );
-    let longer = fleet.failed("a", now + shun).unwrap();
-    assert!(longer > shun);
+    let longer = fleet.failed("a", now + ejected_for).unwrap();
+    assert!(longer > ejected_for);
     fleet.answered("a");
-    assert!(choose(&mut fleet, now + shun).is_ok());
+    assert!(choose(&mut fleet, now + ejected_for).is_ok());
 }
 
 #[rstest]
-#[case::choked_link(true)]
+#[case::slow_link(true)]
 #[case::silent_agent(false)]
-fn doubted_link(#[case] choked: bool) {
+fn suspect_link(#[case] is_slow: bool) {
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("bad", 1, "hall"), upstream("far", 2, "quay")]);
     let later = now + Duration::from_millis(800);
-    if choked {
+    if is_slow {
         let round_trip = Some(Duration::from_millis(400));
         fleet.status(ip(1), &status(0), round_trip, later);
     } else {
@@ -229,7 +236,7 @@
     assert_eq!(
         choose(&mut fleet, later).as_deref(),
         Ok("far"),
-        "rather abroad"
+        "a remote upstream is preferred to a suspect link"
     );
     for _ in 0..5 {
         fleet.started("far", 0);
@@ -238,21 +245,25 @@
         assert_eq!(
             choose(&mut fleet, later).as_deref(),
             Ok("bad"),
-            "rather than none"
+            "a suspect link is preferred to a refusal"
         );
         fleet.started("bad", 0);
     }
-    assert_eq!(choose(&mut fleet, later), Err(Shortage::Full), "but few");
+    assert_eq!(
+        choose(&mut fleet, later),
+        Err(Shortage::Full),
+        "a suspect link gets few requests"
+    );
     fleet.status(ip(1), &status(2), Some(Duration::from_millis(2)), later);
     assert_eq!(
         choose(&mut fleet, later).as_deref(),
         Ok("bad"),
-        "it is well again"
+        "the link is no longer suspect"
     );
 }
 
 #[rstest]
-fn unread_prompts() {
+fn prefill_load() {
     let now = Instant::now();
     let mut fleet = fleet(&[
         upstream("a", 1, "hall"),
@@ -272,20 +283,20 @@
     assert_eq!(
         choose(&mut fleet),
         "b",
-        "more requests, but nothing to read"
+        "more requests, but no prompts to prefill"
     );
     fleet.started("b", 4000);
     fleet.started("a", 2500);
     assert_eq!(
         choose(&mut fleet),
         "far",
-        "rather abroad than behind long prompts"
+        "a remote upstream is preferred to a queue of long prompts"
     );
     fleet.begun("a", 0, 4000);
     assert_eq!(choose(&mut fleet), "a");
 }
 
-/// An engine whose agent is silent isn't taken for an empty one where all others are full.
+/// Guards against an engine with a silent agent that counts as idle while all others are full.
 #[rstest]
 #[case::others_full(4, false)]
 #[case::others_idle(1, true)]
@@ -310,8 +321,8 @@
     assert_eq!(chosen.is_ok(), is_chosen, "{chosen:?}");
 }
 
-/// At full engines a long prompt is let in a little beyond the objective: judged by its whole length it
-/// would be refused at every one of them.
+/// Guards against refusals of long prompts at all full engines: a full engine accepts a long prompt a
+/// little beyond the objective, since by its whole length the prompt would never fit.
 #[rstest]
 #[case::usual(100)]
 #[case::long(3000)]
--- a/crates/direct/tests/weights.rs
+++ b/crates/direct/tests/weights.rs
@@ -1,4 +1,4 @@
-//! No request begins on weights that are too old.
+//! No request begins on older weights after the bound of a naming.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -19,7 +19,7 @@
 
 const MODEL: &str = "epitaph";
 
-/// A path of the service that needs the model.
+/// A path of the service whose engines hold the model.
 const WRITTEN: &str = "/written/1";
 
 fn name(registry: &RegistryStandin, version: u64) {
@@ -29,26 +29,28 @@
     });
 }
 
-/// Waits until the entry tells its agents of `version`.
-async fn until_told(socket: &UdpSocket, version: u64) {
+/// Waits until the entry reports `version` to its agents.
+async fn until_reported(socket: &UdpSocket, version: u64) {
     let mut buf = [0; 2048];
     loop {
         let (len, _) = socket.recv_from(&mut buf).await.unwrap();
         if let Ok(Datagram::Query(query)) = Datagram::from_bytes(&buf[..len])
-            && query.weights.is_some_and(|told| told.version == version)
+            && query
+                .weights
+                .is_some_and(|reported| reported.version == version)
         {
             return;
         }
     }
 }
 
-/// Starts an upstream that answers every request with one event.
+/// Starts an upstream that answers each request with one event.
 async fn answering() -> TestUpstream {
     TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await
 }
 
-/// Makes a registry whose only upstream answers, and holds `version`.
-async fn holding(version: u64) -> (RegistryStandin, TestUpstream) {
+/// Creates a registry whose only upstream answers, and holds `version`.
+async fn registry_with(version: u64) -> (RegistryStandin, TestUpstream) {
     let registry = RegistryStandin::default();
     let upstream = answering().await;
     registry.config(directory(1));
@@ -68,14 +70,18 @@
     let reached = old.seen().len();
     registry.upstream(writer("new", &new, 2));
     until_status(entry.callers(), WRITTEN, 200).await;
-    assert_eq!(old.seen().len(), reached, "older ones get nothing more");
+    assert_eq!(
+        old.seen().len(),
+        reached,
+        "no request goes to older weights any more"
+    );
 }
 
 #[rstest]
 #[case::no_head(Act::Silent)]
 #[case::no_event(Act::Hang(1, 0))]
 #[tokio::test]
-async fn waiting_request(#[case] act: Act) {
+async fn bound_before_first_event(#[case] act: Act) {
     let registry = RegistryStandin::default();
     let old = TestUpstream::start(&[Act::Events(1, 1), act]).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -85,7 +91,7 @@
     registry.upstream(writer("old", &old, 1));
     until_status(entry.callers(), WRITTEN, 200).await;
     name(&registry, 2);
-    until_told(&socket, 2).await;
+    until_reported(&socket, 2).await;
     let callers = entry.callers();
     let waiting = tokio::spawn(async move {
         loop {
@@ -101,25 +107,25 @@
     let took = sent.elapsed();
     assert!(
         took.as_millis() < 1000,
-        "taken back before a stall: {took:?}"
+        "abandoned before the stall timeout: {took:?}"
     );
     let answer = waiting.await.unwrap();
     assert!(!answer.is_whole || answer.status == 502, "it may have run");
 }
 
-/// Weights that were named before the start are binding after a time of their own, unless the
-/// registry was away: its outage stretches the bound.
+/// Weights that were named before the start of the entry become binding at a bound that counts from the
+/// start. After an outage of the registry the bound counts from its return.
 #[rstest]
-#[case::registry_there(false, 1500, 3500)]
-#[case::registry_away(true, 200, 1500)]
+#[case::registry_reachable(false, 1500, 3500)]
+#[case::registry_unreachable(true, 200, 1500)]
 #[tokio::test]
-async fn named_before_start(#[case] is_away: bool, #[case] from: u128, #[case] to: u128) {
-    let (registry, _old) = holding(1).await;
+async fn named_before_start(#[case] is_unreachable: bool, #[case] from: u128, #[case] to: u128) {
+    let (registry, _old) = registry_with(1).await;
     name(&registry, 2);
-    registry.set_away(is_away);
+    registry.set_away(is_unreachable);
     let entry = entry(&registry, Duration::from_secs(4)).await;
-    if is_away {
-        // The entry has to see the outage before it is over.
+    if is_unreachable {
+        // The entry has to notice the outage before its end.
         registry.until_refused(Topic::Settings).await;
         registry.set_away(false);
     }
@@ -130,17 +136,17 @@
     assert!((from..to).contains(&took), "{took}");
 }
 
-/// Answers an entry's questions as an agent that heard of weights `version` when it was started.
+/// Starts an agent that learned of weights `version` at its start.
 async fn agent(version: u64) -> u16 {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
-    let heard = std::time::Instant::now();
+    let learned = std::time::Instant::now();
     answer_questions(socket, move |from| {
         let weights = NamedWeights {
             model: MODEL.to_owned(),
             version,
         };
-        let age_ms = u32::try_from(heard.elapsed().as_millis()).unwrap();
+        let age_ms = u32::try_from(learned.elapsed().as_millis()).unwrap();
         Status {
             naming: Some(HeardNaming { weights, age_ms }),
             entries: vec![from],
@@ -152,7 +158,7 @@
 
 #[tokio::test]
 async fn learned_naming() {
-    let (registry, _old) = holding(1).await;
+    let (registry, _old) = registry_with(1).await;
     name(&registry, 2);
     let port = agent(2).await;
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
@@ -162,14 +168,14 @@
     let took = served.elapsed().as_millis();
     assert!(
         took < 1500,
-        "the agent's word goes before the guess: {took}"
+        "the bound counts from the agent's report: {took}"
     );
 }
 
-/// Starts an entry that serves version 1, of which version 2 is named; returns the socket of the agent
-/// that it asks with it.
-async fn asking_entry() -> (UdpSocket, DirectEntry<TestDialect>) {
-    let (registry, _old) = holding(1).await;
+/// Starts an entry that serves version 1, and names version 2. Returns the socket of the agent that the
+/// entry queries, and the entry.
+async fn entry_with_naming() -> (UdpSocket, DirectEntry<TestDialect>) {
+    let (registry, _old) = registry_with(1).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
@@ -178,11 +184,11 @@
     (socket, entry)
 }
 
-/// The first question after a naming tells its age, before the agent told its clock: engines count the
-/// time that they have to load from it.
+/// The first query after a naming contains its age, before the entry knows the agent's clock: engines count
+/// the time to load the weights from that age.
 #[tokio::test]
-async fn age_told_at_once() {
-    let (socket, _entry) = asking_entry().await;
+async fn age_in_first_query() {
+    let (socket, _entry) = entry_with_naming().await;
     let mut buf = [0; 2048];
     let query = loop {
         let (len, _) = socket.recv_from(&mut buf).await.unwrap();
@@ -193,16 +199,18 @@
         }
     };
     assert!(query.weights_age_ms.is_some(), "{query:?}");
-    assert_eq!(query.weights_after_ms, None, "its clock is not known");
+    assert_eq!(
+        query.weights_after_ms, None,
+        "the agent's clock is not known"
+    );
 }
 
-/// What an agent tells without being asked has no clock, and doesn't take away the one that it told
-/// before.
+/// An unsolicited datagram of an agent has no clock, and does not clear the clock of an earlier answer.
 #[tokio::test]
 async fn clock_kept() {
-    let (socket, _entry) = asking_entry().await;
+    let (socket, _entry) = entry_with_naming().await;
     let mut buf = [0; 2048];
-    let told = async {
+    let clock_used = async {
         loop {
             let (len, from) = socket.recv_from(&mut buf).await.unwrap();
             let Ok(Datagram::Query(query)) = Datagram::from_bytes(&buf[..len]) else {
@@ -211,24 +219,28 @@
             if query.weights_after_ms.is_some() {
                 return;
             }
-            let unasked = Status::default();
+            let unsolicited = Status::default();
             let answer = Status {
                 nonce: query.nonce,
                 clock_ms: Some(3_600_000),
                 ..Status::default()
             };
-            for status in [answer, unasked] {
+            for status in [answer, unsolicited] {
                 let datagram = Datagram::Status(status).to_bytes();
                 socket.send_to(&datagram, from).await.unwrap();
             }
         }
     };
-    let told = tokio::time::timeout(Duration::from_secs(5), told).await;
-    assert!(told.is_ok(), "the agent is told when they were not named");
+    let clock_used = tokio::time::timeout(Duration::from_secs(5), clock_used).await;
+    assert!(
+        clock_used.is_ok(),
+        "the query has the time on the agent's clock"
+    );
 }
 
-/// A write whose answer was lost may be done after a later one, so that the newest record names older
-/// weights. An entry that starts then hears of the newer ones from the engines that hold them.
+/// Guards against requests on older weights after the registry's newest record names an older version: a
+/// write whose answer was lost may be applied after a later write. An entry that starts then learns of the
+/// newer weights from the engines that hold them.
 #[tokio::test]
 async fn late_record() {
     let registry = RegistryStandin::default();
@@ -252,15 +264,16 @@
         let is_new = answer.status == 200 && old.seen().len() == before;
         in_row = if is_new { in_row + 1 } else { 0 };
         let took = started.elapsed();
-        assert!(took < Duration::from_secs(8), "begun on older ones");
+        assert!(took < Duration::from_secs(8), "started on older weights");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The time that a new process is given counts from its start, not from the registry's answer.
+/// The bound of weights that were named before the start counts from the start of the process, not from the
+/// registry's answer.
 #[tokio::test]
 async fn slow_start() {
-    let (registry, _old) = holding(1).await;
+    let (registry, _old) = registry_with(1).await;
     name(&registry, 2);
     registry.set_delay(Duration::from_millis(600));
     let entry = entry(&registry, Duration::from_secs(4)).await;
@@ -271,10 +284,10 @@
     assert!(took < 2450, "{took}");
 }
 
-/// Of versions that were named between two reads only the newest is heard of; its bound counts from
-/// the read before, since the others may have been named just after it.
+/// Of the versions that were named between two reads an entry sees only the newest. Its bound counts from
+/// the earlier read, since the skipped versions may have been named just after that read.
 #[tokio::test]
-async fn passed_over() {
+async fn skipped_versions() {
     let registry = RegistryStandin::default();
     let old = answering().await;
     let entry = ready_entry(&registry, &[]).await;
@@ -296,8 +309,8 @@
     assert!(took < 350, "{took}");
 }
 
-/// A request that was sent before newer weights were named is taken back at their bound, however long its answer
-/// may be waited for.
+/// A request that was sent before newer weights were named is abandoned at their bound, even if the stall
+/// timeout of its route is longer.
 #[tokio::test]
 async fn named_while_waiting() {
     let registry = RegistryStandin::default();
@@ -317,13 +330,14 @@
     old.until_seen(2).await;
     name(&registry, 2);
     let left = tokio::time::timeout(Duration::from_millis(1500), old.until_left()).await;
-    assert!(left.is_ok(), "left waiting beyond the bound");
+    assert!(left.is_ok(), "still waiting after the bound");
     waiting.await.unwrap();
 }
 
-/// A naming is heard of late where an answer of the registry takes long: it is no younger for that.
+/// Guards against a later bound if an answer of the registry is slow: the naming is as old as if the answer
+/// were fast.
 #[tokio::test]
-async fn late_news() {
+async fn slow_registry_answer() {
     let registry = RegistryStandin::default();
     let old = answering().await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -335,16 +349,16 @@
     // Longer than the bound on weights.
     registry.set_delay(Duration::from_millis(800));
     name(&registry, 2);
-    until_told(&socket, 2).await;
+    until_reported(&socket, 2).await;
     let answer = call(entry.callers(), "GET", WRITTEN).await;
-    assert_eq!(answer.status, 503, "begun on older ones");
+    assert_eq!(answer.status, 503, "started on older weights");
 }
 
-/// The registry's newest record names older weights than an agent heard to be named, and no engine holds
-/// the newer ones yet: an entry that has started since stops at their bound all the same.
+/// Guards against requests on older weights after the bound if the registry's newest record names older
+/// weights than an agent reported, no engine holds the newer weights yet, and the entry has started since.
 #[tokio::test]
-async fn unread_naming() {
-    let (registry, _old) = holding(2).await;
+async fn naming_reported_by_agent() {
+    let (registry, _old) = registry_with(2).await;
     name(&registry, 3);
     name(&registry, 2);
     let port = agent(3).await;
@@ -352,5 +366,5 @@
     until_status(entry.callers(), WRITTEN, 200).await;
     let refused = until_status(entry.callers(), WRITTEN, 503);
     let refused = tokio::time::timeout(Duration::from_millis(2500), refused).await;
-    assert!(refused.is_ok(), "begun on older ones");
+    assert!(refused.is_ok(), "started on older weights");
 }
