--- a/crates/direct/src/lost.rs
+++ b/crates/direct/src/lost.rs
@@ -13,8 +13,8 @@
 use crate::pool::Connection;
 use crate::refusal::Refusal;
 
-/// Maximum wait for a new connection to an upstream that lost a request. The longest round trip is 6 ms; a
-/// process that has ended refuses the connection within that time.
+/// Maximum wait for a new connection to an upstream that lost a request. The longest round trip is 6 ms, so
+/// an upstream that takes longer has not ended: a refused connection would show within that time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Result of a new connection to an upstream that lost a request.
--- a/crates/direct/tests/members.rs
+++ b/crates/direct/tests/members.rs
@@ -322,7 +322,7 @@
 }
 
 /// Guards against refusals of long prompts at all full engines: a full engine accepts a long prompt a
-/// little beyond the objective, since by its whole length the prompt would never fit.
+/// little beyond the objective. With the prompt's whole length counted, each full engine would refuse it.
 #[rstest]
 #[case::usual(100)]
 #[case::long(3000)]
