--- /dev/null
+++ b/crates/direct/src/event_splitter.rs
@@ -0,0 +1,130 @@
+//! Splits the bytes of a server-sent event stream into complete events.
+
+use bytes::{Bytes, BytesMut};
+
+/// Maximum bytes that are buffered for one incomplete event. Events hold some hundred bytes; the bound
+/// keeps a stream without event ends from filling the memory.
+const MAX_PENDING: usize = 1 << 20;
+
+/// Result of one frame.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Split {
+    /// Complete events for the caller; empty if the frame completed none.
+    Events(Bytes),
+    /// An event is missing, or the bytes are not an event stream.
+    Broken,
+}
+
+/// Splits the event stream of one answer, across all upstreams that send a part of the answer.
+///
+/// Invariant: the output consists of complete events, each once and without a gap in the ids, wherever an
+/// upstream breaks off.
+#[derive(Clone, Debug, Default)]
+pub struct EventSplitter {
+    pending: BytesMut,
+    last: Option<u64>,
+    events: u64,
+}
+
+impl EventSplitter {
+    /// Creates a splitter for a caller that has the events up to the id `last`.
+    pub fn new(last: Option<u64>) -> Self {
+        Self {
+            pending: BytesMut::new(),
+            last,
+            events: 0,
+        }
+    }
+
+    /// Returns the id of the last complete event.
+    pub const fn last(&self) -> Option<u64> {
+        self.last
+    }
+
+    /// Returns the number of events with an id that were passed on.
+    pub const fn events(&self) -> u64 {
+        self.events
+    }
+
+    /// Returns whether an incomplete event is buffered.
+    pub fn is_mid_event(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    /// Discards the incomplete event, which another upstream will send again from its start.
+    pub fn restart(&mut self) {
+        self.pending.clear();
+    }
+
+    /// Adds the next bytes, and returns the events that they complete.
+    pub fn push(&mut self, data: &Bytes) -> Split {
+        // The usual frame is one complete event, which is passed on without a copy.
+        if self.pending.is_empty() && end_of_event(data) == Some(data.len()) {
+            return match self.check_order(data) {
+                Order::Pass => Split::Events(data.clone()),
+                Order::Skip => Split::Events(Bytes::new()),
+                Order::Gap => Split::Broken,
+            };
+        }
+        self.pending.extend_from_slice(data);
+        let mut out = BytesMut::new();
+        while let Some(end) = end_of_event(&self.pending) {
+            let event = self.pending.split_to(end);
+            match self.check_order(&event) {
+                Order::Pass => out.extend_from_slice(&event),
+                Order::Skip => {}
+                Order::Gap => return Split::Broken,
+            }
+        }
+        if self.pending.len() > MAX_PENDING {
+            return Split::Broken;
+        }
+        Split::Events(out.freeze())
+    }
+
+    /// Compares the id of an event with the last id, and advances the last id if the event comes next.
+    fn check_order(&mut self, event: &[u8]) -> Order {
+        let Some(id) = id_of(event) else {
+            return Order::Pass;
+        };
+        match self.last {
+            Some(last) if id <= last => return Order::Skip,
+            Some(last) if id > last + 1 => return Order::Gap,
+            _ => {}
+        }
+        self.last = Some(id);
+        self.events += 1;
+        Order::Pass
+    }
+}
+
+enum Order {
+    /// The event is the next one, or has no id.
+    Pass,
+    /// The caller already has the event.
+    Skip,
+    /// An event before it is missing.
+    Gap,
+}
+
+/// Returns the length of the first event, including the empty line at its end.
+fn end_of_event(buf: &[u8]) -> Option<usize> {
+    let mut at_line_start = false;
+    for (position, byte) in buf.iter().enumerate() {
+        match byte {
+            b'\n' if at_line_start => return Some(position + 1),
+            b'\n' => at_line_start = true,
+            b'\r' => {}
+            _ => at_line_start = false,
+        }
+    }
+    None
+}
+
+/// Returns the id of an event, if it has one.
+fn id_of(event: &[u8]) -> Option<u64> {
+    let line = event
+        .split(|byte| *byte == b'\n')
+        .find_map(|line| line.strip_prefix(b"id:"))?;
+    std::str::from_utf8(line).ok()?.trim().parse().ok()
+}
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -4,7 +4,7 @@
 //! to stand in the way of requests. [`DirectEntry`] is the process on an entry VM for such fleets:
 //! it follows the registry, asks the agents of engines for their load, and answers callers.
 //!
-//! Decisions stand apart from sockets: [`Upstreams`] chooses, [`Cutter`] keeps events whole,
+//! Decisions stand apart from sockets: [`Upstreams`] chooses, [`EventSplitter`] keeps events whole,
 //! [`next_step`] says what follows from the end of an attempt. How requests and answers are marked
 //! on the wire is a [`Dialect`].
 
@@ -13,12 +13,11 @@
 mod answered;
 mod attempt;
 mod choosing;
-mod cutter;
 mod dialect;
+mod event_splitter;
 pub mod events;
-mod far;
 mod front;
-mod givers;
+mod issuers;
 mod limits;
 mod live;
 mod load;
@@ -26,18 +25,19 @@
 mod metrics;
 mod pool;
 mod process;
+mod quarantine_sync;
 mod refusal;
 mod relay;
+mod remote;
 mod seed;
 mod shared;
 mod socket;
 mod status_page;
-mod suspects;
 mod tally;
 mod view;
 
-pub use cutter::{Cut, Cutter};
 pub use dialect::{AnswerHead, Dialect, Dispatch, RequestHead, ServerLoad};
+pub use event_splitter::{EventSplitter, Split};
 pub use process::{DirectEntry, DirectError};
 pub use refusal::Refusal;
 pub use wagtailreel_route::direct::{
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -21,11 +21,11 @@
 
 use crate::agents::Agents;
 use crate::dialect::Dialect;
-use crate::far::{self, FarWords};
 use crate::front::Callers;
 use crate::metrics::Metrics;
+use crate::quarantine_sync::QuarantineSync;
+use crate::remote::{self, RemoteLoad};
 use crate::shared::Shared;
-use crate::suspects::Suspects;
 use crate::view::{Bounds, View};
 use crate::{events, load, status_page};
 
@@ -153,11 +153,11 @@
         let pace = settings.bounds.upstreams_pace;
         let lapse_after = settings.bounds.lapse_after;
         let agents = Agents::new(socket, own, agent_port, &settings.seeds);
-        let suspects = Arc::new(Suspects::new(Arc::clone(&view), agents.clone()));
+        let quarantine = Arc::new(QuarantineSync::new(Arc::clone(&view), agents.clone()));
         let cx = Arc::new(Shared {
             dialect,
             agents: agents.clone(),
-            suspects: Arc::clone(&suspects),
+            quarantine: Arc::clone(&quarantine),
             view: Arc::clone(&view),
             metrics,
             registry: prometheus,
@@ -168,8 +168,8 @@
         let mut tasks = JoinSet::new();
         let mirror = Arc::new(Mirror::default());
         let neighbours = Arc::new(Neighbours::new(own));
-        let far = FarWords::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
-        let far = Arc::new(far);
+        let remote_load = RemoteLoad::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
+        let remote_load = Arc::new(remote_load);
         let registry = Nearby::new(
             registry,
             NearbyConfig::new(cx.settings.bounds.denial, pace),
@@ -179,7 +179,8 @@
         .with_seeds(Seeds::new(own, &cx.settings.seeds))
         .with_is_seed(cx.settings.seeds.contains(&own.ip()))
         .with_counters(calls);
-        let copied = wagtailreel_nearby::router(mirror).merge(far::router(Arc::clone(&far)));
+        let copied =
+            wagtailreel_nearby::router(mirror).merge(remote::router(Arc::clone(&remote_load)));
         let copied = Routes::new(copied);
         let neighbours_server = Server::start("agents", copies, copied, counters.clone());
         tasks.spawn(follow(
@@ -189,22 +190,22 @@
         ));
         let upstreams = upstreams_follow(pace, lapse_after);
         tasks.spawn(follow(registry, Arc::clone(&view), upstreams));
-        tasks.spawn(load::ask_agents(
+        tasks.spawn(load::query_agents(
             Arc::clone(&view),
             neighbours,
-            Arc::clone(&far),
+            Arc::clone(&remote_load),
             agents,
-            Arc::clone(&suspects),
+            Arc::clone(&quarantine),
             home,
         ));
-        tasks.spawn(far.follow());
+        tasks.spawn(remote_load.follow());
         let server = Server::start(
             "callers",
             callers,
             Callers::new(Arc::clone(&cx)),
             counters.clone(),
         );
-        tasks.spawn(prune(Arc::clone(&view), suspects));
+        tasks.spawn(prune(Arc::clone(&view), quarantine));
         let page = Routes::new(status_page::router(Arc::clone(&cx)));
         let status_server = Server::start("status", status, page, counters);
         let at = callers_addr.to_string();
@@ -329,10 +330,10 @@
 }
 
 /// Closes connections that are no longer of use, and forgets requests that are.
-async fn prune(view: Arc<View>, suspects: Arc<Suspects>) {
+async fn prune(view: Arc<View>, quarantine: Arc<QuarantineSync>) {
     loop {
         tokio::time::sleep(PRUNE_EVERY).await;
-        suspects.forget();
+        quarantine.prune();
         for service in view.services() {
             let known: Vec<SocketAddr> = {
                 let upstreams = service.upstreams();
