--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -16,8 +16,8 @@
 use crate::live::Live;
 use crate::refusal::Refusal;
 use crate::relay::{Collected, Relay, collect};
+use crate::request_log::RequestLog;
 use crate::shared::Shared;
-use crate::tally::Tally;
 
 /// Head and idle time of a connection while there is no configuration.
 const DEFAULT_IDLE: Duration = Duration::from_secs(15);
@@ -72,28 +72,28 @@
     let (parts, body) = req.into_parts();
     let head = cx.dialect.request(&parts.headers);
     let conn = parts.extensions.get().copied().unwrap_or_default();
-    let mut tally = Tally::new(&cx.metrics, head.id.clone().unwrap_or_default(), conn);
+    let mut log = RequestLog::new(&cx.metrics, head.id.clone().unwrap_or_default(), conn);
     let answered = match admit(&cx, &parts, head) {
         Err(refusal) => Err((refusal, Some(body))),
         Ok(admitted) => {
-            tally.admitted(&admitted, &cx);
+            log.admitted(&admitted, &cx);
             match read_body(&cx, body).await {
                 Err(refusal) => Err((refusal, None)),
                 Ok(body) => {
                     let template = template(parts, body);
                     let call = Call::new(Arc::clone(&cx), admitted, template);
-                    answer(call, &mut tally).await.map_err(|it| (it, None))
+                    answer(call, &mut log).await.map_err(|it| (it, None))
                 }
             }
         }
     };
     match answered {
         Ok(Answer::Whole(response)) => {
-            tally.done("answered");
+            log.done("answered");
             response.map(Either::Left)
         }
         Ok(Answer::Relayed(head, relay)) => {
-            tally.disarm();
+            log.disarm();
             let body = StreamBody::new(relay.into_frames());
             Response::from_parts(head, Either::Right(body))
         }
@@ -102,9 +102,9 @@
                 // What the caller sends after the process has ended is answered by a reset.
                 cx.ending.run_until_cancelled(discard(body)).await;
             }
-            tally.done_by(refusal);
+            log.done_by(refusal);
             let mut response = refusal.answer();
-            cx.dialect.own_answer(response.headers_mut(), &tally.id);
+            cx.dialect.own_answer(response.headers_mut(), &log.id);
             response.map(Either::Left)
         }
     }
@@ -117,7 +117,7 @@
 }
 
 /// Brings an answer of an upstream.
-async fn answer<D>(mut call: Call<D>, tally: &mut Tally) -> Result<Answer<D>, Refusal>
+async fn answer<D>(mut call: Call<D>, log: &mut RequestLog) -> Result<Answer<D>, Refusal>
 where
     D: Dialect,
 {
@@ -129,11 +129,11 @@
             return Err(call.out_of_time());
         };
         let live = obtained?;
-        tally.sent_to(&call, live.head.status.as_u16());
+        log.sent_to(&call, live.head.status.as_u16());
         let head = answer_head(&live);
         let is_framed = live.is_framed();
         if call.admitted.route.kind.is_stream() && live.head.status.is_success() {
-            let relay = Relay::events(call, live, tally.hand_over());
+            let relay = Relay::events(call, live, log.hand_over());
             return Ok(Answer::Relayed(head, Box::new(relay)));
         }
         let Some(collected) = in_time(&cx, deadline, collect(live)).await else {
@@ -141,14 +141,14 @@
         };
         match collected {
             Collected::Whole(body) => {
-                tally.first_byte();
+                log.first_byte();
                 if is_framed {
                     call.finished();
                 }
                 return Ok(Answer::Whole(Response::from_parts(head, Full::new(body))));
             }
             Collected::Long(first, live) => {
-                let relay = Relay::bytes(call, first, live, tally.hand_over());
+                let relay = Relay::bytes(call, first, live, log.hand_over());
                 return Ok(Answer::Relayed(head, Box::new(relay)));
             }
             Collected::Broken(upstream) => {
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -28,12 +28,12 @@
 mod process;
 mod refusal;
 mod relay;
+mod request_log;
 mod seed;
 mod shared;
 mod socket;
 mod status_page;
 mod suspects;
-mod tally;
 mod view;
 
 pub use cutter::{Cut, Cutter};
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -14,7 +14,7 @@
 use crate::dialect::Dialect;
 use crate::live::Live;
 use crate::refusal::Refusal;
-use crate::tally::Tally;
+use crate::request_log::RequestLog;
 use wagtailreel_route::direct::{Ending, Next};
 
 /// Longest body of an answer that is no stream which is read whole before it is passed on, so that
@@ -77,7 +77,7 @@
     live: Option<Box<Live>>,
     first: Option<Bytes>,
     mode: Mode,
-    tally: Tally,
+    log: RequestLog,
     /// The upstream under way has sent an event.
     has_begun: bool,
 }
@@ -87,26 +87,26 @@
     D: Dialect,
 {
     /// Makes the relay of a stream of events.
-    pub(crate) fn events(call: Call<D>, live: Live, tally: Tally) -> Self {
+    pub(crate) fn events(call: Call<D>, live: Live, log: RequestLog) -> Self {
         let cutter = Cutter::new(call.admitted.head.last_event);
         Self {
             call,
             live: Some(Box::new(live)),
             first: None,
             mode: Mode::Events(cutter),
-            tally,
+            log,
             has_begun: false,
         }
     }
 
     /// Makes the relay of a long body of which `first` was read.
-    pub(crate) fn bytes(call: Call<D>, first: Bytes, live: Box<Live>, tally: Tally) -> Self {
+    pub(crate) fn bytes(call: Call<D>, first: Bytes, live: Box<Live>, log: RequestLog) -> Self {
         Self {
             call,
             live: Some(live),
             first: Some(first),
             mode: Mode::Bytes,
-            tally,
+            log,
             has_begun: false,
         }
     }
@@ -118,7 +118,7 @@
             match relay.next().await {
                 Ok(Some(data)) => Some((Ok(Frame::data(data)), Some(relay))),
                 Ok(None) => {
-                    relay.tally.done("answered");
+                    relay.log.done("answered");
                     None
                 }
                 Err(BrokenOff) => Some((Err(BrokenOff), None)),
@@ -137,7 +137,7 @@
                     Some(out) if out.is_empty() => continue,
                     Some(out) => {
                         self.begin();
-                        self.tally.first_byte();
+                        self.log.first_byte();
                         return Ok(Some(out));
                     }
                     None => "gap",
@@ -155,7 +155,7 @@
                 Read::Broken => "broken",
                 Read::Stalled => STALLED,
                 Read::Late => {
-                    self.tally.done("timeout");
+                    self.log.done("timeout");
                     return Err(BrokenOff);
                 }
             };
@@ -209,7 +209,7 @@
             Mode::Bytes => Some(data.clone()),
             Mode::Events(cutter) => match cutter.push(data) {
                 Cut::Events(events) => {
-                    self.tally.passed_on(cutter.events());
+                    self.log.passed_on(cutter.events());
                     Some(events)
                 }
                 Cut::Broken => None,
@@ -234,28 +234,28 @@
         drop(live);
         let next = self.call.ended(&upstream, Ending::Lost, why).await;
         let Mode::Events(cutter) = &mut self.mode else {
-            self.tally.done(why);
+            self.log.done(why);
             return Err(BrokenOff);
         };
         if next != Next::Again {
-            self.tally.done(why);
+            self.log.done(why);
             return Err(BrokenOff);
         }
         cutter.restart();
         let last = cutter.last();
         match self.obtain(last).await {
             Ok(live) if live.head.status.is_success() => {
-                self.tally.resumed(live.upstream());
+                self.log.resumed(live.upstream());
                 self.live = Some(Box::new(live));
                 self.has_begun = false;
                 Ok(())
             }
             Ok(_) => {
-                self.tally.done("resume-failed");
+                self.log.done("resume-failed");
                 Err(BrokenOff)
             }
             Err(refusal) => {
-                self.tally.done_by(refusal);
+                self.log.done_by(refusal);
                 Err(BrokenOff)
             }
         }
--- a/crates/direct/src/tally.rs
+++ b/crates/direct/src/request_log.rs
@@ -13,7 +13,7 @@
 
 /// The account of one request: one line and its metrics when it is over.
 #[derive(Debug)]
-pub(crate) struct Tally {
+pub(crate) struct RequestLog {
     pub(crate) id: String,
     conn: ConnectionNumber,
     metrics: crate::metrics::Metrics,
@@ -33,7 +33,7 @@
     is_armed: bool,
 }
 
-impl Tally {
+impl RequestLog {
     pub(crate) fn new(
         metrics: &crate::metrics::Metrics,
         id: String,
@@ -167,7 +167,7 @@
     }
 }
 
-impl Drop for Tally {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         // Whatever is dropped before its end was told belongs to a caller that left.
         self.close("caller-left", events::REQUEST_DONE);
