--- a/crates/direct/src/answered.rs
+++ b/crates/direct/src/answered.rs
@@ -8,51 +8,51 @@
 
 use crate::attempt::{Call, LEAST_FOR_RETRY, Sent};
 use crate::dialect::Dialect;
-use crate::live::Live;
+use crate::response::UpstreamResponse;
 
 impl<D> Call<D>
 where
     D: Dialect,
 {
     /// Judges the head of an answer.
-    pub(crate) fn take_answer(&mut self, live: Live, doubted_before: bool) -> Sent {
+    pub(crate) fn take_answer(&mut self, resp: UpstreamResponse, doubted_before: bool) -> Sent {
         let now = Instant::now();
-        let is_ours = live
-            .marks
+        let is_ours = resp
+            .meta
             .id
             .as_ref()
             .is_none_or(|id| *id == self.admitted.id);
         if !is_ours {
             return Sent::Ended(Ending::Lost, "answers-another-request");
         }
-        self.take_limit(&live);
-        let id = live.upstream();
-        if let Some(load) = live.marks.load {
+        self.take_limit(&resp);
+        let id = resp.upstream();
+        if let Some(load) = resp.meta.load {
             let total = load.running.saturating_add(load.waiting);
             self.service.upstreams().load(id, total, now);
         }
-        if live.marks.not_run {
+        if resp.meta.not_run {
             self.may_have_run = doubted_before;
             let mut upstreams = self.service.upstreams();
-            if live.marks.misdirected {
+            if resp.meta.misdirected {
                 upstreams.misdirected(id, now);
                 return Sent::Ended(Ending::NotRun, "another-instance-or-weights");
             }
             upstreams.full(id, now);
             return Sent::Ended(Ending::NotRun, "refused");
         }
-        if live.head.status.is_server_error() && self.admitted.route.kind == RouteKind::Idempotent {
-            return self.take_failure(live);
+        if resp.head.status.is_server_error() && self.admitted.route.kind == RouteKind::Idempotent {
+            return self.take_failure(resp);
         }
-        if live.head.status != StatusCode::INTERNAL_SERVER_ERROR {
+        if resp.head.status != StatusCode::INTERNAL_SERVER_ERROR {
             self.service.upstreams().answered(id);
         }
-        Sent::Answer(Box::new(live))
+        Sent::Answer(Box::new(resp))
     }
 
     /// Repeats a request that failed at an upstream, or passes the failure on.
-    fn take_failure(&mut self, live: Live) -> Sent {
-        let id = live.upstream().to_owned();
+    fn take_failure(&mut self, resp: UpstreamResponse) -> Sent {
+        let id = resp.upstream().to_owned();
         let left = self
             .admitted
             .deadline
@@ -64,6 +64,6 @@
             return Sent::Ended(Ending::Failed, "own-failure");
         }
         self.judge(&id, Ending::Failed, Instant::now());
-        Sent::Answer(Box::new(live))
+        Sent::Answer(Box::new(resp))
     }
 }
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -13,10 +13,10 @@
 use crate::admit::Admitted;
 use crate::dialect::{Dialect, Dispatch};
 use crate::events;
-use crate::live::{Lease, Live};
 use crate::lost::Seen;
 use crate::pool::{Connection, SendError};
 use crate::refusal::Refusal;
+use crate::response::{Lease, UpstreamResponse};
 use crate::shared::Shared;
 use crate::view::Service;
 use wagtailreel_route::direct::{Attempt, Ending, Next, next_step};
@@ -95,14 +95,17 @@
     /// # Errors
     ///
     /// Returns the refusal that the caller gets.
-    pub(crate) async fn obtain(&mut self, last_event: Option<u64>) -> Result<Live, Refusal> {
+    pub(crate) async fn obtain(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<UpstreamResponse, Refusal> {
         loop {
             self.check_quarantine()?;
             let pick = self.choose_next().await?;
             self.last_pick = Some(pick.clone());
             let (ending, why) = match self.connect(&pick).await {
                 Ok(conn) => match self.send(&pick, conn, last_event).await {
-                    Sent::Answer(live) => return Ok(*live),
+                    Sent::Answer(resp) => return Ok(*resp),
                     Sent::Ended(ending, why) => (ending, why),
                 },
                 Err(ending) => (ending, "no-connection"),
@@ -240,15 +243,15 @@
             Err(GivenUp::Quarantined) => return Sent::Ended(Ending::Lost, QUARANTINED),
         };
         let (head, body) = response.into_parts();
-        let marks = self.cx.dialect.answer(head.status, &head.headers);
-        let live = Live {
+        let meta = self.cx.dialect.answer(head.status, &head.headers);
+        let resp = UpstreamResponse {
             head,
             body,
-            marks,
+            meta,
             conn,
             lease,
         };
-        self.take_answer(live, doubted_before)
+        self.take_answer(resp, doubted_before)
     }
 
     /// Takes that the first event of an attempt has come.
@@ -359,7 +362,7 @@
 /// How an attempt went on after its connection was there.
 pub(crate) enum Sent {
     /// The upstream answered.
-    Answer(Box<Live>),
+    Answer(Box<UpstreamResponse>),
     /// It brought no answer, and what the log says of it.
     Ended(Ending, &'static str),
 }
--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -13,10 +13,10 @@
 use crate::admit::{admit, strip_hop_by_hop};
 use crate::attempt::{Call, Template};
 use crate::dialect::Dialect;
-use crate::live::Live;
 use crate::refusal::Refusal;
 use crate::relay::{Collected, Relay, collect};
 use crate::request_log::RequestLog;
+use crate::response::UpstreamResponse;
 use crate::shared::Shared;
 
 /// Head and idle time of a connection while there is no configuration.
@@ -128,15 +128,15 @@
         let Some(obtained) = in_time(&cx, deadline, call.obtain(last_event)).await else {
             return Err(call.out_of_time());
         };
-        let live = obtained?;
-        log.sent_to(&call, live.head.status.as_u16());
-        let head = answer_head(&live);
-        let is_framed = live.is_framed();
-        if call.admitted.route.kind.is_stream() && live.head.status.is_success() {
-            let relay = Relay::events(call, live, log.hand_over());
+        let resp = obtained?;
+        log.sent_to(&call, resp.head.status.as_u16());
+        let head = answer_head(&resp);
+        let is_framed = resp.is_framed();
+        if call.admitted.route.kind.is_stream() && resp.head.status.is_success() {
+            let relay = Relay::events(call, resp, log.hand_over());
             return Ok(Answer::Relayed(head, Box::new(relay)));
         }
-        let Some(collected) = in_time(&cx, deadline, collect(live)).await else {
+        let Some(collected) = in_time(&cx, deadline, collect(resp)).await else {
             return Err(call.out_of_time());
         };
         match collected {
@@ -147,8 +147,8 @@
                 }
                 return Ok(Answer::Whole(Response::from_parts(head, Full::new(body))));
             }
-            Collected::Long(first, live) => {
-                let relay = Relay::bytes(call, first, live, log.hand_over());
+            Collected::Long(first, resp) => {
+                let relay = Relay::bytes(call, first, resp, log.hand_over());
                 return Ok(Answer::Relayed(head, Box::new(relay)));
             }
             Collected::Broken(upstream) => {
@@ -173,10 +173,10 @@
 }
 
 /// Returns the head for the caller.
-fn answer_head(live: &Live) -> http::response::Parts {
+fn answer_head(resp: &UpstreamResponse) -> http::response::Parts {
     let mut response = Response::new(());
-    *response.status_mut() = live.head.status;
-    *response.headers_mut() = live.head.headers.clone();
+    *response.status_mut() = resp.head.status;
+    *response.headers_mut() = resp.head.headers.clone();
     strip_hop_by_hop(response.headers_mut());
     response.into_parts().0
 }
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -9,7 +9,7 @@
 use crate::attempt::Call;
 use crate::dialect::Dialect;
 use crate::events;
-use crate::live::Live;
+use crate::response::UpstreamResponse;
 
 /// Share of a limit that an entry takes in a fleet without agents whose seeds don't answer: none knows how many
 /// entries there are.
@@ -77,9 +77,9 @@
     }
 
     /// Takes what an answer says of its upstream's limit.
-    pub(crate) fn take_limit(&self, live: &Live) {
-        let named = live.marks.limit;
-        let id = live.upstream();
+    pub(crate) fn take_limit(&self, resp: &UpstreamResponse) {
+        let named = resp.meta.limit;
+        let id = resp.upstream();
         let mut upstreams = self.service.upstreams();
         let before = upstreams.limit(id);
         let is_new = upstreams.named_limit(id, named, self.sent_at, Instant::now());
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -12,9 +12,9 @@
 use crate::attempt::{Call, STALLED};
 use crate::cutter::{Cut, Cutter};
 use crate::dialect::Dialect;
-use crate::live::Live;
 use crate::refusal::Refusal;
 use crate::request_log::RequestLog;
+use crate::response::UpstreamResponse;
 use wagtailreel_route::direct::{Ending, Next};
 
 /// Longest body of an answer that is no stream which is read whole before it is passed on, so that
@@ -33,28 +33,28 @@
     /// The whole body.
     Whole(Bytes),
     /// The body is too long to be read whole.
-    Long(Bytes, Box<Live>),
+    Long(Bytes, Box<UpstreamResponse>),
     /// The body broke off.
     Broken(String),
 }
 
 /// Reads the body of an answer, if it isn't long.
-pub(crate) async fn collect(mut live: Live) -> Collected {
+pub(crate) async fn collect(mut resp: UpstreamResponse) -> Collected {
     let mut buf: Vec<u8> = Vec::new();
     loop {
-        match live.body.frame().await {
+        match resp.body.frame().await {
             None => {
-                live.finish();
+                resp.finish();
                 return Collected::Whole(Bytes::from(buf));
             }
-            Some(Err(_)) => return Collected::Broken(live.upstream().to_owned()),
+            Some(Err(_)) => return Collected::Broken(resp.upstream().to_owned()),
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
                 buf.extend_from_slice(&data);
                 if buf.len() > WHOLE_BODY {
-                    return Collected::Long(Bytes::from(buf), Box::new(live));
+                    return Collected::Long(Bytes::from(buf), Box::new(resp));
                 }
             }
         }
@@ -74,7 +74,7 @@
 #[derive(Debug)]
 pub(crate) struct Relay<D> {
     call: Call<D>,
-    live: Option<Box<Live>>,
+    resp: Option<Box<UpstreamResponse>>,
     first: Option<Bytes>,
     mode: Mode,
     log: RequestLog,
@@ -87,11 +87,11 @@
     D: Dialect,
 {
     /// Makes the relay of a stream of events.
-    pub(crate) fn events(call: Call<D>, live: Live, log: RequestLog) -> Self {
+    pub(crate) fn events(call: Call<D>, resp: UpstreamResponse, log: RequestLog) -> Self {
         let cutter = Cutter::new(call.admitted.head.last_event);
         Self {
             call,
-            live: Some(Box::new(live)),
+            resp: Some(Box::new(resp)),
             first: None,
             mode: Mode::Events(cutter),
             log,
@@ -100,10 +100,15 @@
     }
 
     /// Makes the relay of a long body of which `first` was read.
-    pub(crate) fn bytes(call: Call<D>, first: Bytes, live: Box<Live>, log: RequestLog) -> Self {
+    pub(crate) fn bytes(
+        call: Call<D>,
+        first: Bytes,
+        resp: Box<UpstreamResponse>,
+        log: RequestLog,
+    ) -> Self {
         Self {
             call,
-            live: Some(live),
+            resp: Some(resp),
             first: Some(first),
             mode: Mode::Bytes,
             log,
@@ -143,11 +148,11 @@
                     None => "gap",
                 },
                 Read::End if self.is_whole() => {
-                    if let Some(live) = self.live.take() {
-                        if live.is_framed() {
+                    if let Some(resp) = self.resp.take() {
+                        if resp.is_framed() {
                             self.call.finished();
                         }
-                        live.finish();
+                        resp.finish();
                     }
                     return Ok(None);
                 }
@@ -168,14 +173,14 @@
         if !std::mem::replace(&mut self.has_begun, true) {
             self.call.begun();
         }
-        if let Some(live) = &mut self.live {
-            live.lease.begun();
+        if let Some(resp) = &mut self.resp {
+            resp.lease.begun();
         }
     }
 
     async fn read(&mut self) -> Read {
         let since = Instant::now();
-        let Some(live) = &mut self.live else {
+        let Some(resp) = &mut self.resp else {
             return Read::Broken;
         };
         let is_repeatable = self.call.admitted.route.kind.repeatable();
@@ -190,7 +195,7 @@
             let Some(look) = look.map(|look| look.min(left)) else {
                 return Read::Stalled;
             };
-            match tokio::time::timeout(look, live.body.frame()).await {
+            match tokio::time::timeout(look, resp.body.frame()).await {
                 Ok(None) => return Read::End,
                 Ok(Some(Ok(frame))) => {
                     let data = frame.into_data().unwrap_or_default();
@@ -226,12 +231,12 @@
 
     /// Goes on at another upstream where that is allowed.
     async fn resume(&mut self, why: &'static str) -> Result<(), BrokenOff> {
-        let Some(live) = self.live.take() else {
+        let Some(resp) = self.resp.take() else {
             return Err(BrokenOff);
         };
-        let upstream = live.upstream().to_owned();
+        let upstream = resp.upstream().to_owned();
         // Ends the work at the upstream before another begins with it.
-        drop(live);
+        drop(resp);
         let next = self.call.ended(&upstream, Ending::Lost, why).await;
         let Mode::Events(cutter) = &mut self.mode else {
             self.log.done(why);
@@ -244,9 +249,9 @@
         cutter.restart();
         let last = cutter.last();
         match self.obtain(last).await {
-            Ok(live) if live.head.status.is_success() => {
-                self.log.resumed(live.upstream());
-                self.live = Some(Box::new(live));
+            Ok(resp) if resp.head.status.is_success() => {
+                self.log.resumed(resp.upstream());
+                self.resp = Some(Box::new(resp));
                 self.has_begun = false;
                 Ok(())
             }
@@ -261,7 +266,7 @@
         }
     }
 
-    async fn obtain(&mut self, last: Option<u64>) -> Result<Live, Refusal> {
+    async fn obtain(&mut self, last: Option<u64>) -> Result<UpstreamResponse, Refusal> {
         let now = Instant::now();
         let left: Duration = self.call.admitted.deadline.saturating_duration_since(now);
         let obtained = tokio::time::timeout(left, self.call.obtain(last)).await;
--- a/crates/direct/src/live.rs
+++ b/crates/direct/src/response.rs
@@ -51,15 +51,15 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub(crate) struct Live {
+pub(crate) struct UpstreamResponse {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
-    pub(crate) marks: AnswerHead,
+    pub(crate) meta: AnswerHead,
     pub(crate) conn: Connection,
     pub(crate) lease: Lease,
 }
 
-impl Live {
+impl UpstreamResponse {
     /// Gives the connection back after the whole answer was read.
     pub(crate) fn finish(self) {
         self.conn.answered();
@@ -69,7 +69,7 @@
             .get(header::CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
         if !closes && self.is_framed() {
-            let keep = self.marks.keep_alive;
+            let keep = self.meta.keep_alive;
             self.lease.service.pool.give_back(self.conn, keep);
         }
     }
