--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -174,7 +174,7 @@
             self.call.begun();
         }
         if let Some(resp) = &mut self.resp {
-            resp.lease.begun();
+            resp.lease.answer_started();
         }
     }
 
--- a/crates/direct/src/response.rs
+++ b/crates/direct/src/response.rs
@@ -17,34 +17,36 @@
     service: Arc<Service>,
     id: UpstreamId,
     start: UpstreamStart,
-    /// Prompt tokens that the upstream is still to read.
-    unread: u32,
+    /// Prompt tokens that the upstream has still to read; 0 once the answer has started.
+    prompt_tokens: u32,
 }
 
 impl Lease {
-    /// Counts a request with a prompt of `unread` tokens at the upstream `id`.
-    pub(crate) fn new(service: &Arc<Service>, id: &str, unread: u32) -> Self {
-        let start = service.upstreams().started(id, unread);
+    /// Counts a request with a prompt of `prompt_tokens` at the upstream `id`.
+    pub(crate) fn new(service: &Arc<Service>, id: &str, prompt_tokens: u32) -> Self {
+        let start = service.upstreams().started(id, prompt_tokens);
         Self {
             service: Arc::clone(service),
             id: id.to_owned(),
             start,
-            unread,
+            prompt_tokens,
         }
     }
 
-    /// Takes that the answer has begun.
-    pub(crate) fn begun(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
-        if unread > 0 {
-            self.service.upstreams().begun(&self.id, self.start, unread);
+    /// Records that the answer has started, and so that the prompt was read.
+    pub(crate) fn answer_started(&mut self) {
+        let prompt_tokens = std::mem::take(&mut self.prompt_tokens);
+        if prompt_tokens > 0 {
+            self.service
+                .upstreams()
+                .begun(&self.id, self.start, prompt_tokens);
         }
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.begun();
+        self.answer_started();
         self.service.upstreams().finished(&self.id, self.start);
     }
 }
