--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -209,7 +209,11 @@
     async fn connect(&mut self, pick: &Pick) -> Result<Connection, Ending> {
         self.tried.insert(pick.id.clone());
         let repeatable = self.admitted.route.kind.repeatable();
-        if let Some(conn) = self.service.pool.take(pick.addr, pick.started, repeatable) {
+        if let Some(conn) = self
+            .service
+            .pool
+            .check_out(pick.addr, pick.started, repeatable)
+        {
             return Ok(conn);
         }
         let opened = Connection::open(pick.addr, pick.started).await;
--- a/crates/direct/src/lost.rs
+++ b/crates/direct/src/lost.rs
@@ -102,8 +102,8 @@
         let opening = tokio::time::timeout(LOOK_TIMEOUT, TcpStream::connect(pick.addr));
         match opening.await {
             Ok(Ok(stream)) => {
-                if let Ok(conn) = Connection::over(stream, pick.addr, pick.started).await {
-                    self.service.pool.give_back(conn, None);
+                if let Ok(conn) = Connection::from_stream(stream, pick.addr, pick.started).await {
+                    self.service.pool.check_in(conn, None);
                 }
                 Seen::Alive
             }
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -16,37 +16,37 @@
 use tokio::task::AbortHandle;
 use wagtailreel_fleet::UpstreamStart;
 
-use crate::socket::{Socket, UnderWay};
+use crate::socket::{ExchangeFlag, Socket};
 
-/// How long a connection may take to be made. The longest way takes 3 ms; a lost opening packet is
-/// repeated after a second, which is later than another upstream answers.
+/// Timeout of connecting to an upstream. The longest one-way delay is 3 ms. A lost SYN is retransmitted only after
+/// a second, and by then another upstream has answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may go without a sign from the peer before the connection counts as dead.
-const SILENCE: Duration = Duration::from_millis(2000);
+/// Time for which sent data may stay unacknowledged before the kernel closes the connection.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// How long a connection is kept unused if the upstream names no time.
-const USUAL_KEEP: Duration = Duration::from_secs(2);
+/// Keep-alive time of an idle connection if the upstream announces none.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
-/// Time before an upstream's own end of a connection at which it is no longer used: a request that
-/// crosses the end may have run or not.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+/// Time before the upstream's keep-alive time-out at which the entry stops reusing a connection. Of a request that
+/// is sent while the upstream closes the connection, the entry can't tell whether it ran.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// A connection that was unused for longer is not given a request that may run once only.
-const FRESH: Duration = Duration::from_millis(300);
+/// Longest idle time of a connection that is reused for a non-idempotent request.
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(300);
 
-/// Unused connections kept for each upstream. An engine works on 16 requests at once.
-const MOST_IDLE: usize = 16;
+/// Maximum number of idle connections for each upstream. An engine runs 16 requests at once.
+const MAX_IDLE_PER_UPSTREAM: usize = 16;
 
-/// A connection to an upstream. Dropping it ends it at once, and with it the request on it: by a reset while one
-/// is under way.
+/// A connection to an upstream. Dropping it closes it at once; while a request is in progress, the connection is
+/// reset, which cancels the request.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    under_way: UnderWay,
+    in_exchange: ExchangeFlag,
     addr: SocketAddr,
-    /// The start of the upstream that it was opened to. Another one knows nothing of it, also where
-    /// the end of the connection never came.
+    /// The start of the upstream that the connection was opened to. After a restart the connection is dead,
+    /// even if its close never arrived.
     start: UpstreamStart,
     task: AbortHandle,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Why no answer came.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// No byte was sent.
@@ -74,36 +74,36 @@
         let Ok(Ok(stream)) = stream else {
             return Err(SendError::NotSent);
         };
-        Self::over(stream, addr, start).await
+        Self::from_stream(stream, addr, start).await
     }
 
-    /// Makes a connection over a stream that is open.
-    pub(crate) async fn over(
+    /// Creates a connection on an open stream.
+    pub(crate) async fn from_stream(
         stream: TcpStream,
         addr: SocketAddr,
         start: UpstreamStart,
     ) -> Result<Self, SendError> {
-        guard(&stream);
-        let under_way = UnderWay::default();
-        let socket = Socket::new(stream, under_way.clone());
-        let shaking = http1::Builder::new().handshake(TokioIo::new(socket));
-        let Ok((sender, conn)) = shaking.await else {
+        set_socket_options(&stream);
+        let in_exchange = ExchangeFlag::default();
+        let socket = Socket::new(stream, in_exchange.clone());
+        let handshake = http1::Builder::new().handshake(TokioIo::new(socket));
+        let Ok((sender, conn)) = handshake.await else {
             return Err(SendError::NotSent);
         };
         let task = tokio::spawn(async move {
-            // What ends a connection is told to the request on it.
+            // The request on the connection gets the error as well.
             let _ = conn.await;
         });
         Ok(Self {
             sender,
-            under_way,
+            in_exchange,
             addr,
             start,
             task: task.abort_handle(),
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub(crate) async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -111,10 +111,10 @@
         if self.sender.ready().await.is_err() {
             return Err(SendError::NotSent);
         }
-        self.under_way.set(true);
+        self.in_exchange.set(true);
         match self.sender.try_send_request(req).await {
             Ok(response) => Ok(response),
-            // A request that is given back was not written.
+            // hyper returns a request only if no byte of it was written.
             Err(mut err) => match err.take_message() {
                 Some(_) => Err(SendError::NotSent),
                 None => Err(SendError::Lost),
@@ -122,18 +122,18 @@
         }
     }
 
-    /// Takes that the answer was read whole.
-    pub(crate) fn answered(&self) {
-        self.under_way.set(false);
+    /// Records that the response was read completely, so that dropping the connection closes it in order.
+    pub(crate) fn response_read(&self) {
+        self.in_exchange.set(false);
     }
 }
 
-/// Makes a connection that has gone silent end by itself.
-fn guard(stream: &TcpStream) {
-    // A connection without these options still works; it is only noticed later if it dies.
+/// Sets the socket options by which the kernel detects a dead connection.
+fn set_socket_options(stream: &TcpStream) {
+    // Errors are ignored: without these options a connection still works, but its failure is detected later.
     let _ = stream.set_nodelay(true);
-    let silence = u32::try_from(SILENCE.as_millis()).unwrap_or(u32::MAX);
-    let _ = sockopt::set_tcp_user_timeout(stream, silence);
+    let timeout_ms = u32::try_from(TCP_USER_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
+    let _ = sockopt::set_tcp_user_timeout(stream, timeout_ms);
     let _ = sockopt::set_socket_keepalive(stream, true);
     let _ = sockopt::set_tcp_keepidle(stream, Duration::from_secs(1));
     let _ = sockopt::set_tcp_keepintvl(stream, Duration::from_secs(1));
@@ -147,15 +147,18 @@
     until: Instant,
 }
 
-/// Unused connections to the upstreams of one service.
+/// Idle connections to the upstreams of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<BTreeMap<SocketAddr, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// Takes the connection to this start of the upstream at `addr` that was used last.
-    pub(crate) fn take(
+    /// Returns the most recently used idle connection to the given start of the upstream at `addr`, and drops those
+    /// that can't be used.
+    ///
+    /// A request that is not `repeatable` gets only a connection that was idle for a short time.
+    pub(crate) fn check_out(
         &self,
         addr: SocketAddr,
         start: UpstreamStart,
@@ -165,36 +168,38 @@
         let mut idle = self.lock();
         let kept = idle.get_mut(&addr)?;
         while let Some(last) = kept.pop() {
-            let is_fresh = now.saturating_duration_since(last.since) <= FRESH;
-            let is_sound =
+            let is_fresh = now.saturating_duration_since(last.since) <= MAX_IDLE_NON_REPEATABLE;
+            let is_usable =
                 last.until > now && !last.conn.sender.is_closed() && last.conn.start == start;
-            if is_sound && (repeatable || is_fresh) {
+            if is_usable && (repeatable || is_fresh) {
                 return Some(last.conn);
             }
         }
         None
     }
 
-    /// Gives back a connection whose answer was read whole.
-    pub(crate) fn give_back(&self, conn: Connection, keep: Option<Duration>) {
+    /// Returns a connection whose response was read completely to the pool, for the `keep_alive` time of the upstream.
+    pub(crate) fn check_in(&self, conn: Connection, keep_alive: Option<Duration>) {
         let now = Instant::now();
-        let keep = keep.unwrap_or(USUAL_KEEP).saturating_sub(KEEP_MARGIN);
-        if keep.is_zero() || conn.sender.is_closed() {
+        let keep_alive = keep_alive
+            .unwrap_or(DEFAULT_KEEP_ALIVE)
+            .saturating_sub(KEEP_ALIVE_MARGIN);
+        if keep_alive.is_zero() || conn.sender.is_closed() {
             return;
         }
         let mut idle = self.lock();
         let kept = idle.entry(conn.addr).or_default();
         kept.retain(|it| it.until > now && !it.conn.sender.is_closed());
-        if kept.len() < MOST_IDLE {
+        if kept.len() < MAX_IDLE_PER_UPSTREAM {
             kept.push(Idle {
                 conn,
                 since: now,
-                until: now + keep,
+                until: now + keep_alive,
             });
         }
     }
 
-    /// Closes the connections whose time is over, and those to upstreams that `is_known` denies.
+    /// Closes expired connections, and those to upstreams for which `is_known` returns `false`.
     pub(crate) fn prune<F>(&self, is_known: F)
     where
         F: Fn(&SocketAddr) -> bool,
--- a/crates/direct/src/response.rs
+++ b/crates/direct/src/response.rs
@@ -64,7 +64,7 @@
 impl UpstreamResponse {
     /// Gives the connection back after the whole answer was read.
     pub(crate) fn finish(self) {
-        self.conn.answered();
+        self.conn.response_read();
         let closes = self
             .head
             .headers
@@ -72,7 +72,7 @@
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
         if !closes && self.is_framed() {
             let keep = self.meta.keep_alive;
-            self.lease.service.pool.give_back(self.conn, keep);
+            self.lease.service.pool.check_in(self.conn, keep);
         }
     }
 
--- a/crates/direct/src/socket.rs
+++ b/crates/direct/src/socket.rs
@@ -1,4 +1,4 @@
-//! A connection's socket, which is reset if it ends within an exchange.
+//! The socket of an upstream connection, which is reset if it is dropped while a request is in progress.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -9,14 +9,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a request is under way on a connection.
+/// Whether a request is in progress on a connection.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UnderWay(Arc<AtomicBool>);
+pub(crate) struct ExchangeFlag(Arc<AtomicBool>);
 
-impl UnderWay {
-    /// Takes that the first byte of a request is about to leave, or that an answer was read whole.
-    pub(crate) fn set(&self, is_under_way: bool) {
-        self.0.store(is_under_way, Ordering::Release);
+impl ExchangeFlag {
+    /// Records that the first byte of a request is about to be sent, or that its response was read completely.
+    pub(crate) fn set(&self, in_exchange: bool) {
+        self.0.store(in_exchange, Ordering::Release);
     }
 
     fn get(&self) -> bool {
@@ -24,27 +24,30 @@
     }
 }
 
-/// A socket that is reset where it is dropped while a request is under way, and else closed in order.
+/// A socket that is reset if it is dropped while a request is in progress, and closed in order otherwise.
 ///
-/// An orderly close delivers all that was written before it, however much later: an upstream that stood still
-/// reads the rest of a request whose caller has left, and runs it. A reset takes back what this side's kernel
-/// still holds, and tells an upstream that has read the request that nobody waits for the answer.
+/// An orderly close still delivers all data that was written before it. So an upstream that was suspended reads
+/// the rest of a request whose caller has left, and runs it. A reset discards what is still in this host's send
+/// buffer, and tells an upstream that has read the request that its answer is no longer wanted.
 #[derive(Debug)]
 pub(crate) struct Socket {
     stream: TcpStream,
-    under_way: UnderWay,
+    in_exchange: ExchangeFlag,
 }
 
 impl Socket {
-    pub(crate) const fn new(stream: TcpStream, under_way: UnderWay) -> Self {
-        Self { stream, under_way }
+    pub(crate) const fn new(stream: TcpStream, in_exchange: ExchangeFlag) -> Self {
+        Self {
+            stream,
+            in_exchange,
+        }
     }
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        if self.under_way.get() {
-            // A socket that refuses the option is closed in order; there is nothing else to end it by.
+        if self.in_exchange.get() {
+            // If the option can't be set, the socket is closed in order; there is no other way to reset it.
             let _ = self.stream.set_zero_linger();
         }
     }
