--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' front: connections, requests, and the account of each.
+//! The listener for callers: connection limits, request handling, and the log line of each request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,40 +19,41 @@
 use crate::response::UpstreamResponse;
 use crate::shared::Shared;
 
-/// Head and idle time of a connection while there is no configuration.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Time-out of an idle connection, and of reading a request head, before a configuration is in force.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest head while there is no configuration, in bytes.
-const DEFAULT_HEAD: usize = 16 * 1024;
+/// Maximum size of a request head before a configuration is in force.
+const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
 
-/// Longest body while there is no configuration, in bytes.
-const DEFAULT_BODY: usize = 4 << 20;
+/// Maximum size of a request body before a configuration is in force.
+const DEFAULT_BODY_BYTES: usize = 4 << 20;
 
-/// Further time for which a quiet connection is kept: a request that crosses the end is lost.
+/// Time for which an idle connection is kept beyond the configured time-out. A request that arrives while the
+/// connection is closed is lost.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Answers callers.
+/// Handles the requests of callers.
 #[derive(Debug)]
-pub(crate) struct Callers<D> {
+pub(crate) struct CallerHandler<D> {
     cx: Arc<Shared<D>>,
 }
 
-impl<D> Callers<D> {
+impl<D> CallerHandler<D> {
     pub(crate) fn new(cx: Arc<Shared<D>>) -> Self {
         Self { cx }
     }
 }
 
-impl<D> Front for Callers<D>
+impl<D> Front for CallerHandler<D>
 where
     D: Dialect,
 {
     fn limits(&self) -> Limits {
         let limits = self.cx.view.directory().map(|directory| directory.limits());
-        let idle = limits.map_or(DEFAULT_IDLE, |limits| limits.idle_timeout);
+        let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
         Limits {
             idle: idle + IDLE_MARGIN,
-            head: limits.map_or(DEFAULT_HEAD, |limits| limits.header_bytes),
+            head: limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.header_bytes),
         }
     }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request, from admission to its log line.
 async fn handle<D>(cx: Arc<Shared<D>>, req: Request<RequestBody>) -> Response<impl Answered>
 where
     D: Dialect,
@@ -73,7 +74,7 @@
     let head = cx.dialect.request(&parts.headers);
     let conn = parts.extensions.get().copied().unwrap_or_default();
     let mut log = RequestLog::new(&cx.metrics, head.id.clone().unwrap_or_default(), conn);
-    let answered = match admit(&cx, &parts, head) {
+    let outcome = match admit(&cx, &parts, head) {
         Err(refusal) => Err((refusal, Some(body))),
         Ok(admitted) => {
             log.admitted(&admitted, &cx);
@@ -87,9 +88,9 @@
             }
         }
     };
-    match answered {
+    match outcome {
         Ok(Answer::Whole(response)) => {
-            log.done("answered");
+            log.finish("answered");
             response.map(Either::Left)
         }
         Ok(Answer::Relayed(head, relay)) => {
@@ -97,12 +98,13 @@
             let body = StreamBody::new(relay.into_frames());
             Response::from_parts(head, Either::Right(body))
         }
-        Err((refusal, unread)) => {
-            if let Some(body) = unread {
-                // What the caller sends after the process has ended is answered by a reset.
+        Err((refusal, unread_body)) => {
+            if let Some(body) = unread_body {
+                // Once the process has ended, the kernel answers further data of the body by a reset, so that
+                // reading stops at the end of the grace period.
                 cx.ending.run_until_cancelled(discard(body)).await;
             }
-            log.done_by(refusal);
+            log.finish_refused(refusal);
             let mut response = refusal.answer();
             cx.dialect.own_answer(response.headers_mut(), &log.id);
             response.map(Either::Left)
@@ -110,13 +112,15 @@
     }
 }
 
-/// What a caller gets.
+/// The answer of an upstream, for the caller.
 enum Answer<D> {
+    /// The body was read completely.
     Whole(Response<Full<Bytes>>),
+    /// The body is passed on while it arrives.
     Relayed(http::response::Parts, Box<Relay<D>>),
 }
 
-/// Brings an answer of an upstream.
+/// Sends the request to upstreams until one of them gives an answer that the caller can have.
 async fn answer<D>(mut call: Call<D>, log: &mut RequestLog) -> Result<Answer<D>, Refusal>
 where
     D: Dialect,
@@ -125,18 +129,18 @@
         let cx = Arc::clone(&call.cx);
         let deadline = call.admitted.deadline;
         let last_event = call.admitted.head.last_event;
-        let Some(obtained) = in_time(&cx, deadline, call.obtain(last_event)).await else {
+        let Some(result) = before_deadline(&cx, deadline, call.obtain(last_event)).await else {
             return Err(call.out_of_time());
         };
-        let resp = obtained?;
-        log.sent_to(&call, resp.head.status.as_u16());
+        let resp = result?;
+        log.record_upstream(&call, resp.head.status.as_u16());
         let head = answer_head(&resp);
         let is_framed = resp.is_framed();
         if call.admitted.route.kind.is_stream() && resp.head.status.is_success() {
-            let relay = Relay::events(call, resp, log.hand_over());
+            let relay = Relay::events(call, resp, log.transfer());
             return Ok(Answer::Relayed(head, Box::new(relay)));
         }
-        let Some(collected) = in_time(&cx, deadline, collect(resp)).await else {
+        let Some(collected) = before_deadline(&cx, deadline, collect(resp)).await else {
             return Err(call.out_of_time());
         };
         match collected {
@@ -148,7 +152,7 @@
                 return Ok(Answer::Whole(Response::from_parts(head, Full::new(body))));
             }
             Collected::Long(first, resp) => {
-                let relay = Relay::bytes(call, first, resp, log.hand_over());
+                let relay = Relay::bytes(call, first, resp, log.transfer());
                 return Ok(Answer::Relayed(head, Box::new(relay)));
             }
             Collected::Broken(upstream) => {
@@ -161,8 +165,8 @@
     }
 }
 
-/// Waits for `work`; nothing if the deadline passes before, or the entry is about to end.
-async fn in_time<D, F>(cx: &Shared<D>, deadline: Instant, work: F) -> Option<F::Output>
+/// Waits for `work`. Returns `None` if the deadline passes before, or the grace period of the entry ends.
+async fn before_deadline<D, F>(cx: &Shared<D>, deadline: Instant, work: F) -> Option<F::Output>
 where
     F: Future,
 {
@@ -172,7 +176,7 @@
     }
 }
 
-/// Returns the head for the caller.
+/// Returns the head of the response for the caller, without hop-by-hop headers.
 fn answer_head(resp: &UpstreamResponse) -> http::response::Parts {
     let mut response = Response::new(());
     *response.status_mut() = resp.head.status;
@@ -181,6 +185,8 @@
     response.into_parts().0
 }
 
+/// Returns the request for upstreams: without hop-by-hop headers, and with the length of the body that was
+/// read.
 fn template(parts: http::request::Parts, body: Bytes) -> Template {
     let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
@@ -199,17 +205,18 @@
     }
 }
 
-/// Reads a request's body whole, up to the limit of the configuration, or until the entry is about to end: the
-/// rest may come only after the process has ended, and would be answered by a reset.
+/// Reads the complete body of a request, up to the configured limit, or until the grace period of the entry
+/// ends. The rest may arrive only after the process has ended, and the kernel would then reset the
+/// connection.
 async fn read_body<D>(cx: &Shared<D>, body: RequestBody) -> Result<Bytes, Refusal> {
-    let reading = cx.ending.run_until_cancelled(read_whole(cx, body));
-    reading.await.unwrap_or(Err(Refusal::Leaving))
+    let read = cx.ending.run_until_cancelled(read_whole(cx, body));
+    read.await.unwrap_or(Err(Refusal::Leaving))
 }
 
-/// Reads a request's body whole, up to the limit of the configuration.
+/// Reads the complete body of a request, up to the configured limit.
 async fn read_whole<D>(cx: &Shared<D>, body: RequestBody) -> Result<Bytes, Refusal> {
     let limits = cx.view.directory().map(|directory| directory.limits());
-    let limit = limits.map_or(DEFAULT_BODY, |limits| limits.body_bytes);
+    let limit = limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
     let mut body = body;
     let mut buf = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -1,13 +1,14 @@
-//! Counters and times of an entry.
+//! Metrics of an entry.
 
 use prometheus::{Histogram, HistogramOpts, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 
-/// Bounds of the buckets in seconds, from a local answer to the longest deadline.
+/// Upper bounds of the histogram buckets in seconds, from an answer of the same data centre to the longest
+/// deadline.
 const BUCKETS: &[f64] = &[
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0,
 ];
 
-/// Counters and times of an entry.
+/// Metrics of an entry.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     /// Requests by how they ended.
@@ -19,17 +20,17 @@
     /// Time to the first byte of an answer.
     pub(crate) first_byte: Histogram,
     /// Time to the last byte of an answer.
-    pub(crate) whole: Histogram,
+    pub(crate) duration: Histogram,
     /// Requests that are open.
     pub(crate) open: IntGauge,
-    /// Age of what is believed, in milliseconds, by topic.
-    pub(crate) belief_age: IntGaugeVec,
-    /// Log lines that were left out.
+    /// Age of the registry state that the entry works with, in milliseconds, by topic.
+    pub(crate) state_age: IntGaugeVec,
+    /// Log lines that were dropped.
     pub(crate) lines_dropped: IntGauge,
 }
 
 impl Metrics {
-    /// Makes the metrics and registers them.
+    /// Creates the metrics and registers them.
     pub(crate) fn register(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counters = |name: &str, help: &str, label: &str| {
             IntCounterVec::new(Opts::new(name, help), &[label])
@@ -46,9 +47,9 @@
                 "end",
             )?,
             first_byte: times("wagtailreel_first_byte_seconds", "Time to the first byte")?,
-            whole: times("wagtailreel_request_seconds", "Time to the last byte")?,
+            duration: times("wagtailreel_request_seconds", "Time to the last byte")?,
             open: IntGauge::new("wagtailreel_requests_open", "Requests under way")?,
-            belief_age: IntGaugeVec::new(
+            state_age: IntGaugeVec::new(
                 Opts::new("wagtailreel_belief_age_ms", "Age of what is believed"),
                 &["topic"],
             )?,
@@ -58,9 +59,9 @@
         registry.register(Box::new(metrics.refusals.clone()))?;
         registry.register(Box::new(metrics.attempts.clone()))?;
         registry.register(Box::new(metrics.first_byte.clone()))?;
-        registry.register(Box::new(metrics.whole.clone()))?;
+        registry.register(Box::new(metrics.duration.clone()))?;
         registry.register(Box::new(metrics.open.clone()))?;
-        registry.register(Box::new(metrics.belief_age.clone()))?;
+        registry.register(Box::new(metrics.state_age.clone()))?;
         registry.register(Box::new(metrics.lines_dropped.clone()))?;
         Ok(metrics)
     }
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -18,8 +18,8 @@
 
 use crate::socket::{ExchangeFlag, Socket};
 
-/// Timeout of connecting to an upstream. The longest one-way delay is 3 ms. A lost SYN is retransmitted only after
-/// a second, and by then another upstream has answered.
+/// Timeout of connecting to an upstream. The longest one-way delay is 3 ms. A lost SYN is retransmitted only
+/// after a second, and by then another upstream has answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which sent data may stay unacknowledged before the kernel closes the connection.
@@ -28,8 +28,8 @@
 /// Keep-alive time of an idle connection if the upstream announces none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
-/// Time before the upstream's keep-alive time-out at which the entry stops reusing a connection. Of a request that
-/// is sent while the upstream closes the connection, the entry can't tell whether it ran.
+/// Time before the upstream's keep-alive time-out at which the entry stops reusing a connection. Of a request
+/// that is sent while the upstream closes the connection, the entry can't tell whether it ran.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Longest idle time of a connection that is reused for a non-idempotent request.
@@ -38,8 +38,8 @@
 /// Maximum number of idle connections for each upstream. An engine runs 16 requests at once.
 const MAX_IDLE_PER_UPSTREAM: usize = 16;
 
-/// A connection to an upstream. Dropping it closes it at once; while a request is in progress, the connection is
-/// reset, which cancels the request.
+/// A connection to an upstream. Dropping it closes it at once; while a request is in progress, the connection
+/// is reset, which cancels the request.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -154,8 +154,8 @@
 }
 
 impl Pool {
-    /// Returns the most recently used idle connection to the given start of the upstream at `addr`, and drops those
-    /// that can't be used.
+    /// Returns the most recently used idle connection to the given start of the upstream at `addr`, and drops
+    /// those that can't be used.
     ///
     /// A request that is not `repeatable` gets only a connection that was idle for a short time.
     pub(crate) fn check_out(
@@ -178,7 +178,8 @@
         None
     }
 
-    /// Returns a connection whose response was read completely to the pool, for the `keep_alive` time of the upstream.
+    /// Returns a connection whose response was read completely to the pool, for the `keep_alive` time of the
+    /// upstream.
     pub(crate) fn check_in(&self, conn: Connection, keep_alive: Option<Duration>) {
         let now = Instant::now();
         let keep_alive = keep_alive
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -22,7 +22,7 @@
 use crate::agents::Agents;
 use crate::dialect::Dialect;
 use crate::far::{self, FarWords};
-use crate::front::Callers;
+use crate::front::CallerHandler;
 use crate::metrics::Metrics;
 use crate::shared::Shared;
 use crate::suspects::Suspects;
@@ -201,7 +201,7 @@
         let server = Server::start(
             "callers",
             callers,
-            Callers::new(Arc::clone(&cx)),
+            CallerHandler::new(Arc::clone(&cx)),
             counters.clone(),
         );
         tasks.spawn(prune(Arc::clone(&view), suspects));
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -123,7 +123,7 @@
             match relay.next().await {
                 Ok(Some(data)) => Some((Ok(Frame::data(data)), Some(relay))),
                 Ok(None) => {
-                    relay.log.done("answered");
+                    relay.log.finish("answered");
                     None
                 }
                 Err(BrokenOff) => Some((Err(BrokenOff), None)),
@@ -160,7 +160,7 @@
                 Read::Broken => "broken",
                 Read::Stalled => STALLED,
                 Read::Late => {
-                    self.log.done("timeout");
+                    self.log.finish("timeout");
                     return Err(BrokenOff);
                 }
             };
@@ -214,7 +214,7 @@
             Mode::Bytes => Some(data.clone()),
             Mode::Events(cutter) => match cutter.push(data) {
                 Cut::Events(events) => {
-                    self.log.passed_on(cutter.events());
+                    self.log.set_events(cutter.events());
                     Some(events)
                 }
                 Cut::Broken => None,
@@ -239,11 +239,11 @@
         drop(resp);
         let next = self.call.ended(&upstream, Ending::Lost, why).await;
         let Mode::Events(cutter) = &mut self.mode else {
-            self.log.done(why);
+            self.log.finish(why);
             return Err(BrokenOff);
         };
         if next != Next::Again {
-            self.log.done(why);
+            self.log.finish(why);
             return Err(BrokenOff);
         }
         cutter.restart();
@@ -256,11 +256,11 @@
                 Ok(())
             }
             Ok(_) => {
-                self.log.done("resume-failed");
+                self.log.finish("resume-failed");
                 Err(BrokenOff)
             }
             Err(refusal) => {
-                self.log.done_by(refusal);
+                self.log.finish_refused(refusal);
                 Err(BrokenOff)
             }
         }
--- a/crates/direct/src/request_log.rs
+++ b/crates/direct/src/request_log.rs
@@ -1,4 +1,4 @@
-//! The account of a request.
+//! The log line and the metrics of a request.
 
 use std::time::{Duration, Instant};
 
@@ -11,22 +11,22 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// The account of one request: one line and its metrics when it is over.
+/// The values of one request for its log line and metrics, which are written when the request ends.
 #[derive(Debug)]
 pub(crate) struct RequestLog {
     pub(crate) id: String,
     conn: ConnectionNumber,
     metrics: crate::metrics::Metrics,
     started: Instant,
-    first: Option<Duration>,
+    first_byte_after: Option<Duration>,
     route: String,
     service: String,
     customer: String,
     pick: Option<Pick>,
-    sent: u32,
+    attempts: u32,
     status: u16,
     config: u64,
-    belief: Duration,
+    config_age: Duration,
     prompt_tokens: u32,
     answer_tokens: u32,
     events: u64,
@@ -45,15 +45,15 @@
             conn,
             metrics: metrics.clone(),
             started: Instant::now(),
-            first: None,
+            first_byte_after: None,
             route: String::new(),
             service: String::new(),
             customer: String::new(),
             pick: None,
-            sent: 0,
+            attempts: 0,
             status: 0,
             config: 0,
-            belief: Duration::ZERO,
+            config_age: Duration::ZERO,
             prompt_tokens: 0,
             answer_tokens: 0,
             events: 0,
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Records what the admission of the request decided.
     pub(crate) fn admitted<D>(&mut self, admitted: &Admitted, cx: &Shared<D>) {
         self.route.clone_from(&admitted.route.name);
         self.service.clone_from(&admitted.service);
@@ -69,39 +70,40 @@
         self.answer_tokens = admitted.head.answer_tokens;
         self.config = admitted.directory.version();
         let age = cx.view.age(wagtailreel_fleet::Topic::Settings);
-        self.belief = age.unwrap_or_default();
+        self.config_age = age.unwrap_or_default();
     }
 
-    pub(crate) fn sent_to<D>(&mut self, call: &Call<D>, status: u16) {
-        self.sent = call.sent;
+    /// Records the upstream that answered, its status, and the number of attempts so far.
+    pub(crate) fn record_upstream<D>(&mut self, call: &Call<D>, status: u16) {
+        self.attempts = call.sent;
         self.status = status;
         self.pick.clone_from(&call.last_pick);
     }
 
-    /// Takes that the stream goes on at another upstream.
+    /// Records that the stream is resumed at another upstream.
     pub(crate) fn resumed(&mut self, upstream: &str) {
         if let Some(pick) = &mut self.pick {
             upstream.clone_into(&mut pick.id);
         }
-        self.sent += 1;
+        self.attempts += 1;
     }
 
-    /// Takes that the first bytes of the answer are on their way.
+    /// Records the time to the first byte of the answer, on the first call.
     pub(crate) fn first_byte(&mut self) {
-        if self.first.is_none() {
+        if self.first_byte_after.is_none() {
             let first = self.started.elapsed();
             self.metrics.first_byte.observe(first.as_secs_f64());
-            self.first = Some(first);
+            self.first_byte_after = Some(first);
         }
     }
 
-    /// Takes how many events of the answer were passed on.
-    pub(crate) const fn passed_on(&mut self, events: u64) {
+    /// Sets how many events of the answer were passed on.
+    pub(crate) const fn set_events(&mut self, events: u64) {
         self.events = events;
     }
 
-    /// Takes that the entry answers itself.
-    pub(crate) fn done_by(&mut self, refusal: Refusal) {
+    /// Ends the request with an answer of the entry itself.
+    pub(crate) fn finish_refused(&mut self, refusal: Refusal) {
         let reason = refusal.to_string();
         self.status = refusal.status().as_u16();
         let refusals = &self.metrics.refusals;
@@ -109,19 +111,20 @@
         self.close(&reason, events::REQUEST_REFUSED);
     }
 
-    /// Takes that the request is over.
-    pub(crate) fn done(&mut self, end: &str) {
+    /// Ends the request; `end` says how, in the log and as the label of the metric.
+    pub(crate) fn finish(&mut self, end: &str) {
         self.close(end, events::REQUEST_DONE);
     }
 
-    /// Returns the account for whoever goes on with the answer.
-    pub(crate) fn hand_over(&mut self) -> Self {
+    /// Moves the values out, for the relay that passes on the rest of the answer. Only the id stays here.
+    pub(crate) fn transfer(&mut self) -> Self {
         let mut taken = Self::new(&self.metrics, self.id.clone(), self.conn);
         std::mem::swap(self, &mut taken);
         self.id.clone_from(&taken.id);
         taken
     }
 
+    /// Makes the drop write nothing, and counts the request as no longer open.
     pub(crate) fn disarm(&mut self) {
         self.is_armed = false;
         self.metrics.open.dec();
@@ -134,7 +137,7 @@
         self.disarm();
         self.metrics.requests.with_label_values(&[end]).inc();
         let took = self.started.elapsed();
-        self.metrics.whole.observe(took.as_secs_f64());
+        self.metrics.duration.observe(took.as_secs_f64());
         let pick = self.pick.as_ref();
         let distance = pick.map(|pick| pick.distance.to_string());
         let distance = distance.unwrap_or_default();
@@ -142,7 +145,9 @@
         let load = load.unwrap_or_default();
         let expected = pick.and_then(|pick| pick.expected);
         let expected = expected.map(|expected| expected.as_millis().to_string());
-        let first = self.first.map(|first| first.as_millis().to_string());
+        let first = self
+            .first_byte_after
+            .map(|first| first.as_millis().to_string());
         event.emit(&[
             ("id", &self.id),
             ("conn", &self.conn.to_string()),
@@ -155,21 +160,21 @@
             ("distance", &distance),
             ("load", &load),
             ("expected_ms", &expected.unwrap_or_default()),
-            ("sent", &self.sent.to_string()),
+            ("sent", &self.attempts.to_string()),
             ("prompt", &self.prompt_tokens.to_string()),
             ("answer", &self.answer_tokens.to_string()),
             ("events", &self.events.to_string()),
             ("first_ms", &first.unwrap_or_default()),
             ("ms", &took.as_millis().to_string()),
             ("config", &self.config.to_string()),
-            ("belief_ms", &self.belief.as_millis().to_string()),
+            ("belief_ms", &self.config_age.as_millis().to_string()),
         ]);
     }
 }
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        // Whatever is dropped before its end was told belongs to a caller that left.
+        // Every other end calls `finish` or `finish_refused` first, so here the caller has left.
         self.close("caller-left", events::REQUEST_DONE);
     }
 }
--- a/crates/direct/src/response.rs
+++ b/crates/direct/src/response.rs
@@ -1,4 +1,4 @@
-//! An answer whose head has come, and the count of its request.
+//! The response of an upstream, and the lease that counts its request there.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::pool::Connection;
 use crate::view::Service;
 
-/// Counts a request at an upstream for as long as it is there.
+/// Counts a request as in flight at an upstream until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Lease {
     service: Arc<Service>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub(crate) struct UpstreamResponse {
     pub(crate) head: Parts,
@@ -62,7 +62,7 @@
 }
 
 impl UpstreamResponse {
-    /// Gives the connection back after the whole answer was read.
+    /// Returns the connection to the pool after the response was read completely.
     pub(crate) fn finish(self) {
         self.conn.response_read();
         let closes = self
@@ -71,12 +71,13 @@
             .get(header::CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
         if !closes && self.is_framed() {
-            let keep = self.meta.keep_alive;
-            self.lease.service.pool.check_in(self.conn, keep);
+            let keep_alive = self.meta.keep_alive;
+            self.lease.service.pool.check_in(self.conn, keep_alive);
         }
     }
 
-    /// Says whether the answer tells where it ends, other than by the end of its connection.
+    /// Returns whether the headers say where the body ends. Otherwise it ends with the connection, and a body
+    /// that was cut off can't be told from a complete one.
     pub(crate) fn is_framed(&self) -> bool {
         self.head.headers.contains_key(header::CONTENT_LENGTH)
             || self.head.headers.contains_key(header::TRANSFER_ENCODING)
--- a/crates/direct/src/socket.rs
+++ b/crates/direct/src/socket.rs
@@ -14,7 +14,8 @@
 pub(crate) struct ExchangeFlag(Arc<AtomicBool>);
 
 impl ExchangeFlag {
-    /// Records that the first byte of a request is about to be sent, or that its response was read completely.
+    /// Records that the first byte of a request is about to be sent, or that its response was read
+    /// completely.
     pub(crate) fn set(&self, in_exchange: bool) {
         self.0.store(in_exchange, Ordering::Release);
     }
@@ -26,9 +27,9 @@
 
 /// A socket that is reset if it is dropped while a request is in progress, and closed in order otherwise.
 ///
-/// An orderly close still delivers all data that was written before it. So an upstream that was suspended reads
-/// the rest of a request whose caller has left, and runs it. A reset discards what is still in this host's send
-/// buffer, and tells an upstream that has read the request that its answer is no longer wanted.
+/// An orderly close still delivers all data that was written before it. So an upstream that was suspended
+/// reads the rest of a request whose caller has left, and runs it. A reset discards what is still in this
+/// host's send buffer, and tells an upstream that has read the request that its answer is no longer wanted.
 #[derive(Debug)]
 pub(crate) struct Socket {
     stream: TcpStream,
--- a/crates/direct/src/status_page.rs
+++ b/crates/direct/src/status_page.rs
@@ -34,7 +34,7 @@
     for topic in [Topic::Settings, Topic::Upstreams] {
         if let Some(age) = cx.view.age(topic) {
             let age = i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
-            let gauge = &cx.metrics.belief_age;
+            let gauge = &cx.metrics.state_age;
             gauge.with_label_values(&[&topic.to_string()]).set(age);
         }
     }
