--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -71,10 +71,10 @@
                 if is_far_turn {
                     // Those that are gone are forgotten.
                     known.clear();
-                    seed.ask_seeds();
+                    seed.query_seeds();
                 }
                 if round.is_multiple_of(RELAY_AGAIN_EVERY) {
-                    seed.relay_again();
+                    seed.resend_recent();
                 }
                 let abroad = is_far_turn.then_some(far.as_ref());
                 let engines = engines(&view, &home, abroad);
@@ -94,15 +94,15 @@
                 let status = match Datagram::from_bytes(&buf[..len]) {
                     Ok(Datagram::Status(status)) => status,
                     Ok(Datagram::Ended(told)) => {
-                        seed.take_accounts(&told, from);
+                        seed.handle_crash_reports(&told, from);
                         continue;
                     }
                     Ok(Datagram::Query(_)) => {
-                        seed.take_query(from);
+                        seed.handle_query(from);
                         continue;
                     }
                     Ok(Datagram::AskPermit(ask)) => {
-                        seed.give_permit(&ask, from);
+                        seed.issue_permit(&ask, from);
                         continue;
                     }
                     Ok(Datagram::Permit(permit)) => {
--- a/crates/direct/src/seed.rs
+++ b/crates/direct/src/seed.rs
@@ -1,5 +1,5 @@
-//! What an entry that others know as a seed does for them in a fleet without agents: it gives permits, and
-//! relays what entries tell of requests under which upstreams end.
+//! The tasks of a seed entry in a fleet without agents: the seed issues permits to other entries, and relays
+//! crash reports between them, of requests during which upstreams ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,19 +13,20 @@
 use crate::suspects::Suspects;
 use crate::view::View;
 
-/// How long an entry is told of requests without asking again: several of its questions.
-const ASKER_FOR: Duration = Duration::from_secs(3);
+/// How long an entry gets crash reports after its last query. Covers several query intervals.
+const SUBSCRIPTION_TTL: Duration = Duration::from_secs(3);
 
-/// Entries that are told of requests: the most that a fleet has, with room for those that were replaced.
-const MOST_ASKERS: usize = 1024;
+/// Maximum number of subscribed entries: those of the largest fleet, and entries that were replaced lately.
+const MAX_SUBSCRIBERS: usize = 1024;
 
-/// The seed's part in a fleet without agents. Entries that are no seeds only ask with it.
+/// Relays crash reports and issues permits in a fleet without agents. An entry that is no seed uses it only
+/// to query the seeds.
 #[derive(Debug)]
 pub(crate) struct SeedRelay {
     view: Arc<View>,
     agents: Agents,
     suspects: Arc<Suspects>,
-    askers: BTreeMap<SocketAddr, Instant>,
+    subscribers: BTreeMap<SocketAddr, Instant>,
     permits: Permits,
 }
 
@@ -35,13 +36,13 @@
             view,
             agents,
             suspects,
-            askers: BTreeMap::new(),
+            subscribers: BTreeMap::new(),
             permits: Permits::default(),
         }
     }
 
-    /// Asks the seeds for what is known of requests, in a fleet without agents.
-    pub(crate) fn ask_seeds(&self) {
+    /// Sends the seeds a query for crash reports, which renews the subscription, if the fleet has no agents.
+    pub(crate) fn query_seeds(&self) {
         if self.view.has_agents() {
             return;
         }
@@ -50,50 +51,54 @@
         }
     }
 
-    /// Takes a question of an entry; one that may have missed something is told all.
-    pub(crate) fn take_query(&mut self, from: SocketAddr) {
-        let is_known = self.askers.contains_key(&from);
-        if !is_known && self.askers.len() >= MOST_ASKERS {
+    /// Handles the query of an entry. A new subscriber may have missed reports, so that it gets all of them.
+    pub(crate) fn handle_query(&mut self, from: SocketAddr) {
+        let is_subscribed = self.subscribers.contains_key(&from);
+        if !is_subscribed && self.subscribers.len() >= MAX_SUBSCRIBERS {
             return;
         }
-        self.askers.insert(from, Instant::now());
-        if !is_known {
+        self.subscribers.insert(from, Instant::now());
+        if !is_subscribed {
             self.agents.tell_one(from, &self.suspects.all());
         }
     }
 
-    /// Takes what a process tells of requests, which may be this one, and relays what is news.
-    pub(crate) fn take_accounts(&self, told: &[EndedUnder], from: SocketAddr) {
+    /// Handles crash reports of a process, which may be this one, and relays those that are new.
+    pub(crate) fn handle_crash_reports(&self, reports: &[EndedUnder], from: SocketAddr) {
         let is_own = self.agents.is_own(from);
-        let news = self.suspects.hear(told, is_own);
-        if news.is_empty() || self.askers.is_empty() {
+        let new = self.suspects.hear(reports, is_own);
+        if new.is_empty() || self.subscribers.is_empty() {
             return;
         }
-        let mut told = self.suspects.all();
-        told.retain(|account| news.contains(&account.fingerprint));
-        self.relay(&told, Some(from));
+        let mut reports = self.suspects.all();
+        reports.retain(|report| new.contains(&report.fingerprint));
+        self.relay(&reports, Some(from));
     }
 
-    /// Answers a question for leave to send a request to an upstream that names a limit.
-    pub(crate) fn give_permit(&mut self, ask: &AskPermit, from: SocketAddr) {
+    /// Answers a request for a permit to send to an upstream with a rate limit.
+    pub(crate) fn issue_permit(&mut self, ask: &AskPermit, from: SocketAddr) {
         if let Some(permit) = self.permits.answer(ask, Instant::now()) {
             self.agents.send_to(from, &Datagram::Permit(permit));
         }
     }
 
-    /// Relays again what was learned lately, for datagrams that were lost.
-    pub(crate) fn relay_again(&mut self) {
+    /// Sends recent crash reports again, since datagrams may be lost.
+    pub(crate) fn resend_recent(&mut self) {
         let now = Instant::now();
-        self.askers
-            .retain(|_, at| now.saturating_duration_since(*at) <= ASKER_FOR);
-        if !self.askers.is_empty() {
+        self.subscribers
+            .retain(|_, at| now.saturating_duration_since(*at) <= SUBSCRIPTION_TTL);
+        if !self.subscribers.is_empty() {
             self.relay(&self.suspects.learned_lately(), None);
         }
     }
 
-    fn relay(&self, told: &[EndedUnder], from: Option<SocketAddr>) {
-        for asker in self.askers.keys().filter(|asker| Some(**asker) != from) {
-            self.agents.tell_one(*asker, told);
+    fn relay(&self, reports: &[EndedUnder], from: Option<SocketAddr>) {
+        for subscriber in self
+            .subscribers
+            .keys()
+            .filter(|subscriber| Some(**subscriber) != from)
+        {
+            self.agents.tell_one(*subscriber, reports);
         }
     }
 }
