--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -161,7 +161,7 @@
             view: Arc::clone(&view),
             metrics,
             registry: prometheus,
-            leaving: OnceLock::new(),
+            shutdown: OnceLock::new(),
             ending: CancellationToken::new(),
             settings,
         });
@@ -254,7 +254,7 @@
         let unused_closed = now + LONGEST_UNUSED.min(grace / 2);
         let closing = until - LAST_ANSWERS.min(grace / 4);
         let ending = until - LAST_CLOSES.min(grace / 8);
-        self.cx.leave(lame_duck, ending);
+        self.cx.begin_shutdown(lame_duck, ending);
         self.enter(Phase::Leaving);
         self.tell(events::LEAVING);
         tokio::time::sleep_until(lame_duck.max(unused_closed).into()).await;
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State that all requests of an entry share.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Instant;
@@ -13,7 +13,7 @@
 use crate::suspects::Suspects;
 use crate::view::View;
 
-/// What all requests of an entry share.
+/// State that all requests of an entry share.
 #[derive(Debug)]
 pub(crate) struct Shared<D> {
     pub(crate) dialect: D,
@@ -23,65 +23,66 @@
     pub(crate) suspects: Arc<Suspects>,
     pub(crate) metrics: Metrics,
     pub(crate) registry: Registry,
-    /// Set once the entry leaves.
-    pub(crate) leaving: OnceLock<Leaving>,
-    /// The entry is about to end: what has no answer yet gets its final one.
+    /// Set once the entry shuts down.
+    pub(crate) shutdown: OnceLock<Shutdown>,
+    /// Cancelled as the grace period ends: each request that is still open gets its final answer.
     pub(crate) ending: CancellationToken,
 }
 
-/// Which requests an entry that leaves still takes.
+/// Which requests an entry still accepts while it shuts down.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Leaving {
-    /// Until then every request is taken that can be given a final answer at any time; the balancer has
-    /// not noticed yet.
-    takes_all_until: Instant,
-    /// Others are taken if their answers are whole before this.
+pub(crate) struct Shutdown {
+    /// Until then the entry accepts every request other than a stream, which can get its final answer at any
+    /// time: the balancer may not have noticed the shutdown yet.
+    accepts_all_until: Instant,
+    /// The entry accepts any other request only if its answer is complete before this.
     ends_at: Instant,
 }
 
 impl<D> Shared<D> {
-    /// Says that the entry leaves.
-    pub(crate) fn leave(&self, takes_all_until: Instant, ends_at: Instant) {
-        // A second call would be for the same end of the process.
-        let _ = self.leaving.set(Leaving {
-            takes_all_until,
+    /// Records that the entry shuts down.
+    pub(crate) fn begin_shutdown(&self, accepts_all_until: Instant, ends_at: Instant) {
+        // A second call would be for the same shutdown.
+        let _ = self.shutdown.set(Shutdown {
+            accepts_all_until,
             ends_at,
         });
     }
 
-    /// Says whether a request can be answered whose answer is whole at `end` at the latest.
+    /// Returns whether the entry still accepts a request whose answer is complete at `end` at the latest.
     ///
-    /// What is cut off in the middle of a stream can't be told of it.
+    /// A stream that is cut off can't be given a final answer any more, so that it has to end in time.
     pub(crate) fn has_time(&self, now: Instant, end: Instant, is_stream: bool) -> bool {
-        let Some(leaving) = self.leaving.get() else {
+        let Some(shutdown) = self.shutdown.get() else {
             return true;
         };
-        end < leaving.ends_at || (!is_stream && now < leaving.takes_all_until)
+        end < shutdown.ends_at || (!is_stream && now < shutdown.accepts_all_until)
     }
 
-    /// Says whether what is believed of keys is young enough to act on.
+    /// Returns whether the known configuration is recent enough to accept keys.
     ///
-    /// A key that was taken away must not work for longer than the operators were promised, also
-    /// at an entry that can't hear of it.
+    /// A revoked key must not work for longer than the bound that the settings promise, also at an entry that
+    /// can't reach the registry.
     pub(crate) fn trusts_keys(&self) -> bool {
         let age = self.view.age(Topic::Settings);
         age.is_some_and(|age| age < self.settings.bounds.keys)
     }
 
-    /// Says whether what is believed is young enough to deny that a route or key exists.
+    /// Returns whether the known configuration is recent enough to answer that a route or a key does not
+    /// exist.
     pub(crate) fn may_deny(&self) -> bool {
         let age = self.view.age(Topic::Settings);
         age.is_some_and(|age| age < self.settings.bounds.denial)
     }
 
-    /// Says whether the entry leaves.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+    /// Returns whether the entry shuts down.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown.get().is_some()
     }
 
-    /// Returns why the balancer should send no callers, or none if it should.
-    pub(crate) fn unready(&self) -> Option<&'static str> {
-        if self.is_leaving() {
+    /// Returns why the balancer should send no callers, or `None` if the entry is ready.
+    pub(crate) fn unready_reason(&self) -> Option<&'static str> {
+        if self.is_shutting_down() {
             return Some("leaving");
         }
         let Some(directory) = self.view.directory() else {
--- a/crates/direct/src/status_page.rs
+++ b/crates/direct/src/status_page.rs
@@ -24,7 +24,7 @@
 }
 
 async fn ready<D>(State(cx): State<Arc<Shared<D>>>) -> (StatusCode, &'static str) {
-    match cx.unready() {
+    match cx.unready_reason() {
         None => (StatusCode::OK, "ready\n"),
         Some(reason) => (StatusCode::SERVICE_UNAVAILABLE, reason),
     }
