--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -29,54 +29,59 @@
 use crate::view::{Bounds, View};
 use crate::{events, load, status_page};
 
-/// How long the registry may hold a read of the settings. Each read is priced; a read that returns
-/// empty confirms the configuration, which has to be done well within the bound on keys.
-const SETTINGS_WAIT: Duration = Duration::from_millis(1800);
+/// How long the registry may hold a read of the settings (long poll). Each read has a cost, which favours a
+/// long hold. A read that returns empty confirms the configuration, and that has to happen well within the
+/// bound on keys.
+const SETTINGS_LONG_POLL: Duration = Duration::from_millis(1800);
 
-/// Shortest time between two reads of the settings. In a burst of configurations each read brings the
-/// newest of several.
-const SETTINGS_PACE: Duration = Duration::from_millis(400);
+/// Minimum time between two reads of the settings. In a burst of configurations each read returns the newest
+/// of several.
+const SETTINGS_READ_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How much longer than its wait a read may take.
-const READ_TIMEOUT: Duration = Duration::from_millis(700);
+/// How much longer than the long poll a read of the settings may take.
+const SETTINGS_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Longest pause after failed reads of the settings.
-const SETTINGS_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum backoff after failed reads of the settings.
+const SETTINGS_MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// How long a read of the upstreams may take; a slow registry takes a quarter of a second.
+/// Timeout of a read of the upstreams. A slow registry takes 250 ms.
 const UPSTREAMS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest pause after failed reads of the upstreams. With the time-out and the time to register
-/// again it stays below the 3 s after which a removal has to be in force again.
-const UPSTREAMS_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum backoff after failed reads of the upstreams. The sum of this, the timeout and `LAPSE_HOLD` stays
+/// below the 3 s after which a removal has to be in force again.
+const UPSTREAMS_MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// How long an upstream that vanished while the registry was away has to register again.
+/// How long an upstream that is missing from the registry after an outage has to register again, before the
+/// entry removes it.
 const LAPSE_HOLD: Duration = Duration::from_millis(2100);
 
-/// How long callers are still taken after a signal to end: the balancer needs two questions, a
-/// second apart, to notice.
-const LAME_DUCK: Duration = Duration::from_millis(2600);
+/// How long the entry accepts all callers after a signal to shut down. The balancer needs two readiness
+/// checks, a second apart, to notice.
+const LAME_DUCK_TIME: Duration = Duration::from_millis(2600);
 
-/// Time before the end of the grace at which the listener is closed: what was accepted last is still
-/// answered, or refused.
-const LAST_ANSWERS: Duration = Duration::from_millis(500);
+/// Time before the end of the grace period at which the listener is closed, so that requests on the last
+/// accepted connections are still answered or refused.
+const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time before the end of the grace at which idle connections are closed, whatever callers were told.
-const LAST_CLOSES: Duration = Duration::from_millis(300);
+/// Time before the end of the grace period at which idle connections are closed, also those that were
+/// promised a longer keep-alive time.
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Turns of the last moment that every entry gets, and how long each lasts at least. An entry that stood still as
-/// its grace ended reads and refuses in them what has come meanwhile.
-const LAST_TURNS: u32 = 8;
-const LAST_TURN: Duration = Duration::from_millis(20);
+/// Number of turns of the runtime after all else is done, before the process ends. An entry that was
+/// suspended as its grace period ended uses them to read and refuse the requests that arrived meanwhile.
+const FINAL_TURNS: u32 = 8;
 
-/// Longest time after the grace for which these turns are waited for, well before the process is killed.
-const MOST_LATE: Duration = Duration::from_millis(300);
+/// Minimum length of one such turn.
+const FINAL_TURN_TIME: Duration = Duration::from_millis(20);
 
-/// How often unused connections and remembered requests are looked through.
-const PRUNE_EVERY: Duration = Duration::from_secs(1);
+/// Maximum time after the grace period that these turns may take; the process is killed well after it.
+const MAX_GRACE_OVERRUN: Duration = Duration::from_millis(300);
 
-/// Ports of the system's choice that are tried.
-const PORT_TRIES: u32 = 8;
+/// Interval at which idle connections and crash reports are pruned.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Maximum number of ports chosen by the system that are tried.
+const MAX_PORT_TRIES: u32 = 8;
 
 /// An entry can't start.
 #[derive(Debug, Snafu)]
@@ -99,17 +104,17 @@
     },
 }
 
-/// A running entry that sends requests straight to upstreams.
+/// A running entry that sends requests directly to upstreams.
 #[derive(Debug)]
 pub struct DirectEntry<D> {
     cx: Arc<Shared<D>>,
     callers: SocketAddr,
     status: SocketAddr,
-    copies: SocketAddr,
+    neighbours_addr: SocketAddr,
     tasks: JoinSet<()>,
-    server: Server,
-    /// Those for neighbours, and for readiness and metrics.
-    others: [Server; 2],
+    caller_server: Server,
+    /// The servers for neighbours, and for readiness and metrics.
+    other_servers: [Server; 2],
 }
 
 impl<D> DirectEntry<D>
@@ -132,7 +137,7 @@
         let (callers, callers_addr) = listen(settings.listen.callers, "listen.callers").await?;
         let (status, status_addr) = listen(settings.listen.status, "listen.status").await?;
         let agents = settings.listen.agents;
-        let (socket, copies, own) = listen_for_agents(agents).await?;
+        let (socket, neighbours_listener, own_addr) = listen_for_agents(agents).await?;
         let prometheus = Prometheus::new();
         let metrics = Metrics::register(&prometheus).context(MetricsSnafu)?;
         let calls = CallCounters::register(&prometheus).context(MetricsSnafu)?;
@@ -152,7 +157,7 @@
         let agent_port = settings.agent_port;
         let pace = settings.bounds.upstreams_pace;
         let lapse_after = settings.bounds.lapse_after;
-        let agents = Agents::new(socket, own, agent_port, &settings.seeds);
+        let agents = Agents::new(socket, own_addr, agent_port, &settings.seeds);
         let suspects = Arc::new(Suspects::new(Arc::clone(&view), agents.clone()));
         let cx = Arc::new(Shared {
             dialect,
@@ -167,7 +172,7 @@
         });
         let mut tasks = JoinSet::new();
         let mirror = Arc::new(Mirror::default());
-        let neighbours = Arc::new(Neighbours::new(own));
+        let neighbours = Arc::new(Neighbours::new(own_addr));
         let far = FarWords::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
         let far = Arc::new(far);
         let registry = Nearby::new(
@@ -176,18 +181,24 @@
             Arc::clone(&neighbours),
         )
         .with_mirror(Arc::clone(&mirror))
-        .with_seeds(Seeds::new(own, &cx.settings.seeds))
-        .with_is_seed(cx.settings.seeds.contains(&own.ip()))
+        .with_seeds(Seeds::new(own_addr, &cx.settings.seeds))
+        .with_is_seed(cx.settings.seeds.contains(&own_addr.ip()))
         .with_counters(calls);
-        let copied = wagtailreel_nearby::router(mirror).merge(far::router(Arc::clone(&far)));
-        let copied = Routes::new(copied);
-        let neighbours_server = Server::start("agents", copies, copied, counters.clone());
+        let neighbour_routes =
+            wagtailreel_nearby::router(mirror).merge(far::router(Arc::clone(&far)));
+        let neighbour_routes = Routes::new(neighbour_routes);
+        let neighbours_server = Server::start(
+            "agents",
+            neighbours_listener,
+            neighbour_routes,
+            counters.clone(),
+        );
         tasks.spawn(follow(
             registry.clone(),
             Arc::clone(&view),
-            settings_follow(),
+            settings_follow_config(),
         ));
-        let upstreams = upstreams_follow(pace, lapse_after);
+        let upstreams = upstreams_follow_config(pace, lapse_after);
         tasks.spawn(follow(registry, Arc::clone(&view), upstreams));
         tasks.spawn(load::ask_agents(
             Arc::clone(&view),
@@ -198,7 +209,7 @@
             home,
         ));
         tasks.spawn(far.follow());
-        let server = Server::start(
+        let caller_server = Server::start(
             "callers",
             callers,
             CallerHandler::new(Arc::clone(&cx)),
@@ -217,121 +228,127 @@
             cx,
             callers: callers_addr,
             status: status_addr,
-            copies: own,
+            neighbours_addr: own_addr,
             tasks,
-            server,
-            others: [neighbours_server, status_server],
+            caller_server,
+            other_servers: [neighbours_server, status_server],
         })
     }
 
-    /// Returns where callers are answered.
+    /// Returns the address of the listener for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where other entries read what this one knows.
-    pub fn neighbours_read_at(&self) -> SocketAddr {
-        self.copies
+    /// Returns the address at which neighbours read the registry state and load reports of this entry.
+    pub fn neighbours_addr(&self) -> SocketAddr {
+        self.neighbours_addr
     }
 
-    /// Returns where readiness and metrics are served.
+    /// Returns the address of readiness and metrics.
     pub fn status(&self) -> SocketAddr {
         self.status
     }
 
-    /// Tells the balancer to send no callers, finishes what is open, and ends.
+    /// Reports to the balancer that the entry is not ready, finishes the open requests, and shuts down.
     ///
-    /// Callers are taken for as long as they come: where most entries of a data centre leave at once, the
-    /// balancer goes on sending callers to all of them. A connection whose handshake is under way as the
-    /// listener closes is reset, so that a time without new connections is waited for. It is looked for once
-    /// idle connections from before the signal are closed: a listener that closes much before the process
-    /// ends has the balancer's callers meet a closed port for as long.
+    /// The listener stays open as long as callers connect: if most entries of a data centre shut down at
+    /// once, the balancer goes on sending callers to all of them. A connection whose handshake is in progress
+    /// as the listener closes is reset, so that the entry first waits for a time without new connections.
+    /// This wait starts only after the idle connections from before the signal are closed: if the listener
+    /// closed much earlier than the process ends, callers from the balancer would meet a closed port until
+    /// then.
     pub async fn shutdown(mut self) {
         let grace = self.cx.settings.bounds.grace;
         let now = Instant::now();
         let until = now + grace;
-        let lame_duck = now + LAME_DUCK.min(grace / 2);
+        let lame_duck = now + LAME_DUCK_TIME.min(grace / 2);
         let unused_closed = now + LONGEST_UNUSED.min(grace / 2);
-        let closing = until - LAST_ANSWERS.min(grace / 4);
-        let ending = until - LAST_CLOSES.min(grace / 8);
+        let closing = until - LISTENER_CLOSE_MARGIN.min(grace / 4);
+        let ending = until - IDLE_CLOSE_MARGIN.min(grace / 8);
         self.cx.begin_shutdown(lame_duck, ending);
         self.enter(Phase::Leaving);
-        self.tell(events::LEAVING);
+        self.log_open(events::LEAVING);
         tokio::time::sleep_until(lame_duck.max(unused_closed).into()).await;
-        let _ = timeout_at(closing.into(), self.server.quiet()).await;
-        self.server.enter(Phase::Closing);
-        let _ = timeout_at(ending.into(), self.server.ended()).await;
+        let _ = timeout_at(closing.into(), self.caller_server.quiet()).await;
+        self.caller_server.enter(Phase::Closing);
+        let _ = timeout_at(ending.into(), self.caller_server.ended()).await;
         self.cx.ending.cancel();
         self.enter(Phase::Ending);
-        let all_ended = async {
-            self.server.ended().await;
-            for other in &mut self.others {
+        let all_closed = async {
+            self.caller_server.ended().await;
+            for other in &mut self.other_servers {
                 other.ended().await;
             }
         };
-        let turns = timeout_at((until + MOST_LATE).into(), last_turns());
-        let over = async { tokio::join!(tokio::time::sleep_until(until.into()), turns) };
-        // What is still open then is cut off; the event says how much.
+        let turns = timeout_at((until + MAX_GRACE_OVERRUN).into(), final_turns());
+        let grace_over = async { tokio::join!(tokio::time::sleep_until(until.into()), turns) };
+        // Requests that are still open then are cut off; the event has their number.
         tokio::select! {
-            () = all_ended => {}
-            _ = over => {}
+            () = all_closed => {}
+            _ = grace_over => {}
         }
         self.tasks.abort_all();
-        self.tell(events::STOPPED);
+        self.log_open(events::STOPPED);
     }
 
     /// Advances all listeners to `phase`.
     fn enter(&self, phase: Phase) {
-        self.server.enter(phase);
-        self.others.iter().for_each(|other| other.enter(phase));
+        self.caller_server.enter(phase);
+        self.other_servers
+            .iter()
+            .for_each(|other| other.enter(phase));
     }
 
-    /// Writes a line with the number of open requests.
-    fn tell(&self, event: Event) {
+    /// Logs `event` with the number of open requests.
+    fn log_open(&self, event: Event) {
         let open = self.cx.metrics.open.get().to_string();
         event.emit(&[("vm", &self.cx.settings.vm), ("open", &open)]);
     }
 }
 
-/// Waits for the turns of the last moment. Time for which the process stands still counts as one of them.
-async fn last_turns() {
-    for _ in 0..LAST_TURNS {
-        tokio::time::sleep(LAST_TURN).await;
+/// Waits for the final turns. A time for which the process is suspended counts as one turn, however long it
+/// is.
+async fn final_turns() {
+    for _ in 0..FINAL_TURNS {
+        tokio::time::sleep(FINAL_TURN_TIME).await;
     }
 }
 
-fn settings_follow() -> FollowConfig {
+/// Returns how the settings are followed: by long polls.
+fn settings_follow_config() -> FollowConfig {
     FollowConfig {
         topic: Topic::Settings,
-        wait: SETTINGS_WAIT,
-        pace: SETTINGS_PACE,
+        wait: SETTINGS_LONG_POLL,
+        pace: SETTINGS_READ_INTERVAL,
         second_hand_pace: Duration::ZERO,
-        timeout: READ_TIMEOUT,
-        longest_pause: SETTINGS_PAUSE,
+        timeout: SETTINGS_TIMEOUT_MARGIN,
+        longest_pause: SETTINGS_MAX_BACKOFF,
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     }
 }
 
-/// Returns how the upstreams are followed: they change several times a second, so that a read which
-/// waits would be a call for every heartbeat.
-fn upstreams_follow(pace: Duration, lapse_after: Duration) -> FollowConfig {
+/// Returns how the upstreams are followed: by reads at an interval. They change several times a second, so
+/// that a long poll would return at every heartbeat.
+fn upstreams_follow_config(pace: Duration, lapse_after: Duration) -> FollowConfig {
     FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
         pace,
         second_hand_pace: Duration::ZERO,
         timeout: UPSTREAMS_TIMEOUT,
-        longest_pause: UPSTREAMS_PAUSE,
+        longest_pause: UPSTREAMS_MAX_BACKOFF,
         lapse_hold: LAPSE_HOLD,
         lapse_after,
     }
 }
 
-/// Closes connections that are no longer of use, and forgets requests that are.
+/// Closes idle connections that expired or whose upstream is gone, and drops expired crash reports, at an
+/// interval.
 async fn prune(view: Arc<View>, suspects: Arc<Suspects>) {
     loop {
-        tokio::time::sleep(PRUNE_EVERY).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         suspects.forget();
         for service in view.services() {
             let known: Vec<SocketAddr> = {
@@ -343,19 +360,19 @@
     }
 }
 
-/// Opens the address for agents over UDP, and for neighbours over TCP with the same port.
+/// Opens the UDP socket for agents, and the TCP listener for neighbours on the same port.
 async fn listen_for_agents(
     addr: SocketAddr,
 ) -> Result<(UdpSocket, TcpListener, SocketAddr), DirectError> {
     let setting = "listen.agents";
-    let mut tries_left = PORT_TRIES;
+    let mut tries_left = MAX_PORT_TRIES;
     loop {
         let socket = UdpSocket::bind(addr).await;
         let socket = socket.context(ListenSnafu { addr, setting })?;
-        let own = socket.local_addr().context(ListenSnafu { addr, setting })?;
-        match listen(own, setting).await {
-            Ok((listener, _)) => return Ok((socket, listener, own)),
-            // A port that the system chose for UDP may be taken for TCP.
+        let own_addr = socket.local_addr().context(ListenSnafu { addr, setting })?;
+        match listen(own_addr, setting).await {
+            Ok((listener, _)) => return Ok((socket, listener, own_addr)),
+            // A port that the system chose for UDP may be in use for TCP.
             Err(_) if addr.port() == 0 && tries_left > 0 => tries_left -= 1,
             Err(err) => return Err(err),
         }
--- a/crates/direct/tests/far.rs
+++ b/crates/direct/tests/far.rs
@@ -93,7 +93,7 @@
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     let client = HttpClient::new();
-    let url = format!("http://{}/v1/load/hall", entry.neighbours_read_at());
+    let url = format!("http://{}/v1/load/hall", entry.neighbours_addr());
     let told = async {
         loop {
             let req = http::Request::get(&url).body(Body::default()).unwrap();
