--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How requests and answers are marked on the wire.
+//! How requests and answers carry the metadata of this system in their headers.
 
 use std::time::Duration;
 
@@ -7,77 +7,78 @@
 use wagtailreel_fleet::WeightsVersion;
 use wagtailreel_route::direct::NamedLimit;
 
-/// What a caller's request says of itself.
+/// Metadata in the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Id of this attempt of the caller.
+    /// Id of the request; each attempt of the caller has its own.
     pub id: Option<RequestId>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
     /// Key of the customer.
     pub key: Option<String>,
-    /// The last event that the caller has of an earlier stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub answer_tokens: u32,
 }
 
-/// What an upstream is told along with a request.
+/// Metadata that the entry adds to a request for an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatch<'a> {
-    /// How long an answer is still wanted.
+    /// Time left until the deadline.
     pub remaining: Duration,
-    /// Id of the upstream that is meant; another one at its address refuses.
+    /// Id of the intended upstream. Another upstream at the same address refuses the request.
     pub upstream: &'a str,
     /// The customer whose key the request carried.
     pub customer: Option<&'a str>,
-    /// Rank of the request, 0 first.
+    /// Priority rank of the request; 0 is the highest.
     pub rank: u8,
-    /// Version of the weights that is meant; an engine with another one refuses.
+    /// Intended version of the weights. An engine with another version refuses the request.
     pub version: Option<WeightsVersion>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received, if a stream is resumed.
     pub last_event: Option<u64>,
 }
 
-/// What an upstream tells of its load with an answer.
+/// Load of an upstream as its answer reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it works on.
+    /// Number of requests that the upstream runs.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests in its queue.
     pub waiting: u32,
 }
 
-/// What an upstream's answer says of itself.
+/// Metadata in the headers of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerHead {
-    /// Id of the request that it answers; answers to something else belong to nobody.
+    /// Id of the request that is answered. The entry discards an answer with another id than it sent.
     pub id: Option<RequestId>,
-    /// The upstream says that it has not run the request and won't.
+    /// The upstream has not run the request, and will not run it.
     pub not_run: bool,
-    /// The upstream is another one than was meant, or has other weights.
+    /// The upstream is not the intended one, or holds other weights.
     pub misdirected: bool,
     /// Load of the upstream.
     pub load: Option<ServerLoad>,
-    /// How long the upstream keeps the connection without a request.
+    /// How long the upstream keeps an idle connection open.
     pub keep_alive: Option<Duration>,
-    /// The requests a second that the upstream takes from all entries together.
+    /// Limit of the requests a second that the upstream accepts from all entries together.
     pub limit: NamedLimit,
 }
 
-/// Reads and writes the marks of requests and answers.
+/// Reads and writes the metadata of requests and answers.
 pub trait Dialect: Clone + Send + Sync + 'static {
-    /// Reads the marks of a caller's request.
+    /// Reads the metadata of a caller's request.
     fn request(&self, headers: &HeaderMap) -> RequestHead;
 
-    /// Replaces the marks that only this system may set, and takes away the customer's key.
+    /// Sets the headers that only this system may set, in place of any that the caller sent, and removes the
+    /// customer's key.
     fn dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
 
-    /// Reads the marks of an upstream's answer.
+    /// Reads the metadata of an upstream's answer.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// Marks an answer of the entry itself to the request `id`.
+    /// Adds the metadata to an answer that the entry itself gives to the request `id`.
     fn own_answer(&self, headers: &mut HeaderMap, id: &str);
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,12 +1,12 @@
-//! Requests straight from an entry to upstreams that name themselves.
+//! An entry that sends requests directly to upstreams, without a proxying agent.
 //!
-//! Where an upstream can tell its instance, its weights and whether it ran a request, no agent has
-//! to stand in the way of requests. [`DirectEntry`] is the process on an entry VM for such fleets:
-//! it follows the registry, asks the agents of engines for their load, and answers callers.
+//! An upstream that reports its instance, its weights and whether it ran a request needs no agent between it
+//! and the entry. [`DirectEntry`] is the process on an entry VM for such fleets: it follows the registry,
+//! queries the agents of engines for their load, and answers callers.
 //!
-//! Decisions stand apart from sockets: [`Upstreams`] chooses, [`Cutter`] keeps events whole,
-//! [`next_step`] says what follows from the end of an attempt. How requests and answers are marked
-//! on the wire is a [`Dialect`].
+//! Decisions are kept apart from I/O: [`Upstreams`] chooses an upstream, [`Cutter`] splits an answer into
+//! events, [`next_step`] decides what follows when an attempt ends. A [`Dialect`] maps the metadata of
+//! requests and answers to headers.
 
 mod admit;
 mod agents;
--- a/crates/direct/src/status_page.rs
+++ b/crates/direct/src/status_page.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! The status listener: readiness for the balancer, and metrics.
 
 use std::sync::Arc;
 
