--- a/crates/direct/tests/answers.rs
+++ b/crates/direct/tests/answers.rs
@@ -21,7 +21,7 @@
     let entry = ready_entry(&registry, &[("a", a.addr), ("b", b.addr)]).await;
     // Whichever is chosen first does the first act, and the other one the second.
     for upstream in [&a, &b] {
-        upstream.follow_with(&a, &b, second.clone());
+        upstream.set_next_act(&a, &b, second.clone());
     }
     let answer = call(entry.callers(), "GET", path).await;
     (answer, a.seen().len() + b.seen().len())
@@ -62,7 +62,7 @@
 
 #[rstest]
 #[case::cut_event(Act::CutEvents(1, 3))]
-#[case::silent_upstream(Act::Hang(1, 3))]
+#[case::silent_upstream(Act::EventsThenStall(1, 3))]
 #[tokio::test]
 async fn stream_goes_on(#[case] first: Act) {
     let (answer, seen) = through("/stream/1", first, Act::Events(4, 6)).await;
@@ -90,7 +90,7 @@
 #[tokio::test]
 async fn extra_answer() {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Twice("first")]).await;
+    let upstream = TestUpstream::start(&[Act::ExtraAnswer("first")]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     assert_eq!(call(entry.callers(), "GET", "/order/1").await.body, "first");
     let next = call(entry.callers(), "GET", "/order/2").await;
@@ -100,13 +100,13 @@
 #[tokio::test]
 async fn caller_leaves() {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Hang(1, 2)]).await;
+    let upstream = TestUpstream::start(&[Act::EventsThenStall(1, 2)]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let text = request("GET", "/stream/1", &[("x-id", "r1"), ("x-key", "k1")], "");
     let calling = tokio::spawn(async move { send(entry.callers(), &text).await });
     upstream.until_seen(1).await;
     calling.abort();
-    tokio::time::timeout(Duration::from_millis(500), upstream.until_left())
+    tokio::time::timeout(Duration::from_millis(500), upstream.until_request_aborted())
         .await
         .expect("the work ends with the caller");
 }
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn route_time_over() {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Silent]).await;
+    let upstream = TestUpstream::start(&[Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let answer = call(entry.callers(), "GET", "/quick/1").await;
     assert_eq!(answer.status, 504, "it may run, so it isn't refused");
--- a/crates/direct/tests/beliefs.rs
+++ b/crates/direct/tests/beliefs.rs
@@ -99,7 +99,7 @@
 #[tokio::test]
 async fn graceful_end() {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Events(1, 3), Act::Silent]).await;
+    let upstream = TestUpstream::start(&[Act::Events(1, 3), Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let (callers, status) = (entry.callers(), entry.status());
     assert!(call(callers, "GET", "/stream/1").await.is_whole);
--- a/crates/direct/tests/common/agent.rs
+++ b/crates/direct/tests/common/agent.rs
@@ -1,4 +1,4 @@
-//! The agent of one engine, which says of it what it is told to.
+//! Test agents, which report a load that the test sets.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Instant;
@@ -8,27 +8,32 @@
 use wagtailreel_fleet::{Datagram, LoadStatus, Status};
 use wagtailreel_route::direct::Permits;
 
-/// Answers questions on `ip` and `port` with the status that the sender was last given.
-pub(crate) async fn agent_of(ip: &str, port: u16, load: LoadStatus) -> watch::Sender<LoadStatus> {
+/// Starts an agent on `ip` and `port`, which answers queries with the last status that was sent on the
+/// returned channel.
+pub(crate) async fn start_agent(
+    ip: &str,
+    port: u16,
+    load: LoadStatus,
+) -> watch::Sender<LoadStatus> {
     let socket = UdpSocket::bind((ip, port)).await.unwrap();
     let (tx, rx) = watch::channel(load);
-    answer_questions(socket, move |_| Status {
+    answer_queries(socket, move |_| Status {
         load: Some(rx.borrow().clone()),
         ..Status::default()
     });
     tx
 }
 
-/// Answers each question on `socket` with what `status` says to who asks.
-pub(crate) fn answer_questions<F>(socket: UdpSocket, status: F)
+/// Answers each query on `socket` with what `status` returns for the address of its sender.
+pub(crate) fn answer_queries<F>(socket: UdpSocket, status: F)
 where
     F: Fn(SocketAddr) -> Status + Send + 'static,
 {
-    answer_some(socket, |_| true, status);
+    answer_queries_of(socket, |_| true, status);
 }
 
-/// Answers the questions on `socket` of those that it `hears`.
-fn answer_some<H, F>(socket: UdpSocket, hears: H, status: F)
+/// Answers the queries on `socket` from those addresses that are reachable.
+fn answer_queries_of<H, F>(socket: UdpSocket, is_reachable: H, status: F)
 where
     H: Fn(IpAddr) -> bool + Send + 'static,
     F: Fn(SocketAddr) -> Status + Send + 'static,
@@ -37,7 +42,7 @@
         let mut permits = Permits::default();
         let mut buf = [0; 2048];
         while let Ok((len, from)) = socket.recv_from(&mut buf).await {
-            if !hears(from.ip()) {
+            if !is_reachable(from.ip()) {
                 continue;
             }
             let query = match Datagram::from_bytes(&buf[..len]) {
@@ -68,7 +73,7 @@
 }
 
 /// Returns the status of an engine that holds `version` and works on `running` requests.
-pub(crate) fn holds(version: u64, running: u32) -> LoadStatus {
+pub(crate) fn load_status(version: u64, running: u32) -> LoadStatus {
     LoadStatus {
         version: Some(version),
         running,
@@ -76,21 +81,21 @@
     }
 }
 
-/// An agent that tells of a free engine.
-pub(crate) struct Beside;
+/// An agent that reports an idle engine.
+pub(crate) struct IdleAgent;
 
-impl Beside {
-    /// Answers questions on `ip` and `port`.
+impl IdleAgent {
+    /// Starts the agent on `ip` and `port`.
     pub(crate) async fn start(ip: &str, port: u16) {
-        Self::start_cut_off(ip, port, Vec::new()).await;
+        Self::start_partitioned(ip, port, Vec::new()).await;
     }
 
-    /// The same for an agent whose links to some entries are cut.
-    pub(crate) async fn start_cut_off(ip: &str, port: u16, from: Vec<IpAddr>) {
+    /// Starts the agent with its links to the addresses `from` cut.
+    pub(crate) async fn start_partitioned(ip: &str, port: u16, from: Vec<IpAddr>) {
         let socket = UdpSocket::bind((ip, port)).await.unwrap();
-        let hears = move |entry| !from.contains(&entry);
-        answer_some(socket, hears, |_| Status {
-            load: Some(holds(1, 0)),
+        let is_reachable = move |entry| !from.contains(&entry);
+        answer_queries_of(socket, is_reachable, |_| Status {
+            load: Some(load_status(1, 0)),
             ..Status::default()
         });
     }
--- a/crates/direct/tests/common/caller.rs
+++ b/crates/direct/tests/common/caller.rs
@@ -1,20 +1,20 @@
-//! A caller that speaks plain HTTP over a socket, so that cuts can be seen.
+//! A caller that speaks HTTP on a plain socket, so that tests can tell an answer that was cut off.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// An answer as it came.
+/// An answer as it was received.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
-    /// The status; 0 if the connection ended without one.
+    /// The status; 0 if the connection was closed without one.
     pub(crate) status: u16,
     /// The head in lower case.
     pub(crate) head: String,
-    /// The body, put together if it came in chunks.
+    /// The body, decoded if it was sent in chunks.
     pub(crate) body: String,
-    /// The body came to the end that its framing says.
+    /// Whether the body is complete according to its framing.
     pub(crate) is_whole: bool,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Writes a request whose connection ends with its answer.
+/// Returns the text of a request with `connection: close`.
 pub(crate) fn request(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{method} {path} HTTP/1.1\r\nhost: shop.example\r\n");
     for (name, value) in headers {
@@ -50,22 +50,22 @@
     send(addr, &request("GET", path, headers, "")).await
 }
 
-/// Sends bytes and reads the answer to the end.
+/// Sends `text` on a new connection and reads the answer to the end.
 pub(crate) async fn send(addr: SocketAddr, text: &str) -> Answer {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     read(&mut stream).await
 }
 
-/// Reads an answer until the connection ends.
+/// Reads an answer until the connection is closed.
 pub(crate) async fn read(stream: &mut TcpStream) -> Answer {
     let mut buf = Vec::new();
-    // A reset ends the answer as well; what came before it counts.
+    // A reset ends the answer as well; the bytes before it are kept.
     let _ = stream.read_to_end(&mut buf).await;
     parse(&String::from_utf8_lossy(&buf))
 }
 
-/// Takes apart all that came on a connection.
+/// Parses all bytes of a connection as one answer.
 pub(crate) fn parse(text: &str) -> Answer {
     let (head, rest) = text.split_once("\r\n\r\n").unwrap_or((text, ""));
     let head = head.to_ascii_lowercase();
--- a/crates/direct/tests/common/mod.rs
+++ b/crates/direct/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An entry before upstreams that do as they are told, with a registry in memory.
+//! An entry with scripted upstreams and a registry in memory.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -24,7 +24,7 @@
 
 use self::upstream::TestUpstream;
 
-/// Marks of requests and answers as these tests write them.
+/// The dialect of these tests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TestDialect;
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns a configuration with a route of each kind, and customer `quay` with key `k1`.
+/// Returns a configuration with a route of each kind, and the customer `quay` with the key `k1`.
 pub(crate) fn directory(version: u64) -> Directory {
     let limits = ClientLimits {
         header_bytes: 16384,
@@ -145,7 +145,7 @@
         .with_customers(vec![customer])
 }
 
-/// Returns what an engine's answers take.
+/// Returns the model of an engine's speed.
 pub(crate) fn engine_model() -> EngineModel {
     EngineModel {
         model: "epitaph".to_owned(),
@@ -165,19 +165,19 @@
 }
 
 /// Returns the record of an engine in the entry's data centre that holds `version`.
-pub(crate) fn writer(id: &str, upstream: &TestUpstream, version: u64) -> Change {
-    Change::Upstream(Box::new(written_by(id, upstream, version)))
+pub(crate) fn engine_record(id: &str, upstream: &TestUpstream, version: u64) -> Change {
+    Change::Upstream(Box::new(engine_upstream(id, upstream, version)))
 }
 
-/// Returns the record of an engine in `data_centre` that holds the first version.
-pub(crate) fn writer_in(data_centre: &str, upstream: &TestUpstream) -> Change {
+/// Returns the record of an engine in `data_centre` that holds version 1.
+pub(crate) fn engine_record_in(data_centre: &str, upstream: &TestUpstream) -> Change {
     Change::Upstream(Box::new(Upstream {
         data_centre: data_centre.to_owned(),
-        ..written_by("a", upstream, 1)
+        ..engine_upstream("a", upstream, 1)
     }))
 }
 
-fn written_by(id: &str, upstream: &TestUpstream, version: u64) -> Upstream {
+fn engine_upstream(id: &str, upstream: &TestUpstream, version: u64) -> Upstream {
     Upstream {
         service: "writers".to_owned(),
         models: vec![LoadedModel {
@@ -209,7 +209,7 @@
     registry.upstream(Change::Upstream(Box::new(registered(id, addr))));
 }
 
-/// Starts an entry that trusts keys for `keys`, without agents.
+/// Starts an entry without agents, which accepts keys until its configuration is older than `keys`.
 pub(crate) async fn entry(registry: &RegistryStandin, keys: Duration) -> DirectEntry<TestDialect> {
     entry_with_agents(registry, keys, 9).await
 }
@@ -224,7 +224,8 @@
     entry_at(registry, keys, any, agent_port, &[]).await
 }
 
-/// Starts an entry that talks to agents and other entries at `agents`, of which `seeds` are known to all.
+/// Starts an entry that talks to agents and other entries from the address `agents`, with the seed entries
+/// `seeds`.
 pub(crate) async fn entry_at(
     registry: &RegistryStandin,
     keys: Duration,
@@ -263,7 +264,7 @@
         .unwrap()
 }
 
-/// Repeats a call until it is answered with `status`.
+/// Repeats a call until the answer has `status`.
 pub(crate) async fn until_status(addr: SocketAddr, path: &str, status: u16) -> caller::Answer {
     loop {
         let answer = caller::call(addr, "GET", path).await;
@@ -274,7 +275,7 @@
     }
 }
 
-/// Waits until the entry tells the balancer `status`.
+/// Waits until the readiness check of the entry returns `status`.
 pub(crate) async fn until_readiness(entry: &DirectEntry<TestDialect>, status: u16) {
     loop {
         let answer = caller::get(entry.status(), "/readyz", &[]).await;
@@ -285,7 +286,7 @@
     }
 }
 
-/// Starts an entry with a configuration, before the upstreams `addrs`, and waits until it is ready.
+/// Starts an entry with a configuration and the upstreams `addrs`, and waits until it is ready.
 pub(crate) async fn ready_entry(
     registry: &RegistryStandin,
     addrs: &[(&str, SocketAddr)],
--- a/crates/direct/tests/common/upstream.rs
+++ b/crates/direct/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that does as it is told, request by request.
+//! An upstream that follows a script, one act for each request.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,58 +14,58 @@
 pub(crate) enum Act {
     /// Answers with a status and a body.
     Answer(u16, &'static str),
-    /// Says that it did not run the request.
+    /// Answers that it did not run the request.
     NotRun,
-    /// Answers another request's id.
+    /// Answers with the id of another request.
     WrongId,
     /// Closes the connection without an answer.
     Close,
-    /// Answers with a length, and closes within the body.
+    /// Answers with a content length, and closes the connection within the body.
     CutBody,
     /// Sends the events of a range and ends the stream.
     Events(u64, u64),
-    /// Sends the events of a range and the beginning of the next, and closes.
+    /// Sends the events of a range and the first bytes of the next one, and closes the connection.
     CutEvents(u64, u64),
-    /// Sends the events of a range and stays silent until the connection ends.
-    Hang(u64, u64),
-    /// Waits for so many milliseconds, then sends the events of a range and ends the stream.
-    Late(u64, u64, u64),
-    /// Never answers; waits for the connection to end.
-    Silent,
-    /// Answers, and sends a second answer behind it.
-    Twice(&'static str),
+    /// Sends the events of a range, and then nothing until the connection is closed.
+    EventsThenStall(u64, u64),
+    /// Waits for the given number of milliseconds, then sends the events of a range and ends the stream.
+    DelayedEvents(u64, u64, u64),
+    /// Sends nothing until the connection is closed.
+    NoAnswer,
+    /// Answers, and sends a second answer directly after it.
+    ExtraAnswer(&'static str),
 }
 
 #[derive(Debug)]
 struct Inner {
     acts: Mutex<VecDeque<Act>>,
-    others: Mutex<Vec<(Arc<Inner>, Act)>>,
+    next_acts: Mutex<Vec<(Arc<Inner>, Act)>>,
     seen: watch::Sender<Vec<String>>,
-    ended: watch::Sender<u32>,
+    aborted: watch::Sender<u32>,
 }
 
-/// An upstream that does as it is told.
+/// An upstream that follows a script.
 #[derive(Clone, Debug)]
 pub(crate) struct TestUpstream {
-    /// Where it listens.
+    /// The address of its listener.
     pub(crate) addr: SocketAddr,
     inner: Arc<Inner>,
 }
 
 impl TestUpstream {
-    /// Starts an upstream; requests beyond `acts` are answered with 200 and `ok`.
+    /// Starts an upstream. Requests after the last of `acts` are answered with 200 and `ok`.
     pub(crate) async fn start(acts: &[Act]) -> Self {
         Self::start_on("127.0.0.1", acts).await
     }
 
-    /// Starts the same on the address `ip`.
+    /// Starts an upstream on the address `ip`.
     pub(crate) async fn start_on(ip: &str, acts: &[Act]) -> Self {
         let listener = TcpListener::bind((ip, 0)).await.unwrap();
         let inner = Arc::new(Inner {
             acts: Mutex::new(acts.iter().cloned().collect()),
-            others: Mutex::default(),
+            next_acts: Mutex::default(),
             seen: watch::Sender::default(),
-            ended: watch::Sender::default(),
+            aborted: watch::Sender::default(),
         });
         let upstream = Self {
             addr: listener.local_addr().unwrap(),
@@ -80,28 +80,28 @@
         upstream
     }
 
-    /// Replaces what this and the other upstream do after the first request that either gets.
-    pub(crate) fn follow_with(&self, one: &Self, other: &Self, act: Act) {
-        let mut both = self.inner.others.lock().unwrap();
+    /// Makes `act` the only act left for `one` and `other` as soon as this upstream gets its next request.
+    pub(crate) fn set_next_act(&self, one: &Self, other: &Self, act: Act) {
+        let mut both = self.inner.next_acts.lock().unwrap();
         both.push((Arc::clone(&one.inner), act.clone()));
         both.push((Arc::clone(&other.inner), act));
     }
 
-    /// Returns the heads of the requests that came, in lower case.
+    /// Returns the heads of the requests that were received, in lower case.
     pub(crate) fn seen(&self) -> Vec<String> {
         self.inner.seen.borrow().clone()
     }
 
-    /// Waits until `count` requests have come.
+    /// Waits until `count` requests were received.
     pub(crate) async fn until_seen(&self, count: usize) {
         let mut seen = self.inner.seen.subscribe();
         seen.wait_for(|seen| seen.len() >= count).await.unwrap();
     }
 
-    /// Waits until the other side has ended a connection with a request that was under way.
-    pub(crate) async fn until_left(&self) {
-        let mut ended = self.inner.ended.subscribe();
-        ended.wait_for(|ended| *ended > 0).await.unwrap();
+    /// Waits until the entry has closed a connection on which a request was in progress.
+    pub(crate) async fn until_request_aborted(&self) {
+        let mut aborted = self.inner.aborted.subscribe();
+        aborted.wait_for(|aborted| *aborted > 0).await.unwrap();
     }
 }
 
@@ -111,7 +111,7 @@
         inner.seen.send_modify(|seen| seen.push(head.clone()));
         let act = inner.acts.lock().unwrap().pop_front();
         let act = act.unwrap_or(Act::Answer(200, "ok"));
-        for (other, next) in inner.others.lock().unwrap().drain(..) {
+        for (other, next) in inner.next_acts.lock().unwrap().drain(..) {
             *other.acts.lock().unwrap() = VecDeque::from([next]);
         }
         if !perform(&inner, &mut stream, &head, act).await {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Carries out an act; returns whether the connection goes on.
+/// Performs an act; returns whether the connection stays open.
 async fn perform(inner: &Inner, stream: &mut TcpStream, head: &str, act: Act) -> bool {
     let id = head.lines().find_map(|line| line.strip_prefix("x-id: "));
     let id = id.unwrap_or("none");
@@ -135,7 +135,7 @@
             write(stream, text).await
         }
         Act::WrongId => write(stream, &plain(200, "other", "not yours")).await,
-        Act::Twice(body) => {
+        Act::ExtraAnswer(body) => {
             let text = plain(200, id, body);
             write(stream, &(text.clone() + &plain(200, "other", "late"))).await
         }
@@ -148,7 +148,7 @@
         Act::Events(from, to) => {
             write(stream, &(stream_head(id) + &events(from, to) + "0\r\n\r\n")).await
         }
-        Act::Late(ms, from, to) => {
+        Act::DelayedEvents(ms, from, to) => {
             tokio::time::sleep(Duration::from_millis(ms)).await;
             write(stream, &(stream_head(id) + &events(from, to) + "0\r\n\r\n")).await
         }
@@ -159,18 +159,18 @@
             write(stream, &text).await;
             false
         }
-        Act::Hang(from, to) => {
+        Act::EventsThenStall(from, to) => {
             write(stream, &(stream_head(id) + &events(from, to))).await;
             wait_for_end(inner, stream).await
         }
-        Act::Silent => wait_for_end(inner, stream).await,
+        Act::NoAnswer => wait_for_end(inner, stream).await,
     }
 }
 
 async fn wait_for_end(inner: &Inner, stream: &mut TcpStream) -> bool {
     let mut buf = [0; 64];
     while matches!(stream.read(&mut buf).await, Ok(1..)) {}
-    inner.ended.send_modify(|ended| *ended += 1);
+    inner.aborted.send_modify(|aborted| *aborted += 1);
     false
 }
 
@@ -185,7 +185,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Returns the events of a range as they stand in a body.
+/// Returns the events of a range as the text of a body.
 pub(crate) fn body_of(from: u64, to: u64) -> String {
     (from..=to)
         .map(|id| format!("id: {id}\ndata: piece {id}\n\n"))
@@ -200,7 +200,7 @@
     stream.write_all(text.as_bytes()).await.is_ok()
 }
 
-/// Reads the head of the next request, and its body after it; none at the connection's end.
+/// Reads the next request and returns its head, or `None` if the connection is closed.
 async fn read_head(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<String> {
     loop {
         let text = String::from_utf8_lossy(buf).into_owned();
--- a/crates/direct/tests/far.rs
+++ b/crates/direct/tests/far.rs
@@ -9,10 +9,10 @@
 
 use axum::Router;
 use axum::http::Uri;
-use common::agent::{answer_questions, holds};
+use common::agent::{answer_queries, load_status};
 use common::caller::call;
 use common::upstream::{Act, TestUpstream};
-use common::{directory, entry, entry_with_agents, until_status, writer_in};
+use common::{directory, engine_record_in, entry, entry_with_agents, until_status};
 use tokio::net::{TcpListener, UdpSocket};
 use wagtailreel_adapters::{Body, HttpClient, collect_body};
 use wagtailreel_fleet::{LoadStatus, Status};
@@ -43,10 +43,10 @@
 async fn agent_asked_by(entry: SocketAddr) -> u16 {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
-    answer_questions(socket, move |_| Status {
+    answer_queries(socket, move |_| Status {
         load: Some(LoadStatus {
             pace: 1.0,
-            ..holds(1, 3)
+            ..load_status(1, 3)
         }),
         entries: vec![entry],
         ..Status::default()
@@ -63,7 +63,7 @@
     let port = agent_asked_by(abroad).await;
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("quay", &upstream));
+    registry.upstream(engine_record_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     let twice = async {
@@ -89,7 +89,7 @@
     let port = agent_asked_by(own).await;
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("hall", &upstream));
+    registry.upstream(engine_record_in("hall", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     let client = HttpClient::new();
@@ -117,7 +117,7 @@
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("quay", &upstream));
+    registry.upstream(engine_record_in("quay", &upstream));
     let entry = entry(&registry, Duration::from_secs(4)).await;
     until_status(entry.callers(), WRITTEN, 200).await;
 }
--- a/crates/direct/tests/grace.rs
+++ b/crates/direct/tests/grace.rs
@@ -20,7 +20,7 @@
 #[tokio::test]
 async fn passed_on(#[case] path: &'static str) {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Silent, Act::Silent]).await;
+    let upstream = TestUpstream::start(&[Act::NoAnswer, Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let callers = entry.callers();
     let headers = [("x-id", "r1"), ("x-key", "k1"), ("x-deadline", "5000")];
--- a/crates/direct/tests/leaving.rs
+++ b/crates/direct/tests/leaving.rs
@@ -22,7 +22,7 @@
 /// Starts an entry, and an order at it to which no answer comes.
 async fn entry_with_order() -> (DirectEntry<TestDialect>, JoinHandle<Answer>) {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Silent]).await;
+    let upstream = TestUpstream::start(&[Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let callers = entry.callers();
     let order = tokio::spawn(async move { within(callers, "/order/1", "5000").await });
@@ -45,7 +45,7 @@
 #[tokio::test]
 async fn short_request() {
     let registry = RegistryStandin::default();
-    let upstream = TestUpstream::start(&[Act::Events(1, 1), Act::Hang(1, 1)]).await;
+    let upstream = TestUpstream::start(&[Act::Events(1, 1), Act::EventsThenStall(1, 1)]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let callers = entry.callers();
     // Kept by a stream from before the signal, so that the entry doesn't end sooner.
--- a/crates/direct/tests/limit.rs
+++ b/crates/direct/tests/limit.rs
@@ -10,7 +10,7 @@
 
 use axum::Router;
 use axum::http::HeaderMap;
-use common::agent::{Beside, free_port};
+use common::agent::{IdleAgent, free_port};
 use common::caller::{request, send};
 use common::{directory, entry_at, entry_with_agents, registered, until_readiness};
 use rstest::rstest;
@@ -139,7 +139,7 @@
         let ip = format!("127.79.{net}.{}", number + 1);
         let (addr, arrivals) = upstream(&ip, limit).await;
         if kind != Kind::Plain {
-            Beside::start(&ip, port).await;
+            IdleAgent::start(&ip, port).await;
             let id = format!("u-{number}");
             registry.upstream(Change::Upstream(Box::new(engine(&id, addr))));
         }
@@ -206,7 +206,7 @@
     for (number, ip) in agents.into_iter().enumerate() {
         // The first agent is heard by a third of the entries, the second one by two thirds.
         let cut_off = entries[2 * (number + 1)..].to_vec();
-        Beside::start_cut_off(&ip.to_string(), port, cut_off).await;
+        IdleAgent::start_partitioned(&ip.to_string(), port, cut_off).await;
         let id = format!("e-{number}");
         registry.upstream(Change::Upstream(Box::new(engine(
             &id,
--- a/crates/direct/tests/places.rs
+++ b/crates/direct/tests/places.rs
@@ -8,7 +8,7 @@
 
 use common::caller::call;
 use common::upstream::{Act, TestUpstream};
-use common::{directory, entry_with_agents, until_status, writer_in};
+use common::{directory, engine_record_in, entry_with_agents, until_status};
 use tokio::net::UdpSocket;
 use wagtailreel_fleet::{Datagram, LoadStatus, Query, Status};
 use wagtailreel_standins::RegistryStandin;
@@ -61,7 +61,7 @@
     let port = socket.local_addr().unwrap().port();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("hall", &upstream));
+    registry.upstream(engine_record_in("hall", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     until_asked(&socket, |query| query.sends_us.is_some()).await;
@@ -75,7 +75,7 @@
     let port = socket.local_addr().unwrap().port();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("quay", &upstream));
+    registry.upstream(engine_record_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     // Without an answer the request goes by what is known.
     until_status(entry.callers(), WRITTEN, 200).await;
@@ -109,7 +109,7 @@
     let port = socket.local_addr().unwrap().port();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 4000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("quay", &upstream));
+    registry.upstream(engine_record_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     let agent = tokio::spawn(async move {
         loop {
--- a/crates/direct/tests/weights.rs
+++ b/crates/direct/tests/weights.rs
@@ -5,11 +5,12 @@
 
 use std::time::Duration;
 
-use common::agent::{agent_of, answer_questions, free_port, holds};
+use common::agent::{answer_queries, free_port, load_status, start_agent};
 use common::caller::call;
 use common::upstream::{Act, TestUpstream};
 use common::{
-    TestDialect, directory, entry, entry_with_agents, ready_entry, route, until_status, writer,
+    TestDialect, directory, engine_record, entry, entry_with_agents, ready_entry, route,
+    until_status,
 };
 use rstest::rstest;
 use tokio::net::UdpSocket;
@@ -52,7 +53,7 @@
     let registry = RegistryStandin::default();
     let upstream = answering().await;
     registry.config(directory(1));
-    registry.upstream(writer("old", &upstream, version));
+    registry.upstream(engine_record("old", &upstream, version));
     (registry, upstream)
 }
 
@@ -61,19 +62,19 @@
     let registry = RegistryStandin::default();
     let (old, new) = (answering().await, answering().await);
     let entry = ready_entry(&registry, &[]).await;
-    registry.upstream(writer("old", &old, 1));
+    registry.upstream(engine_record("old", &old, 1));
     until_status(entry.callers(), WRITTEN, 200).await;
     name(&registry, 2);
     until_status(entry.callers(), WRITTEN, 503).await;
     let reached = old.seen().len();
-    registry.upstream(writer("new", &new, 2));
+    registry.upstream(engine_record("new", &new, 2));
     until_status(entry.callers(), WRITTEN, 200).await;
     assert_eq!(old.seen().len(), reached, "older ones get nothing more");
 }
 
 #[rstest]
-#[case::no_head(Act::Silent)]
-#[case::no_event(Act::Hang(1, 0))]
+#[case::no_head(Act::NoAnswer)]
+#[case::no_event(Act::EventsThenStall(1, 0))]
 #[tokio::test]
 async fn waiting_request(#[case] act: Act) {
     let registry = RegistryStandin::default();
@@ -82,7 +83,7 @@
     let port = socket.local_addr().unwrap().port();
     registry.config(directory(1));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
-    registry.upstream(writer("old", &old, 1));
+    registry.upstream(engine_record("old", &old, 1));
     until_status(entry.callers(), WRITTEN, 200).await;
     name(&registry, 2);
     until_told(&socket, 2).await;
@@ -97,7 +98,7 @@
     });
     old.until_seen(2).await;
     let sent = std::time::Instant::now();
-    old.until_left().await;
+    old.until_request_aborted().await;
     let took = sent.elapsed();
     assert!(
         took.as_millis() < 1000,
@@ -135,7 +136,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let port = socket.local_addr().unwrap().port();
     let heard = std::time::Instant::now();
-    answer_questions(socket, move |from| {
+    answer_queries(socket, move |from| {
         let weights = NamedWeights {
             model: MODEL.to_owned(),
             version,
@@ -235,11 +236,11 @@
     let old = answering().await;
     let new = TestUpstream::start_on("127.0.0.2", &vec![Act::Events(1, 1); 1000]).await;
     let port = free_port().await;
-    let _old = agent_of("127.0.0.1", port, holds(2, 0)).await;
-    let _new = agent_of("127.0.0.2", port, holds(3, 0)).await;
+    let _old = start_agent("127.0.0.1", port, load_status(2, 0)).await;
+    let _new = start_agent("127.0.0.2", port, load_status(3, 0)).await;
     registry.config(directory(1));
-    registry.upstream(writer("old", &old, 2));
-    registry.upstream(writer("new", &new, 3));
+    registry.upstream(engine_record("old", &old, 2));
+    registry.upstream(engine_record("new", &new, 3));
     name(&registry, 3);
     name(&registry, 2);
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
@@ -278,11 +279,11 @@
     let registry = RegistryStandin::default();
     let old = answering().await;
     let entry = ready_entry(&registry, &[]).await;
-    registry.upstream(writer("old", &old, 1));
+    registry.upstream(engine_record("old", &old, 1));
     until_status(entry.callers(), WRITTEN, 200).await;
     // Longer than the bound on weights since the entry's last read began.
     name(&registry, 2);
-    registry.upstream(writer("old", &old, 2));
+    registry.upstream(engine_record("old", &old, 2));
     tokio::time::sleep(Duration::from_millis(450)).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     registry.set_page_len(1);
@@ -301,7 +302,7 @@
 #[tokio::test]
 async fn named_while_waiting() {
     let registry = RegistryStandin::default();
-    let old = TestUpstream::start(&[Act::Events(1, 1), Act::Silent]).await;
+    let old = TestUpstream::start(&[Act::Events(1, 1), Act::NoAnswer]).await;
     let stream = RouteKind::Stream {
         resumable: true,
         gap: Some(Duration::from_secs(1)),
@@ -310,13 +311,13 @@
     written.services = vec![("writers".to_owned(), 1)];
     registry.config(directory(1).with_routes(vec![written]));
     let entry = entry(&registry, Duration::from_secs(4)).await;
-    registry.upstream(writer("old", &old, 1));
+    registry.upstream(engine_record("old", &old, 1));
     until_status(entry.callers(), WRITTEN, 200).await;
     let callers = entry.callers();
     let waiting = tokio::spawn(async move { call(callers, "GET", WRITTEN).await });
     old.until_seen(2).await;
     name(&registry, 2);
-    let left = tokio::time::timeout(Duration::from_millis(1500), old.until_left()).await;
+    let left = tokio::time::timeout(Duration::from_millis(1500), old.until_request_aborted()).await;
     assert!(left.is_ok(), "left waiting beyond the bound");
     waiting.await.unwrap();
 }
@@ -330,7 +331,7 @@
     let port = socket.local_addr().unwrap().port();
     registry.config(directory(1));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
-    registry.upstream(writer("old", &old, 1));
+    registry.upstream(engine_record("old", &old, 1));
     until_status(entry.callers(), WRITTEN, 200).await;
     // Longer than the bound on weights.
     registry.set_delay(Duration::from_millis(800));
