--- a/crates/direct/tests/answers.rs
+++ b/crates/direct/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get, whatever upstreams do.
+//! Answers of an entry to its callers when upstreams fail, refuse or misbehave.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -11,15 +11,16 @@
 use rstest::rstest;
 use wagtailreel_standins::RegistryStandin;
 
-/// Sends one request through an entry before two upstreams of which each does one act.
-async fn through(path: &str, first: Act, second: Act) -> (Answer, usize) {
+/// Sends one request through an entry with two upstreams: the one that is chosen first performs `first`, the
+/// other `second`. Returns the answer, and how many requests the upstreams got.
+async fn call_two_upstreams(path: &str, first: Act, second: Act) -> (Answer, usize) {
     let registry = RegistryStandin::default();
     let (a, b) = (
         TestUpstream::start(std::slice::from_ref(&first)).await,
         TestUpstream::start(&[first]).await,
     );
     let entry = ready_entry(&registry, &[("a", a.addr), ("b", b.addr)]).await;
-    // Whichever is chosen first does the first act, and the other one the second.
+    // Either upstream may be chosen first.
     for upstream in [&a, &b] {
         upstream.set_next_act(&a, &b, second.clone());
     }
@@ -39,21 +40,21 @@
 #[case::order_cut("/order/1", Act::CutBody, 502, 1)]
 #[case::order_wrong_id("/order/1", Act::WrongId, 502, 1)]
 #[tokio::test]
-async fn first_fails(
+async fn first_upstream_fails(
     #[case] path: &str,
     #[case] first: Act,
     #[case] status: u16,
     #[case] reached: usize,
 ) {
-    let (answer, seen) = through(path, first, Act::Answer(200, "ok")).await;
+    let (answer, seen) = call_two_upstreams(path, first, Act::Answer(200, "ok")).await;
     assert_eq!((answer.status, seen), (status, reached));
     assert!(answer.is_whole);
     assert!(!answer.body.contains("not yours"));
 }
 
 #[tokio::test]
-async fn both_refuse() {
-    let (answer, seen) = through("/order/1", Act::NotRun, Act::NotRun).await;
+async fn both_upstreams_refuse() {
+    let (answer, seen) = call_two_upstreams("/order/1", Act::NotRun, Act::NotRun).await;
     assert_eq!((answer.status, seen), (503, 2));
     let pause: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(pause > 0.0 && pause < 2.0, "{pause}");
@@ -64,41 +65,45 @@
 #[case::cut_event(Act::CutEvents(1, 3))]
 #[case::silent_upstream(Act::EventsThenStall(1, 3))]
 #[tokio::test]
-async fn stream_goes_on(#[case] first: Act) {
-    let (answer, seen) = through("/stream/1", first, Act::Events(4, 6)).await;
+async fn stream_is_resumed(#[case] first: Act) {
+    let (answer, seen) = call_two_upstreams("/stream/1", first, Act::Events(4, 6)).await;
     assert_eq!((answer.status, seen), (200, 2));
     assert_eq!(answer.body, body_of(1, 6), "each event once");
     assert!(answer.is_whole);
 }
 
 #[tokio::test]
-async fn stream_with_gap() {
-    let (answer, _) = through("/stream/1", Act::CutEvents(1, 3), Act::Events(5, 6)).await;
+async fn resume_with_gap() {
+    let (answer, _) =
+        call_two_upstreams("/stream/1", Act::CutEvents(1, 3), Act::Events(5, 6)).await;
     assert_eq!(answer.body, body_of(1, 3));
-    assert!(!answer.is_whole, "what is missing shows");
+    assert!(
+        !answer.is_whole,
+        "the caller can see that events are missing"
+    );
 }
 
 #[tokio::test]
-async fn stream_broken_twice() {
+async fn stream_breaks_twice() {
     let second = Act::CutEvents(4, 4);
-    let (answer, seen) = through("/stream/1", Act::CutEvents(1, 3), second).await;
+    let (answer, seen) = call_two_upstreams("/stream/1", Act::CutEvents(1, 3), second).await;
     assert_eq!(seen, 2, "no more than two upstreams");
     assert_eq!(answer.body, body_of(1, 4));
     assert!(!answer.is_whole);
 }
 
 #[tokio::test]
-async fn extra_answer() {
+async fn extra_answer_is_discarded() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[Act::ExtraAnswer("first")]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     assert_eq!(call(entry.callers(), "GET", "/order/1").await.body, "first");
     let next = call(entry.callers(), "GET", "/order/2").await;
-    assert_eq!(next.body, "ok", "the late one belongs to nobody");
+    assert_eq!(next.body, "ok", "the extra answer is for no request");
 }
 
 #[tokio::test]
-async fn caller_leaves() {
+async fn caller_disconnects() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[Act::EventsThenStall(1, 2)]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
@@ -108,21 +113,24 @@
     calling.abort();
     tokio::time::timeout(Duration::from_millis(500), upstream.until_request_aborted())
         .await
-        .expect("the work ends with the caller");
+        .expect("the request is aborted at the upstream");
 }
 
 #[tokio::test]
-async fn route_time_over() {
+async fn route_timeout() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let answer = call(entry.callers(), "GET", "/quick/1").await;
-    assert_eq!(answer.status, 504, "it may run, so it isn't refused");
+    assert_eq!(
+        answer.status, 504,
+        "the request may have run, so it isn't refused"
+    );
     assert_eq!(answer.header("retry-after"), None);
 }
 
 #[tokio::test]
-async fn request_as_sent() {
+async fn forwarded_request() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
@@ -170,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn long_body() {
+async fn body_too_large() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
@@ -178,6 +186,6 @@
     let headers = [("x-id", "r1"), ("x-key", "k1")];
     let text = request("POST", "/order/1", &headers, &body);
     let answer = caller::send(entry.callers(), &text).await;
-    assert_eq!(answer.status, 413, "it isn't lost by a reset");
+    assert_eq!(answer.status, 413, "the refusal isn't lost by a reset");
     assert_eq!(upstream.seen(), Vec::<String>::new());
 }
--- a/crates/direct/tests/given_up.rs
+++ b/crates/direct/tests/connection_close.rs
@@ -1,4 +1,5 @@
-//! How the connection of a request ends: at once where it is given up, in order where its answer was read.
+//! How the connection to an upstream is closed: by a reset if the request is abandoned, in order if its
+//! answer was read completely.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -14,19 +15,20 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use wagtailreel_standins::RegistryStandin;
 
-/// Longest wait for a reset. A connection that is not reset shows nothing to wait for.
-const RESET_SHOWS_WITHIN: Duration = Duration::from_secs(1);
+/// Maximum wait for a reset. If the connection is not reset, there is no other event to wait for.
+const RESET_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes that the kernel of the upstream's VM takes while nobody reads them.
+/// Size of the upstream's receive buffer, in bytes: how much of a request its kernel accepts before the
+/// upstream reads.
 const RECEIVE_BUFFER: u32 = 4096;
 
-/// What an upstream read of a request, and how the connection ended behind it.
-struct Rest {
+/// What an upstream read of a request, and the error that ended the connection after it.
+struct Received {
     text: String,
     end: Option<ErrorKind>,
 }
 
-/// Listens with a small receive buffer; connections are made and filled while nobody accepts them.
+/// Listens with a small receive buffer. Callers can connect and fill it before the connection is accepted.
 fn listener() -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(RECEIVE_BUFFER).unwrap();
@@ -34,11 +36,11 @@
     socket.listen(8).unwrap()
 }
 
-/// Reads a connection to its end, as an upstream does that stood still until now.
-async fn read_to_end(stream: &mut TcpStream) -> Rest {
+/// Reads a connection to its end, like an upstream that was suspended until now.
+async fn read_to_end(stream: &mut TcpStream) -> Received {
     let mut buf = Vec::new();
     let read = stream.read_to_end(&mut buf).await;
-    Rest {
+    Received {
         text: String::from_utf8(buf).unwrap(),
         end: read.err().map(|e| e.kind()),
     }
@@ -46,17 +48,18 @@
 
 async fn until_reset(stream: &TcpStream) {
     let reset = stream.ready(Interest::ERROR);
-    let _ = tokio::time::timeout(RESET_SHOWS_WITHIN, reset).await;
+    let _ = tokio::time::timeout(RESET_TIMEOUT, reset).await;
 }
 
 fn order(path: &str, body: &str) -> String {
     request("POST", path, &[("x-id", "r1"), ("x-key", "k1")], body)
 }
 
-/// Guards against a request that an upstream's VM takes in and runs after its caller had the final answer.
+/// Guards against a suspended upstream that reads the rest of a request and runs it after the caller got the
+/// final answer.
 #[rstest]
 #[tokio::test]
-async fn rest_is_taken_back() {
+async fn unsent_rest_is_discarded() {
     let listener = listener();
     let registry = RegistryStandin::default();
     let entry = ready_entry(&registry, &[("a", listener.local_addr().unwrap())]).await;
@@ -65,20 +68,21 @@
     assert_eq!(answer.status, 504);
     let (mut stream, _) = listener.accept().await.unwrap();
     until_reset(&stream).await;
-    let rest = read_to_end(&mut stream).await;
-    assert!(rest.text.starts_with("POST /quick/1"));
+    let received = read_to_end(&mut stream).await;
+    assert!(received.text.starts_with("POST /quick/1"));
     assert!(
-        rest.text.len() < body.len(),
-        "{} bytes came, the whole request among them",
-        rest.text.len()
+        received.text.len() < body.len(),
+        "{} bytes were received, which include the whole request",
+        received.text.len()
     );
-    assert_eq!(rest.end, Some(ErrorKind::ConnectionReset));
+    assert_eq!(received.end, Some(ErrorKind::ConnectionReset));
 }
 
-/// What the kernel of the upstream's VM holds can't be taken back; the upstream reads with it that nobody waits.
+/// Data in the receive buffer of the upstream can't be discarded by the entry; the reset after it tells the
+/// upstream that the answer is no longer wanted.
 #[rstest]
 #[tokio::test]
-async fn reset_follows_what_was_delivered() {
+async fn reset_follows_delivered_data() {
     let listener = listener();
     let registry = RegistryStandin::default();
     let entry = ready_entry(&registry, &[("a", listener.local_addr().unwrap())]).await;
@@ -86,15 +90,15 @@
     assert_eq!(answer.status, 504);
     let (mut stream, _) = listener.accept().await.unwrap();
     until_reset(&stream).await;
-    let rest = read_to_end(&mut stream).await;
-    assert!(rest.text.ends_with("\r\n\r\n"), "the head is whole");
-    assert_eq!(rest.end, Some(ErrorKind::ConnectionReset));
+    let received = read_to_end(&mut stream).await;
+    assert!(received.text.ends_with("\r\n\r\n"), "the head is whole");
+    assert_eq!(received.end, Some(ErrorKind::ConnectionReset));
 }
 
-/// A caller that leaves amid an answer ends the work on it.
+/// Guards against an upstream that goes on with an answer after its caller has disconnected.
 #[rstest]
 #[tokio::test]
-async fn caller_leaves_amid_answer() {
+async fn caller_disconnects_within_answer() {
     let listener = listener();
     let registry = RegistryStandin::default();
     let entry = ready_entry(&registry, &[("a", listener.local_addr().unwrap())]).await;
@@ -106,16 +110,16 @@
                 transfer-encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).await.unwrap();
     drop(caller);
-    let rest = read_to_end(&mut stream).await;
-    assert_eq!(rest.end, Some(ErrorKind::ConnectionReset));
+    let received = read_to_end(&mut stream).await;
+    assert_eq!(received.end, Some(ErrorKind::ConnectionReset));
 }
 
-/// An answer that was read whole is not in doubt afterwards, whoever ends the connection.
+/// Guards against a reset after an answer was read completely, whether the connection is kept or not.
 #[rstest]
 #[case::kept("")]
 #[case::not_kept("connection: close\r\n")]
 #[tokio::test]
-async fn read_whole(#[case] header: &str) {
+async fn complete_answer_closes_in_order(#[case] header: &str) {
     let listener = listener();
     let registry = RegistryStandin::default();
     let entry = ready_entry(&registry, &[("a", listener.local_addr().unwrap())]).await;
@@ -125,6 +129,6 @@
     let answer = format!("HTTP/1.1 200 X\r\nx-id: r1\r\n{header}content-length: 2\r\n\r\nok");
     stream.write_all(answer.as_bytes()).await.unwrap();
     assert_eq!(calling.await.unwrap().status, 200);
-    let rest = read_to_end(&mut stream).await;
-    assert_eq!(rest.end, None);
+    let received = read_to_end(&mut stream).await;
+    assert_eq!(received.end, None);
 }
--- a/crates/direct/tests/grace.rs
+++ b/crates/direct/tests/grace_end.rs
@@ -1,4 +1,4 @@
-//! What a caller gets whose request is still under way as the grace ends.
+//! Answers to requests that are still open when the grace period of the entry ends.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -13,12 +13,13 @@
 use tokio::net::TcpStream;
 use wagtailreel_standins::RegistryStandin;
 
-/// A whole request that was passed on gets an answer, which promises nothing.
+/// Guards against a missing answer to a request that was sent to an upstream. The answer leaves open whether
+/// the request ran.
 #[rstest]
 #[case::once("/order/1")]
 #[case::repeatable("/read/1")]
 #[tokio::test]
-async fn passed_on(#[case] path: &'static str) {
+async fn request_at_upstream(#[case] path: &'static str) {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[Act::NoAnswer, Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
@@ -27,23 +28,23 @@
     let call = tokio::spawn(async move { get(callers, path, &headers).await });
     upstream.until_seen(1).await;
     entry.shutdown().await;
-    // The process ends now; what is on its way to the caller still arrives.
+    // The process ends here; data that it has sent still reaches the caller.
     let answer = tokio::time::timeout(Duration::from_millis(300), call).await;
     let answer = answer.expect("the process ends without an answer").unwrap();
     assert!(matches!(answer.status, 502 | 504), "{answer:?}");
 }
 
-/// The beginning of a request of which a part is still to come as the entry ends.
+/// How much of a request is sent at once.
 #[derive(Clone, Copy, Debug)]
 enum Part {
-    /// Its head breaks off.
+    /// A part of its head.
     Head,
-    /// Its head is whole, its body is not.
+    /// Its head and a part of its body.
     Body,
 }
 
 impl Part {
-    /// Returns what is sent at once, and what may follow it.
+    /// Returns the text that is sent at once, and the rest.
     fn split(self) -> (String, String) {
         let headers = [("x-id", "r1"), ("x-key", "k1"), ("x-deadline", "5000")];
         let request = request("POST", "/order/1", &headers, &"x".repeat(500));
@@ -56,16 +57,16 @@
     }
 }
 
-/// A request of which a part is still to come as the process ends is refused while there is a process: the rest
-/// would be answered by a reset.
+/// Guards against a reset in place of an answer to a request that is still incomplete as the process ends.
+/// The entry has to refuse it before.
 #[rstest]
 #[tokio::test]
-async fn begun(
+async fn incomplete_request(
     #[values(Part::Head, Part::Body)] part: Part,
-    // After the signal; at the later time the entry takes no request that could outlast it.
-    #[values(0, 1600)] begins_ms: u64,
-    // Whether more of it comes, a byte at a time, to the end.
-    #[values(false, true)] trickles: bool,
+    // Time after the signal. At 1600 ms the entry accepts no request that could outlast it.
+    #[values(0, 1600)] starts_after_ms: u64,
+    // Whether the rest is sent a byte at a time, until the process ends.
+    #[values(false, true)] sends_rest: bool,
 ) {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[]).await;
@@ -73,9 +74,9 @@
     let mut stream = TcpStream::connect(entry.callers()).await.unwrap();
     let (first, rest) = part.split();
     let sending = async {
-        tokio::time::sleep(Duration::from_millis(begins_ms)).await;
+        tokio::time::sleep(Duration::from_millis(starts_after_ms)).await;
         stream.write_all(first.as_bytes()).await.unwrap();
-        for byte in rest.bytes().filter(|_| trickles) {
+        for byte in rest.bytes().filter(|_| sends_rest) {
             tokio::time::sleep(Duration::from_millis(40)).await;
             if stream.write_all(&[byte]).await.is_err() {
                 break;
@@ -87,12 +88,12 @@
         () = entry.shutdown() => {}
         () = sending => {}
     }
-    // The process ends now; what is on its way to the caller still arrives.
+    // The process ends here; data that it has sent still reaches the caller.
     let answer = tokio::time::timeout(Duration::from_millis(50), read(&mut stream)).await;
     let answer = answer.expect("the process ends without an answer");
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.is_whole, "{answer:?}");
     assert!(answer.header("retry-after").is_some(), "{answer:?}");
     assert_eq!(answer.header("connection"), Some("close"), "{answer:?}");
-    assert_eq!(upstream.seen(), Vec::<String>::new(), "it was run");
+    assert_eq!(upstream.seen(), Vec::<String>::new(), "the request was run");
 }
--- a/crates/direct/tests/restart.rs
+++ b/crates/direct/tests/restart.rs
@@ -1,4 +1,4 @@
-//! An upstream that starts again under its old id.
+//! An upstream that restarts with the same id.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -14,7 +14,7 @@
 
 const MODEL: &str = "epitaph";
 
-/// Returns the record of the start `started`, with weights of version 3.
+/// Returns the record of an upstream that started at `started`, with weights of version 3.
 fn record(started: u64) -> Upstream {
     let mut upstream = registered("a", SocketAddr::from(([10, 0, 0, 1], 80)));
     upstream.started = started;
@@ -40,7 +40,7 @@
     fleet.choose(&ask, Instant::now())
 }
 
-fn word(started: u64, version: Option<u64>) -> LoadStatus {
+fn report(started: u64, version: Option<u64>) -> LoadStatus {
     LoadStatus {
         started,
         version,
@@ -49,13 +49,13 @@
     }
 }
 
-fn hear(fleet: &mut Upstreams, word: &LoadStatus) -> bool {
+fn merge(fleet: &mut Upstreams, report: &LoadStatus) -> bool {
     let ip = SocketAddr::from(([10, 0, 0, 1], 80)).ip();
-    fleet.status(ip, word, None, Instant::now())
+    fleet.status(ip, report, None, Instant::now())
 }
 
 #[rstest]
-fn counts_end() {
+fn restart_resets_counts() {
     let mut fleet = fleet(100);
     let start = fleet.started("a", 50);
     assert_eq!(choose(&mut fleet).unwrap().in_flight, 1);
@@ -66,14 +66,17 @@
     fleet.begun("a", start, 50);
     fleet.finished("a", start);
     let pick = choose(&mut fleet).unwrap();
-    assert_eq!(pick.in_flight, 1, "what ended was sent before the restart");
+    assert_eq!(
+        pick.in_flight, 1,
+        "the request that ended was sent before the restart"
+    );
     assert_eq!(pick.started, 200);
 }
 
 #[rstest]
-fn weights_end() {
+fn restart_drops_weights() {
     let mut fleet = fleet(100);
-    assert!(hear(&mut fleet, &word(100, Some(3))));
+    assert!(merge(&mut fleet, &report(100, Some(3))));
     let mut empty = record(200);
     empty.models.clear();
     fleet.update(empty);
@@ -81,30 +84,33 @@
 }
 
 #[rstest]
-fn agent_hears_first() {
+fn agent_reports_restart_first() {
     let mut fleet = fleet(100);
     fleet.started("a", 0);
-    assert!(hear(&mut fleet, &word(200, None)));
+    assert!(merge(&mut fleet, &report(200, None)));
     assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
-    assert!(!fleet.update(record(100)), "the record is from before");
+    assert!(
+        !fleet.update(record(100)),
+        "the record is from before the restart"
+    );
     assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
 }
 
 #[rstest]
-fn late_word() {
+fn late_report_is_ignored() {
     let mut fleet = fleet(200);
-    assert!(!hear(&mut fleet, &word(100, Some(2))));
+    assert!(!merge(&mut fleet, &report(100, Some(2))));
     let pick = choose(&mut fleet).unwrap();
     assert_eq!((pick.version, pick.in_flight), (Some(3), 0));
 }
 
 #[rstest]
-fn failures_end() {
+fn restart_ends_ejection() {
     let mut fleet = fleet(100);
     for _ in 0..3 {
         fleet.failed("a", Instant::now());
     }
-    assert!(choose(&mut fleet).is_err(), "it is passed over");
+    assert!(choose(&mut fleet).is_err(), "the upstream is ejected");
     fleet.update(record(200));
     assert!(choose(&mut fleet).is_ok());
 }
--- a/crates/direct/tests/session.rs
+++ b/crates/direct/tests/session.rs
@@ -1,4 +1,4 @@
-//! A whole session of one service, as a person would read it: what an entry hears, what it chooses.
+//! A session of one service as a readable transcript: the reports that an entry gets, and what it chooses.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -19,7 +19,7 @@
     gap: None,
 };
 
-/// An entry's upstreams, and the transcript of what was told and chosen.
+/// The upstreams of an entry, and the transcript of reports and choices.
 struct Session {
     fleet: Upstreams,
     start: Instant,
@@ -54,7 +54,7 @@
         writeln!(self.text, "{:>5} ms  {line}", self.at.as_millis()).unwrap();
     }
 
-    /// An upstream tells of itself in the registry.
+    /// An upstream registers itself in the registry.
     fn registers(&mut self, host: u8, place: &str, version: Option<u64>, state: UpstreamState) {
         let id = format!("e{host}");
         let models = version.map(|version| LoadedModel {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// An agent tells of its engine.
+    /// An agent reports the load of its engine.
     fn agent(&mut self, host: u8, version: Option<u64>, running: u32, is_switching: bool) {
         let closed = if is_switching { ", closed" } else { "" };
         self.line(&format!(
@@ -93,11 +93,11 @@
         self.fleet.status(ip, &status, trip, self.now());
     }
 
-    /// A request with a prompt of `tokens` comes.
+    /// A request with a prompt of `tokens` arrives.
     fn request(&mut self, tokens: u32, least: Option<u64>, tried: &[&str]) {
         let tried: BTreeSet<String> = tried.iter().map(|id| (*id).to_owned()).collect();
         let engine = common::engine_model();
-        let ask = Ask {
+        let needs = Ask {
             model: Some(MODEL),
             least_version: least,
             tried,
@@ -107,10 +107,10 @@
             heard_since: None,
         };
         let now = self.now();
-        match self.fleet.choose(&ask, now) {
+        match self.fleet.choose(&needs, now) {
             Ok(pick) => {
                 self.fleet.started(&pick.id, tokens);
-                let known = format!("{} there by {}", pick.in_flight, pick.source);
+                let known = format!("{} in flight by {}", pick.in_flight, pick.source);
                 let version = pick.version.unwrap();
                 self.line(&format!(
                     "request -> {} on weights {version} ({known})",
@@ -122,10 +122,10 @@
     }
 
     /// An attempt ends without an answer.
-    fn ends(&mut self, id: &str, ending: Ending, sent: u32) {
+    fn attempt_ends(&mut self, id: &str, ending: Ending, sent: u32) {
         self.fleet.finished(id, 0);
         let now = self.now();
-        let shun = self.fleet.failed(id, now);
+        let ejection = self.fleet.failed(id, now);
         let next = next_step(Attempt {
             kind: STREAM,
             ending,
@@ -135,8 +135,10 @@
             may_have_run: ending == Ending::Lost,
             has_time: true,
         });
-        let shunned = shun.map_or(String::new(), |shun| format!(", passed over for {shun:?}"));
-        self.line(&format!("attempt at {id} {ending}: {next}{shunned}"));
+        let ejected = ejection.map_or(String::new(), |ejection| {
+            format!(", ejected for {ejection:?}")
+        });
+        self.line(&format!("attempt at {id} {ending}: {next}{ejected}"));
     }
 }
 
@@ -150,7 +152,7 @@
     for _ in 0..3 {
         s.request(900, None, &[]);
     }
-    s.line("the home engine has much to read, the new one nothing loaded");
+    s.line("the local engine has a long prefill queue, the new one holds no weights");
     s.request(4000, None, &[]);
     s.wait(100);
     s.agent(1, Some(1), 3, false);
@@ -163,10 +165,10 @@
     s.agent(2, Some(2), 0, false);
     s.request(900, Some(2), &[]);
     s.line("e1 breaks two streams");
-    s.ends("e1", Ending::Lost, 1);
-    s.ends("e1", Ending::Lost, 1);
+    s.attempt_ends("e1", Ending::Lost, 1);
+    s.attempt_ends("e1", Ending::Lost, 1);
     s.request(900, Some(2), &["e1"]);
-    s.line("e2 leaves");
+    s.line("e2 drains");
     s.registers(2, "quito-hall", Some(2), UpstreamState::Draining);
     s.request(900, Some(2), &["e1"]);
     s.request(900, None, &["e1"]);
--- a/crates/direct/tests/leaving.rs
+++ b/crates/direct/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! An entry that leaves takes what it can answer, and refuses the rest at once.
+//! An entry that shuts down accepts the requests that it can answer in time, and refuses others at once.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -13,27 +13,28 @@
 use wagtailreel_direct::DirectEntry;
 use wagtailreel_standins::RegistryStandin;
 
-/// Sends a request that is given up after `deadline_ms`.
-async fn within(addr: SocketAddr, path: &str, deadline_ms: &str) -> Answer {
+/// Sends a request with a deadline of `deadline_ms`.
+async fn get_with_deadline(addr: SocketAddr, path: &str, deadline_ms: &str) -> Answer {
     let headers = [("x-id", "r1"), ("x-key", "k1"), ("x-deadline", deadline_ms)];
     get(addr, path, &headers).await
 }
 
-/// Starts an entry, and an order at it to which no answer comes.
-async fn entry_with_order() -> (DirectEntry<TestDialect>, JoinHandle<Answer>) {
+/// Starts an entry, and sends it an order that the upstream does not answer.
+async fn entry_with_open_order() -> (DirectEntry<TestDialect>, JoinHandle<Answer>) {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[Act::NoAnswer]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let callers = entry.callers();
-    let order = tokio::spawn(async move { within(callers, "/order/1", "5000").await });
+    let order = tokio::spawn(async move { get_with_deadline(callers, "/order/1", "5000").await });
     upstream.until_seen(1).await;
     (entry, order)
 }
 
-/// Repeats a long request until it is refused because the entry leaves; all before are answered.
-async fn until_leaving(addr: SocketAddr) -> Answer {
+/// Repeats a request with a long deadline until it is refused because the entry shuts down. All requests
+/// before it are answered.
+async fn until_refused_as_leaving(addr: SocketAddr) -> Answer {
     loop {
-        let answer = within(addr, "/read/1", "5000").await;
+        let answer = get_with_deadline(addr, "/read/1", "5000").await;
         if answer.body.contains("leaving") {
             return answer;
         }
@@ -41,53 +42,61 @@
     }
 }
 
-/// The balancer goes on sending callers where most entries leave at once.
+/// Guards against refusals of short requests during a shutdown. If most entries shut down at once, the
+/// balancer goes on sending callers to all of them.
 #[tokio::test]
-async fn short_request() {
+async fn short_request_is_answered() {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[Act::Events(1, 1), Act::EventsThenStall(1, 1)]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     let callers = entry.callers();
-    // Kept by a stream from before the signal, so that the entry doesn't end sooner.
-    assert_eq!(within(callers, "/stream/1", "5000").await.status, 200);
-    let stream = tokio::spawn(async move { within(callers, "/stream/2", "1800").await });
+    // A stream from before the signal keeps the entry from ending sooner.
+    assert_eq!(
+        get_with_deadline(callers, "/stream/1", "5000").await.status,
+        200
+    );
+    let stream = tokio::spawn(async move { get_with_deadline(callers, "/stream/2", "1800").await });
     upstream.until_seen(2).await;
     let shutdown = tokio::spawn(entry.shutdown());
-    let refused = until_leaving(callers).await;
+    let refused = until_refused_as_leaving(callers).await;
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("connection"), Some("close"));
     let pause: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     assert!(pause < 0.1, "another entry serves it at once: {pause}");
-    assert_eq!(within(callers, "/read/1", "100").await.status, 200);
+    assert_eq!(
+        get_with_deadline(callers, "/read/1", "100").await.status,
+        200
+    );
     shutdown.await.unwrap();
     let _ = stream.await.unwrap();
 }
 
-/// The grace is kept, whatever callers do with their connections.
+/// Guards against an entry that outlasts its grace period because a caller keeps its request open.
 #[tokio::test]
-async fn grace() {
-    let (entry, order) = entry_with_order().await;
+async fn grace_period_is_kept() {
+    let (entry, order) = entry_with_open_order().await;
     let since = Instant::now();
     entry.shutdown().await;
-    // The tests' entries have a grace of 2 s.
+    // The entries of the tests have a grace period of 2 s.
     assert!(since.elapsed() < Duration::from_secs(4));
     order.abort();
 }
 
-/// A stream that could be cut off in its middle is refused at once, also while the balancer sends callers.
+/// Guards against a stream that is cut off by the end of the process. The entry refuses it at once, also
+/// while the balancer still sends callers.
 #[tokio::test]
-async fn long_stream() {
-    let (entry, order) = entry_with_order().await;
+async fn long_stream_is_refused() {
+    let (entry, order) = entry_with_open_order().await;
     let callers = entry.callers();
     let shutdown = tokio::spawn(entry.shutdown());
     let refused = loop {
-        let answer = within(callers, "/stream/1", "5000").await;
+        let answer = get_with_deadline(callers, "/stream/1", "5000").await;
         if answer.status == 503 {
             break answer;
         }
     };
     assert!(refused.body.contains("leaving"), "{refused:?}");
-    let taken = within(callers, "/read/1", "5000").await;
+    let taken = get_with_deadline(callers, "/read/1", "5000").await;
     assert_eq!(
         taken.status, 200,
         "the balancer has not noticed yet: {taken:?}"
--- a/crates/direct/tests/stood_still.rs
+++ b/crates/direct/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! What callers get from an entry that stood still while its grace ended.
+//! Answers to callers of an entry that was suspended while its grace period ended.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -17,26 +17,27 @@
 use wagtailreel_direct::DirectEntry;
 use wagtailreel_standins::RegistryStandin;
 
-/// The grace of the tests' entries.
-const GRACE: Duration = Duration::from_secs(2);
+/// Grace period of the entries of these tests.
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Time after the grace at which whoever started the process kills it.
-const KILLED_AFTER: Duration = Duration::from_millis(600);
+/// Time after the grace period at which the process would be killed.
+const KILL_DELAY: Duration = Duration::from_millis(600);
 
-/// Callers at once: more than a process serves in one turn.
+/// Number of concurrent callers: more than the runtime serves in one turn.
 const CALLERS: usize = 100;
 
-/// A request that keeps its connection.
-const KEPT: &str = "GET /read/1 HTTP/1.1\r\nhost: shop.example\r\n\
+/// A request that keeps its connection open.
+const KEEP_ALIVE_REQUEST: &str = "GET /read/1 HTTP/1.1\r\nhost: shop.example\r\n\
                     x-id: r0\r\nx-key: k1\r\nx-deadline: 5000\r\n\r\n";
 
-/// How much of a request is sent in all.
+/// How much of a request is sent.
 #[derive(Clone, Copy, Debug)]
 enum Part {
+    /// All of it.
     Whole,
-    /// Its head breaks off.
+    /// A part of its head.
     Head,
-    /// Its head is whole, its body is not.
+    /// Its head and a part of its body.
     Body,
 }
 
@@ -57,21 +58,25 @@
 /// When a caller opens its connection.
 #[derive(Clone, Copy, Debug)]
 enum Opened {
-    /// Before the entry leaves, and a request was answered on it.
-    Before,
-    /// While the entry stands still.
-    Meanwhile,
+    /// Before the entry shuts down, and a request was answered on it.
+    BeforeShutdown,
+    /// While the entry is suspended.
+    WhileSuspended,
 }
 
-/// A process has one runtime, and all that it has open ends with it.
-fn process() -> Runtime {
+/// Returns a runtime that stands for the process of the entry: dropping it closes all connections of the
+/// entry.
+fn runtime() -> Runtime {
     Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-/// Opens a connection, on which a request is answered.
+/// Opens a connection and waits until a request was answered on it.
 async fn kept_connection(addr: SocketAddr) -> TcpStream {
     let mut stream = tokio::net::TcpStream::connect(addr).await.unwrap();
-    stream.write_all(KEPT.as_bytes()).await.unwrap();
+    stream
+        .write_all(KEEP_ALIVE_REQUEST.as_bytes())
+        .await
+        .unwrap();
     let mut got = Vec::new();
     while !parse(&String::from_utf8_lossy(&got)).is_whole {
         assert_ne!(stream.read_buf(&mut got).await.unwrap(), 0, "{got:?}");
@@ -81,14 +86,14 @@
     stream
 }
 
-/// Holds up the only thread until `until`.
-fn stand_still(until: Instant) {
+/// Blocks the only thread of the runtime until `until`.
+fn suspend_until(until: Instant) {
     while let Some(left) = until.checked_duration_since(Instant::now()) {
         std::thread::sleep(left);
     }
 }
 
-/// Opens [`CALLERS`] connections.
+/// Opens [`CALLERS`] connections on which a request was answered.
 async fn kept_connections(addr: SocketAddr) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for _ in 0..CALLERS {
@@ -97,21 +102,21 @@
     streams
 }
 
-/// Waits until the entry closes an idle connection, which it does as its last moment begins.
-async fn until_ended(idle: TcpStream) {
+/// Waits until the entry closes an idle connection, which it does in the last phase of its shutdown.
+async fn until_idle_closed(idle: TcpStream) {
     idle.set_nonblocking(true).unwrap();
     let mut idle = tokio::net::TcpStream::from_std(idle).unwrap();
     assert_eq!(idle.read(&mut [0]).await.unwrap(), 0);
 }
 
-/// Sends `text` on each connection; the kernel takes it.
+/// Sends `text` on each connection, into the receive buffers of the entry.
 fn send(streams: &mut [TcpStream], text: &str) {
     for stream in streams {
         stream.write_all(text.as_bytes()).unwrap();
     }
 }
 
-/// Reads what a process that has ended left on the way, which is a whole refusal for each caller.
+/// Checks that each caller gets a complete refusal from a process that has ended.
 fn assert_refused(streams: Vec<TcpStream>) {
     for (number, mut stream) in streams.into_iter().enumerate() {
         let mut got = Vec::new();
@@ -126,78 +131,80 @@
 }
 
 /// Starts an entry with one upstream.
-async fn started() -> (RegistryStandin, TestUpstream, DirectEntry<TestDialect>) {
+async fn start_entry() -> (RegistryStandin, TestUpstream, DirectEntry<TestDialect>) {
     let registry = RegistryStandin::default();
     let upstream = TestUpstream::start(&[]).await;
     let entry = ready_entry(&registry, &[("a", upstream.addr)]).await;
     (registry, upstream, entry)
 }
 
-/// Tells an entry to end; returns the task that ends it, and when its grace is over.
-async fn told_to_end(entry: DirectEntry<TestDialect>) -> (JoinHandle<()>, Instant) {
+/// Starts the shutdown of an entry. Returns its task, and the end of the grace period.
+async fn start_shutdown(entry: DirectEntry<TestDialect>) -> (JoinHandle<()>, Instant) {
     let status = entry.status();
     let shutdown = tokio::spawn(entry.shutdown());
     until_status(status, "/readyz", 503).await;
-    (shutdown, Instant::now() + GRACE)
+    (shutdown, Instant::now() + GRACE_PERIOD)
 }
 
-/// Ends the process, and checks what callers got.
-fn assert_ended(process: Runtime, streams: Vec<TcpStream>, after: Duration) {
-    drop(process);
+/// Ends the process, and checks that each caller got a refusal and that the process ended in time.
+fn assert_process_end(runtime: Runtime, streams: Vec<TcpStream>, after: Duration) {
+    drop(runtime);
     assert_refused(streams);
-    assert!(after < KILLED_AFTER, "ended {after:?} after its grace");
+    assert!(after < KILL_DELAY, "ended {after:?} after its grace period");
 }
 
-/// What has come by the time that the process wakes is read and refused before it ends.
+/// Guards against requests that get no answer because they arrived while the process was suspended, until the
+/// end of its grace period. The entry reads and refuses them before the process ends.
 #[rstest]
-fn as_the_grace_ended(
+fn suspended_until_grace_end(
     #[values(Part::Whole, Part::Head, Part::Body)] part: Part,
-    #[values(Opened::Before, Opened::Meanwhile)] opened: Opened,
+    #[values(Opened::BeforeShutdown, Opened::WhileSuspended)] opened: Opened,
 ) {
-    let process = process();
-    let (streams, after) = process.block_on(async {
-        let (_registry, upstream, entry) = started().await;
+    let runtime = runtime();
+    let (streams, after) = runtime.block_on(async {
+        let (_registry, upstream, entry) = start_entry().await;
         let callers = entry.callers();
         let kept = kept_connections(callers).await;
         let ran = upstream.seen().len();
-        let (shutdown, until) = told_to_end(entry).await;
+        let (shutdown, until) = start_shutdown(entry).await;
         let mut streams = match opened {
-            Opened::Before => kept,
-            Opened::Meanwhile => (0..CALLERS)
+            Opened::BeforeShutdown => kept,
+            Opened::WhileSuspended => (0..CALLERS)
                 .map(|_| TcpStream::connect(callers).unwrap())
                 .collect(),
         };
         send(&mut streams, &part.text());
-        stand_still(until);
+        suspend_until(until);
         shutdown.await.unwrap();
-        assert_eq!(upstream.seen().len(), ran, "one was run");
+        assert_eq!(upstream.seen().len(), ran, "a request was run");
         (streams, until.elapsed())
     });
-    assert_ended(process, streams, after);
+    assert_process_end(runtime, streams, after);
 }
 
-/// A head that is not whole as the last moment begins is refused, or read with its rest, also where the process
-/// stands still for all of the moment.
+/// Guards against a missing answer to a request whose head is incomplete as the last phase of the shutdown
+/// begins, if the process is suspended for all of that phase. The entry refuses the request, whether the rest
+/// of its head arrives or not.
 #[rstest]
-fn in_the_last_moment(#[values(false, true)] becomes_whole: bool) {
-    let process = process();
-    let (streams, after) = process.block_on(async {
-        let (_registry, upstream, entry) = started().await;
+fn incomplete_head_at_grace_end(#[values(false, true)] sends_rest: bool) {
+    let runtime = runtime();
+    let (streams, after) = runtime.block_on(async {
+        let (_registry, upstream, entry) = start_entry().await;
         let callers = entry.callers();
         let mut streams = kept_connections(callers).await;
         let idle = kept_connection(callers).await;
         let ran = upstream.seen().len();
-        let (shutdown, until) = told_to_end(entry).await;
-        let (first, rest) = KEPT.split_at(34);
+        let (shutdown, until) = start_shutdown(entry).await;
+        let (first, rest) = KEEP_ALIVE_REQUEST.split_at(34);
         send(&mut streams, first);
-        until_ended(idle).await;
-        if becomes_whole {
+        until_idle_closed(idle).await;
+        if sends_rest {
             send(&mut streams, rest);
         }
-        stand_still(until);
+        suspend_until(until);
         shutdown.await.unwrap();
-        assert_eq!(upstream.seen().len(), ran, "one was run");
+        assert_eq!(upstream.seen().len(), ran, "a request was run");
         (streams, until.elapsed())
     });
-    assert_ended(process, streams, after);
+    assert_process_end(runtime, streams, after);
 }
