--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -19,7 +19,7 @@
 use crate::response::UpstreamResponse;
 use crate::shared::Shared;
 
-/// Time-out of an idle connection, and of reading a request head, before a configuration is in force.
+/// Timeout of an idle connection, and of reading a request head, before a configuration is in force.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Maximum size of a request head before a configuration is in force.
@@ -28,7 +28,7 @@
 /// Maximum size of a request body before a configuration is in force.
 const DEFAULT_BODY_BYTES: usize = 4 << 20;
 
-/// Time for which an idle connection is kept beyond the configured time-out. A request that arrives while the
+/// Time for which an idle connection is kept beyond the configured timeout. A request that arrives while the
 /// connection is closed is lost.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -28,12 +28,12 @@
 /// Keep-alive time of an idle connection if the upstream announces none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
-/// Time before the upstream's keep-alive time-out at which the entry stops reusing a connection. Of a request
+/// Time before the upstream's keep-alive timeout at which the entry stops reusing a connection. Of a request
 /// that is sent while the upstream closes the connection, the entry can't tell whether it ran.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Longest idle time of a connection that is reused for a non-idempotent request.
-const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(300);
+const MAX_IDLE_TIME_NON_REPEATABLE: Duration = Duration::from_millis(300);
 
 /// Maximum number of idle connections for each upstream. An engine runs 16 requests at once.
 const MAX_IDLE_PER_UPSTREAM: usize = 16;
@@ -168,7 +168,8 @@
         let mut idle = self.lock();
         let kept = idle.get_mut(&addr)?;
         while let Some(last) = kept.pop() {
-            let is_fresh = now.saturating_duration_since(last.since) <= MAX_IDLE_NON_REPEATABLE;
+            let is_fresh =
+                now.saturating_duration_since(last.since) <= MAX_IDLE_TIME_NON_REPEATABLE;
             let is_usable =
                 last.until > now && !last.conn.sender.is_closed() && last.conn.start == start;
             if is_usable && (repeatable || is_fresh) {
--- a/crates/direct/src/request_log.rs
+++ b/crates/direct/src/request_log.rs
@@ -124,7 +124,7 @@
         taken
     }
 
-    /// Makes the drop write nothing, and counts the request as no longer open.
+    /// Counts the request as no longer open, and keeps its drop from logging it.
     pub(crate) fn disarm(&mut self) {
         self.is_armed = false;
         self.metrics.open.dec();
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -32,8 +32,8 @@
 /// Which requests an entry still accepts while it shuts down.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    /// Until then the entry accepts every request other than a stream, which can get its final answer at any
-    /// time: the balancer may not have noticed the shutdown yet.
+    /// Until then the entry accepts every request that is no stream, since the balancer may not have noticed
+    /// the shutdown yet. Such a request can be given a final answer at any time.
     accepts_all_until: Instant,
     /// The entry accepts any other request only if its answer is complete before this.
     ends_at: Instant,
