--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -83,23 +83,23 @@
 /// Maximum number of ports chosen by the system that are tried.
 const MAX_PORT_TRIES: u32 = 8;
 
-/// An entry can't start.
+/// Reasons why an entry can't start.
 #[derive(Debug, Snafu)]
 pub enum DirectError {
     /// An address can't be used.
     #[snafu(display("{setting}: can't listen on {addr} ({source}): choose a free address"))]
     Listen {
-        /// The address.
+        /// The address that can't be used.
         addr: SocketAddr,
         /// The setting that names it.
         setting: &'static str,
-        /// What the system says.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// The metrics can't be registered.
     #[snafu(display("the metrics can't be registered ({source}): report this as a bug"))]
     Metrics {
-        /// What the library says.
+        /// The error of the library.
         source: prometheus::Error,
     },
 }
