--- a/crates/direct/src/answered.rs
+++ b/crates/direct/src/answered.rs
@@ -8,7 +8,7 @@
 
 use crate::attempt::{AttemptOutcome, Call, MIN_TIME_FOR_RETRY};
 use crate::dialect::Dialect;
-use crate::live::Live;
+use crate::response::UpstreamResponse;
 
 impl<D> Call<D>
 where
@@ -18,46 +18,46 @@
     /// upstream.
     pub(crate) fn on_answer_head(
         &mut self,
-        live: Live,
+        resp: UpstreamResponse,
         may_have_run_before: bool,
     ) -> AttemptOutcome {
         let now = Instant::now();
-        let is_same_request = live
-            .marks
+        let is_same_request = resp
+            .meta
             .id
             .as_ref()
             .is_none_or(|id| *id == self.admitted.id);
         if !is_same_request {
             return AttemptOutcome::Ended(Ending::Lost, "answers-another-request");
         }
-        self.record_limit(&live);
-        let id = live.upstream();
-        if let Some(load) = live.marks.load {
+        self.record_limit(&resp);
+        let id = resp.upstream();
+        if let Some(load) = resp.meta.load {
             let total = load.running.saturating_add(load.waiting);
             self.service.upstreams().load(id, total, now);
         }
-        if live.marks.not_run {
+        if resp.meta.not_run {
             self.may_have_run = may_have_run_before;
             let mut upstreams = self.service.upstreams();
-            if live.marks.misdirected {
+            if resp.meta.misdirected {
                 upstreams.misdirected(id, now);
                 return AttemptOutcome::Ended(Ending::NotRun, "another-instance-or-weights");
             }
             upstreams.full(id, now);
             return AttemptOutcome::Ended(Ending::NotRun, "refused");
         }
-        if live.head.status.is_server_error() && self.admitted.route.kind == RouteKind::Idempotent {
-            return self.on_server_error(live);
+        if resp.head.status.is_server_error() && self.admitted.route.kind == RouteKind::Idempotent {
+            return self.on_server_error(resp);
         }
-        if live.head.status != StatusCode::INTERNAL_SERVER_ERROR {
+        if resp.head.status != StatusCode::INTERNAL_SERVER_ERROR {
             self.service.upstreams().answered(id);
         }
-        AttemptOutcome::Answer(Box::new(live))
+        AttemptOutcome::Answer(Box::new(resp))
     }
 
     /// Handles a server error: the request is repeated if that is possible, else the caller gets the error.
-    fn on_server_error(&mut self, live: Live) -> AttemptOutcome {
-        let id = live.upstream().to_owned();
+    fn on_server_error(&mut self, resp: UpstreamResponse) -> AttemptOutcome {
+        let id = resp.upstream().to_owned();
         let left = self
             .admitted
             .deadline
@@ -69,6 +69,6 @@
             return AttemptOutcome::Ended(Ending::Failed, "own-failure");
         }
         self.record_failure(&id, Ending::Failed, Instant::now());
-        AttemptOutcome::Answer(Box::new(live))
+        AttemptOutcome::Answer(Box::new(resp))
     }
 }
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -13,10 +13,10 @@
 use crate::admit::Admitted;
 use crate::dialect::{Dialect, Dispatch};
 use crate::events;
-use crate::live::{Lease, Live};
 use crate::lost::Probe;
 use crate::pool::{Connection, SendError};
 use crate::refusal::Refusal;
+use crate::response::{Lease, UpstreamResponse};
 use crate::shared::Shared;
 use crate::view::Service;
 use wagtailreel_route::direct::{Attempt, Ending, Next, next_step};
@@ -95,14 +95,17 @@
     /// # Errors
     ///
     /// Returns the refusal to send to the caller.
-    pub(crate) async fn obtain(&mut self, last_event: Option<u64>) -> Result<Live, Refusal> {
+    pub(crate) async fn obtain(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<UpstreamResponse, Refusal> {
         loop {
             self.check_quarantine()?;
             let pick = self.choose_next().await?;
             self.last_pick = Some(pick.clone());
             let (ending, why) = match self.connect(&pick).await {
                 Ok(conn) => match self.send(&pick, conn, last_event).await {
-                    AttemptOutcome::Answer(live) => return Ok(*live),
+                    AttemptOutcome::Answer(resp) => return Ok(*resp),
                     AttemptOutcome::Ended(ending, why) => (ending, why),
                 },
                 Err(ending) => (ending, "no-connection"),
@@ -207,7 +210,11 @@
     async fn connect(&mut self, pick: &Pick) -> Result<Connection, Ending> {
         self.tried.insert(pick.id.clone());
         let repeatable = self.admitted.route.kind.repeatable();
-        if let Some(conn) = self.service.pool.take(pick.addr, pick.started, repeatable) {
+        if let Some(conn) = self
+            .service
+            .pool
+            .check_out(pick.addr, pick.started, repeatable)
+        {
             return Ok(conn);
         }
         let opened = Connection::open(pick.addr, pick.started).await;
@@ -248,15 +255,15 @@
             Err(Abandoned::Quarantined) => return AttemptOutcome::Ended(Ending::Lost, QUARANTINED),
         };
         let (head, body) = response.into_parts();
-        let marks = self.cx.dialect.answer(head.status, &head.headers);
-        let live = Live {
+        let meta = self.cx.dialect.answer(head.status, &head.headers);
+        let resp = UpstreamResponse {
             head,
             body,
-            marks,
+            meta,
             conn,
             lease,
         };
-        self.on_answer_head(live, may_have_run_before)
+        self.on_answer_head(resp, may_have_run_before)
     }
 
     /// Records how long the first event of an attempt took.
@@ -368,7 +375,7 @@
 /// Outcome of an attempt that had a connection.
 pub(crate) enum AttemptOutcome {
     /// The upstream answered.
-    Answer(Box<Live>),
+    Answer(Box<UpstreamResponse>),
     /// No answer came; with the reason for the log.
     Ended(Ending, &'static str),
 }
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -71,10 +71,10 @@
                 if is_remote_round {
                     // Drops agents that no longer exist; the loop below adds the others again.
                     known.clear();
-                    seed.ask_seeds();
+                    seed.query_seeds();
                 }
                 if round.is_multiple_of(ROUNDS_PER_REPEATED_RELAY) {
-                    seed.relay_again();
+                    seed.resend_recent();
                 }
                 let remote = is_remote_round.then_some(remote_load.as_ref());
                 let engines = engine_agents(&view, &home, remote);
@@ -94,15 +94,15 @@
                 let status = match Datagram::from_bytes(&buf[..len]) {
                     Ok(Datagram::Status(status)) => status,
                     Ok(Datagram::Ended(reports)) => {
-                        seed.take_accounts(&reports, from);
+                        seed.handle_crash_reports(&reports, from);
                         continue;
                     }
                     Ok(Datagram::Query(_)) => {
-                        seed.take_query(from);
+                        seed.handle_query(from);
                         continue;
                     }
                     Ok(Datagram::AskPermit(req)) => {
-                        seed.give_permit(&req, from);
+                        seed.issue_permit(&req, from);
                         continue;
                     }
                     Ok(Datagram::Permit(permit)) => {
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -12,9 +12,9 @@
 use crate::attempt::{Call, STALLED};
 use crate::dialect::Dialect;
 use crate::event_splitter::{EventSplitter, Split};
-use crate::live::Live;
 use crate::refusal::Refusal;
-use crate::tally::Tally;
+use crate::request_log::RequestLog;
+use crate::response::UpstreamResponse;
 use wagtailreel_route::direct::{Ending, Next};
 
 /// Maximum body that is buffered before it is relayed, for answers that are not streams. If a buffered body
@@ -33,28 +33,28 @@
     /// The complete body.
     Whole(Bytes),
     /// The body is too long to be buffered: its first part, and the answer with the rest.
-    Long(Bytes, Box<Live>),
+    Long(Bytes, Box<UpstreamResponse>),
     /// The body of the upstream with this id broke off.
     Broken(String),
 }
 
 /// Buffers the body of an answer, up to the maximum.
-pub(crate) async fn collect(mut live: Live) -> Collected {
+pub(crate) async fn collect(mut resp: UpstreamResponse) -> Collected {
     let mut buf: Vec<u8> = Vec::new();
     loop {
-        match live.body.frame().await {
+        match resp.body.frame().await {
             None => {
-                live.finish();
+                resp.finish();
                 return Collected::Whole(Bytes::from(buf));
             }
-            Some(Err(_)) => return Collected::Broken(live.upstream().to_owned()),
+            Some(Err(_)) => return Collected::Broken(resp.upstream().to_owned()),
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
                 buf.extend_from_slice(&data);
                 if buf.len() > MAX_BUFFERED_BODY {
-                    return Collected::Long(Bytes::from(buf), Box::new(live));
+                    return Collected::Long(Bytes::from(buf), Box::new(resp));
                 }
             }
         }
@@ -75,10 +75,10 @@
 #[derive(Debug)]
 pub(crate) struct Relay<D> {
     call: Call<D>,
-    live: Option<Box<Live>>,
+    resp: Option<Box<UpstreamResponse>>,
     first: Option<Bytes>,
     mode: Mode,
-    tally: Tally,
+    log: RequestLog,
     /// Whether the current upstream has sent an event.
     has_first_event: bool,
 }
@@ -88,26 +88,31 @@
     D: Dialect,
 {
     /// Creates the relay of an event stream.
-    pub(crate) fn events(call: Call<D>, live: Live, tally: Tally) -> Self {
+    pub(crate) fn events(call: Call<D>, resp: UpstreamResponse, log: RequestLog) -> Self {
         let splitter = EventSplitter::new(call.admitted.head.last_event);
         Self {
             call,
-            live: Some(Box::new(live)),
+            resp: Some(Box::new(resp)),
             first: None,
             mode: Mode::Events(splitter),
-            tally,
+            log,
             has_first_event: false,
         }
     }
 
     /// Creates the relay of a long body whose first part `first` was buffered.
-    pub(crate) fn bytes(call: Call<D>, first: Bytes, live: Box<Live>, tally: Tally) -> Self {
+    pub(crate) fn bytes(
+        call: Call<D>,
+        first: Bytes,
+        resp: Box<UpstreamResponse>,
+        log: RequestLog,
+    ) -> Self {
         Self {
             call,
-            live: Some(live),
+            resp: Some(resp),
             first: Some(first),
             mode: Mode::Bytes,
-            tally,
+            log,
             has_first_event: false,
         }
     }
@@ -119,7 +124,7 @@
             match relay.next().await {
                 Ok(Some(data)) => Some((Ok(Frame::data(data)), Some(relay))),
                 Ok(None) => {
-                    relay.tally.done("answered");
+                    relay.log.finish("answered");
                     None
                 }
                 Err(BrokenOff) => Some((Err(BrokenOff), None)),
@@ -138,17 +143,17 @@
                     Some(out) if out.is_empty() => continue,
                     Some(out) => {
                         self.on_event();
-                        self.tally.first_byte();
+                        self.log.first_byte();
                         return Ok(Some(out));
                     }
                     None => "gap",
                 },
                 Read::End if self.is_complete() => {
-                    if let Some(live) = self.live.take() {
-                        if live.is_framed() {
+                    if let Some(resp) = self.resp.take() {
+                        if resp.is_framed() {
                             self.call.finished();
                         }
-                        live.finish();
+                        resp.finish();
                     }
                     return Ok(None);
                 }
@@ -156,7 +161,7 @@
                 Read::Broken => "broken",
                 Read::Stalled => STALLED,
                 Read::TimedOut => {
-                    self.tally.done("timeout");
+                    self.log.finish("timeout");
                     return Err(BrokenOff);
                 }
             };
@@ -169,14 +174,14 @@
         if !std::mem::replace(&mut self.has_first_event, true) {
             self.call.record_first_event();
         }
-        if let Some(live) = &mut self.live {
-            live.lease.begun();
+        if let Some(resp) = &mut self.resp {
+            resp.lease.answer_started();
         }
     }
 
     async fn read(&mut self) -> Read {
         let since = Instant::now();
-        let Some(live) = &mut self.live else {
+        let Some(resp) = &mut self.resp else {
             return Read::Broken;
         };
         let is_repeatable = self.call.admitted.route.kind.repeatable();
@@ -191,7 +196,7 @@
             let Some(wait) = wait.map(|wait| wait.min(left)) else {
                 return Read::Stalled;
             };
-            match tokio::time::timeout(wait, live.body.frame()).await {
+            match tokio::time::timeout(wait, resp.body.frame()).await {
                 Ok(None) => return Read::End,
                 Ok(Some(Ok(frame))) => {
                     let data = frame.into_data().unwrap_or_default();
@@ -210,7 +215,7 @@
             Mode::Bytes => Some(data.clone()),
             Mode::Events(splitter) => match splitter.push(data) {
                 Split::Events(events) => {
-                    self.tally.passed_on(splitter.events());
+                    self.log.set_events(splitter.events());
                     Some(events)
                 }
                 Split::Broken => None,
@@ -227,42 +232,42 @@
 
     /// Resumes the stream at another upstream if the route and the retry budget allow it.
     async fn resume(&mut self, why: &'static str) -> Result<(), BrokenOff> {
-        let Some(live) = self.live.take() else {
+        let Some(resp) = self.resp.take() else {
             return Err(BrokenOff);
         };
-        let upstream = live.upstream().to_owned();
+        let upstream = resp.upstream().to_owned();
         // Ends the work at the lost upstream before another one starts it.
-        drop(live);
+        drop(resp);
         let next = self.call.ended(&upstream, Ending::Lost, why).await;
         let Mode::Events(splitter) = &mut self.mode else {
-            self.tally.done(why);
+            self.log.finish(why);
             return Err(BrokenOff);
         };
         if next != Next::Again {
-            self.tally.done(why);
+            self.log.finish(why);
             return Err(BrokenOff);
         }
         splitter.restart();
         let last = splitter.last();
         match self.obtain(last).await {
-            Ok(live) if live.head.status.is_success() => {
-                self.tally.resumed(live.upstream());
-                self.live = Some(Box::new(live));
+            Ok(resp) if resp.head.status.is_success() => {
+                self.log.resumed(resp.upstream());
+                self.resp = Some(Box::new(resp));
                 self.has_first_event = false;
                 Ok(())
             }
             Ok(_) => {
-                self.tally.done("resume-failed");
+                self.log.finish("resume-failed");
                 Err(BrokenOff)
             }
             Err(refusal) => {
-                self.tally.done_by(refusal);
+                self.log.finish_refused(refusal);
                 Err(BrokenOff)
             }
         }
     }
 
-    async fn obtain(&mut self, last: Option<u64>) -> Result<Live, Refusal> {
+    async fn obtain(&mut self, last: Option<u64>) -> Result<UpstreamResponse, Refusal> {
         let now = Instant::now();
         let left: Duration = self.call.admitted.deadline.saturating_duration_since(now);
         let obtained = tokio::time::timeout(left, self.call.obtain(last)).await;
--- a/crates/direct/src/remote.rs
+++ b/crates/direct/src/remote.rs
@@ -250,7 +250,7 @@
         };
         if before != source {
             let source = source.map_or_else(|| "agents".to_owned(), |it| it.to_string());
-            events::FAR_WORDS.emit(&[
+            events::REMOTE_LOAD_SOURCE.emit(&[
                 ("data_centre", data_centre),
                 ("giver", &source),
                 ("reason", reason),
--- /dev/null
+++ b/crates/direct/src/response.rs
@@ -0,0 +1,90 @@
+//! The response of an upstream, and the lease that counts its request there.
+
+use std::sync::Arc;
+
+use http::header;
+use http::response::Parts;
+use hyper::body::Incoming;
+use wagtailreel_fleet::{UpstreamId, UpstreamStart};
+
+use crate::dialect::AnswerHead;
+use crate::pool::Connection;
+use crate::view::Service;
+
+/// Counts a request as in flight at an upstream until it is dropped.
+#[derive(Debug)]
+pub(crate) struct Lease {
+    service: Arc<Service>,
+    id: UpstreamId,
+    start: UpstreamStart,
+    /// Prompt tokens that the upstream has still to read; 0 once the answer has started.
+    prompt_tokens: u32,
+}
+
+impl Lease {
+    /// Counts a request with a prompt of `prompt_tokens` at the upstream `id`.
+    pub(crate) fn new(service: &Arc<Service>, id: &str, prompt_tokens: u32) -> Self {
+        let start = service.upstreams().started(id, prompt_tokens);
+        Self {
+            service: Arc::clone(service),
+            id: id.to_owned(),
+            start,
+            prompt_tokens,
+        }
+    }
+
+    /// Records that the answer has started, and so that the prompt was read.
+    pub(crate) fn answer_started(&mut self) {
+        let prompt_tokens = std::mem::take(&mut self.prompt_tokens);
+        if prompt_tokens > 0 {
+            self.service
+                .upstreams()
+                .begun(&self.id, self.start, prompt_tokens);
+        }
+    }
+}
+
+impl Drop for Lease {
+    fn drop(&mut self) {
+        self.answer_started();
+        self.service.upstreams().finished(&self.id, self.start);
+    }
+}
+
+/// A response whose head has arrived.
+#[derive(Debug)]
+pub(crate) struct UpstreamResponse {
+    pub(crate) head: Parts,
+    pub(crate) body: Incoming,
+    pub(crate) meta: AnswerHead,
+    pub(crate) conn: Connection,
+    pub(crate) lease: Lease,
+}
+
+impl UpstreamResponse {
+    /// Returns the connection to the pool after the response was read completely.
+    pub(crate) fn finish(self) {
+        self.conn.response_read();
+        let closes = self
+            .head
+            .headers
+            .get(header::CONNECTION)
+            .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
+        if !closes && self.is_framed() {
+            let keep_alive = self.meta.keep_alive;
+            self.lease.service.pool.check_in(self.conn, keep_alive);
+        }
+    }
+
+    /// Returns whether the headers say where the body ends. Otherwise it ends with the connection, and a body
+    /// that was cut off can't be told from a complete one.
+    pub(crate) fn is_framed(&self) -> bool {
+        self.head.headers.contains_key(header::CONTENT_LENGTH)
+            || self.head.headers.contains_key(header::TRANSFER_ENCODING)
+    }
+
+    /// Returns the id of the upstream.
+    pub(crate) fn upstream(&self) -> &str {
+        &self.lease.id
+    }
+}
--- a/crates/direct/src/status_page.rs
+++ b/crates/direct/src/status_page.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! The status listener: readiness for the balancer, and metrics.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 }
 
 async fn ready<D>(State(cx): State<Arc<Shared<D>>>) -> (StatusCode, &'static str) {
-    match cx.unready() {
+    match cx.unready_reason() {
         None => (StatusCode::OK, "ready\n"),
         Some(reason) => (StatusCode::SERVICE_UNAVAILABLE, reason),
     }
@@ -34,7 +34,7 @@
     for topic in [Topic::Settings, Topic::Upstreams] {
         if let Some(age) = cx.view.age(topic) {
             let age = i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
-            let gauge = &cx.metrics.belief_age;
+            let gauge = &cx.metrics.state_age;
             gauge.with_label_values(&[&topic.to_string()]).set(age);
         }
     }
--- a/crates/direct/tests/announcements.rs
+++ b/crates/direct/tests/announcements.rs
@@ -8,7 +8,7 @@
 
 use common::caller::call;
 use common::upstream::{Act, TestUpstream};
-use common::{directory, entry_with_agents, until_status, writer_in};
+use common::{directory, engine_record_in, entry_with_agents, until_status};
 use tokio::net::UdpSocket;
 use wagtailreel_fleet::{Datagram, LoadStatus, Query, Status};
 use wagtailreel_standins::RegistryStandin;
@@ -61,7 +61,7 @@
     let port = socket.local_addr().unwrap().port();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("hall", &upstream));
+    registry.upstream(engine_record_in("hall", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
     until_query(&socket, |query| query.sends_us.is_some()).await;
@@ -76,7 +76,7 @@
     let port = socket.local_addr().unwrap().port();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 1000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("quay", &upstream));
+    registry.upstream(engine_record_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     // The agent has not answered any query yet, so the request goes by the entry's own count.
     until_status(entry.callers(), WRITTEN, 200).await;
@@ -110,7 +110,7 @@
     let port = socket.local_addr().unwrap().port();
     let upstream = TestUpstream::start(&vec![Act::Events(1, 1); 4000]).await;
     registry.config(directory(1));
-    registry.upstream(writer_in("quay", &upstream));
+    registry.upstream(engine_record_in("quay", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     let agent = tokio::spawn(async move {
         loop {
