--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -7,7 +7,7 @@
 
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
-use wagtailreel_fleet::{AskPermit, Datagram, ENDED_A_DATAGRAM, EndedUnder, Permit, Query};
+use wagtailreel_fleet::{Datagram, ENDED_A_DATAGRAM, EndedUnder, Permit, PermitRequest, Query};
 
 use wagtailreel_route::direct::{Limit, Permits};
 
@@ -69,7 +69,7 @@
 
     /// Asks the agent on the VM `ip` for leave to send one request to an upstream that names a limit; returns
     /// how long the upstream has no room yet, or none if the agent does not answer.
-    pub(crate) async fn ask_permit(&self, ip: IpAddr, ask: AskPermit) -> Option<Duration> {
+    pub(crate) async fn ask_permit(&self, ip: IpAddr, ask: PermitRequest) -> Option<Duration> {
         let (tx, rx) = oneshot::channel();
         let nonce = {
             let mut permits = lock(&self.permits);
@@ -78,7 +78,7 @@
             permits.waiting.insert(nonce, tx);
             nonce
         };
-        self.send_datagram(ip, &Datagram::AskPermit(AskPermit { nonce, ..ask }));
+        self.send_datagram(ip, &Datagram::PermitRequest(PermitRequest { nonce, ..ask }));
         let answer = tokio::time::timeout(PERMIT_PATIENCE, rx).await;
         let mut permits = lock(&self.permits);
         permits.waiting.remove(&nonce);
@@ -89,8 +89,8 @@
     }
 
     /// Tells the agent on the VM `ip` that an upstream names no limit any more.
-    pub(crate) fn tell_withdrawn(&self, ip: IpAddr, withdrawn: AskPermit) {
-        self.send_datagram(ip, &Datagram::AskPermit(withdrawn));
+    pub(crate) fn tell_withdrawn(&self, ip: IpAddr, withdrawn: PermitRequest) {
+        self.send_datagram(ip, &Datagram::PermitRequest(withdrawn));
     }
 
     /// Gives a permit out of the entry's own share, where there is no agent to ask; returns how long there is
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-use wagtailreel_fleet::AskPermit;
+use wagtailreel_fleet::PermitRequest;
 use wagtailreel_route::direct::{GIVER_SHARES, Limit, NamedLimit, Pick};
 
 use crate::attempt::Call;
@@ -50,7 +50,7 @@
             return Some(agents.permit_alone(&pick.id, limit, named_at));
         }
         let (place, (ip, share)) = answers?;
-        let ask = AskPermit {
+        let ask = PermitRequest {
             is_stand_in: place > 0,
             ..ask(&pick.id, limit.per_second() * share, named_at)
         };
@@ -62,7 +62,7 @@
         let Some(pick) = &self.last_pick else {
             return;
         };
-        let withdrawn = AskPermit {
+        let withdrawn = PermitRequest {
             is_withdrawn: true,
             ..ask(&pick.id, limit.per_second(), self.sent_at)
         };
@@ -105,9 +105,9 @@
     }
 }
 
-fn ask(id: &str, per_second: f64, at: Instant) -> AskPermit {
+fn ask(id: &str, per_second: f64, at: Instant) -> PermitRequest {
     let age = at.elapsed().as_millis();
-    AskPermit {
+    PermitRequest {
         nonce: 0,
         upstream: id.to_owned(),
         per_second,
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -101,7 +101,7 @@
                         seed.take_query(from);
                         continue;
                     }
-                    Ok(Datagram::AskPermit(ask)) => {
+                    Ok(Datagram::PermitRequest(ask)) => {
                         seed.give_permit(&ask, from);
                         continue;
                     }
--- a/crates/direct/src/seed.rs
+++ b/crates/direct/src/seed.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wagtailreel_fleet::{AskPermit, Datagram, EndedUnder, Query};
+use wagtailreel_fleet::{Datagram, EndedUnder, PermitRequest, Query};
 use wagtailreel_route::direct::Permits;
 
 use crate::agents::Agents;
@@ -75,7 +75,7 @@
     }
 
     /// Answers a question for leave to send a request to an upstream that names a limit.
-    pub(crate) fn give_permit(&mut self, ask: &AskPermit, from: SocketAddr) {
+    pub(crate) fn give_permit(&mut self, ask: &PermitRequest, from: SocketAddr) {
         if let Some(permit) = self.permits.answer(ask, Instant::now()) {
             self.agents.send_to(from, &Datagram::Permit(permit));
         }
--- a/crates/direct/tests/common/agent.rs
+++ b/crates/direct/tests/common/agent.rs
@@ -42,7 +42,7 @@
             }
             let query = match Datagram::from_bytes(&buf[..len]) {
                 Ok(Datagram::Query(query)) => query,
-                Ok(Datagram::AskPermit(ask)) => {
+                Ok(Datagram::PermitRequest(ask)) => {
                     if let Some(permit) = permits.answer(&ask, Instant::now()) {
                         let answer = Datagram::Permit(permit).to_bytes();
                         socket.send_to(&answer, from).await.unwrap();
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -154,7 +154,7 @@
 
 /// A question for leave to send one request to an upstream that names a limit for all entries together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AskPermit {
+pub struct PermitRequest {
     /// Told back in the answer.
     #[serde(rename = "n")]
     pub nonce: u32,
@@ -201,7 +201,7 @@
     Ended(Vec<EndedUnder>),
     /// A question for a permit.
     #[serde(rename = "A")]
-    AskPermit(AskPermit),
+    PermitRequest(PermitRequest),
     /// Its answer.
     #[serde(rename = "P")]
     Permit(Permit),
--- a/crates/route/src/direct/permits.rs
+++ b/crates/route/src/direct/permits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use wagtailreel_fleet::{AskPermit, Permit, UpstreamId};
+use wagtailreel_fleet::{Permit, PermitRequest, UpstreamId};
 
 use super::limit::Limit;
 
@@ -67,7 +67,7 @@
     /// Answers a question for a permit; takes a withdrawal, which wants no answer.
     ///
     /// What names no rate is no question of an entry.
-    pub fn answer(&mut self, ask: &AskPermit, now: Instant) -> Option<Permit> {
+    pub fn answer(&mut self, ask: &PermitRequest, now: Instant) -> Option<Permit> {
         let limit = Limit::new(ask.per_second)?;
         let ago = Duration::from_millis(ask.age_ms.into());
         let at = now.checked_sub(ago).unwrap_or(now);
--- a/crates/route/tests/permits.rs
+++ b/crates/route/tests/permits.rs
@@ -7,7 +7,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use wagtailreel_fleet::{AskPermit, Upstream, UpstreamState};
+use wagtailreel_fleet::{PermitRequest, Upstream, UpstreamState};
 use wagtailreel_route::direct::{
     Ask, GIVER_SHARES, Limit, NamedLimit, Permits, Shortage, Upstreams,
 };
@@ -19,8 +19,8 @@
 }
 
 /// Returns an entry's question about an upstream that named `per_second` so long ago.
-fn ask(per_second: f64, age_ms: u32) -> AskPermit {
-    AskPermit {
+fn ask(per_second: f64, age_ms: u32) -> PermitRequest {
+    PermitRequest {
         nonce: 0,
         upstream: "u".to_owned(),
         per_second,
@@ -80,7 +80,7 @@
             let now = start + at;
             for (place, (share, permits)) in givers.iter_mut().enumerate() {
                 let age_ms = u32::try_from(at.as_millis()).unwrap();
-                let ask = AskPermit {
+                let ask = PermitRequest {
                     is_stand_in: place > 0,
                     ..ask(per_second * *share, age_ms)
                 };
@@ -144,7 +144,7 @@
     let named = start + Duration::from_millis(500);
     permits.ask("u", limit(2.7), named, named);
     let now = start + Duration::from_millis(600);
-    let withdrawal = AskPermit {
+    let withdrawal = PermitRequest {
         is_withdrawn: true,
         ..ask(2.7, 600)
     };
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -9,8 +9,8 @@
 use tokio::time::MissedTickBehavior;
 use wagtailreel_core::first_ranked;
 use wagtailreel_fleet::{
-    AskPermit, BootTime, Datagram, ENDED_A_DATAGRAM, EndedUnder, HeardNaming, HeldChunks,
-    LoadStatus, NamedWeights, Query, Status, WeightsVersion,
+    BootTime, Datagram, ENDED_A_DATAGRAM, EndedUnder, HeardNaming, HeldChunks, LoadStatus,
+    NamedWeights, PermitRequest, Query, Status, WeightsVersion,
 };
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_route::direct::{Permits, Places};
@@ -186,7 +186,7 @@
     }
 
     /// Gives an entry leave to send a request to an upstream that names a limit, or tells when there is room.
-    fn give_permit(&self, ask: &AskPermit, from: SocketAddr) {
+    fn give_permit(&self, ask: &PermitRequest, from: SocketAddr) {
         let mut permits = self.permits.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(permit) = permits.answer(ask, Instant::now()) else {
             return;
@@ -263,7 +263,7 @@
                         let _ = chunks.send(PeerChunks { ip, held });
                     }
                 }
-                Ok(Datagram::AskPermit(ask)) => self.give_permit(&ask, from),
+                Ok(Datagram::PermitRequest(ask)) => self.give_permit(&ask, from),
                 Ok(Datagram::Ended(told)) => {
                     let askers = self.askers.recent(Instant::now());
                     self.tell_of(&self.suspects.hear(&told), &askers);
