--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, HeardNaming, NamedWeights, Topic, WeightsVersion};
+use wagtailreel_fleet::{BootTime, NamedWeights, NamingReport, Topic, WeightsVersion};
 use wagtailreel_route::direct::{Namings, Told};
 
 use super::{View, lock};
@@ -15,7 +15,7 @@
     ///
     /// The age was told after the question, however long the answer took: counted back from the
     /// question it never makes the naming younger than it is.
-    pub(crate) fn learn_naming(&self, naming: &HeardNaming, asked_at: BootTime, from: IpAddr) {
+    pub(crate) fn learn_naming(&self, naming: &NamingReport, asked_at: BootTime, from: IpAddr) {
         let now = BootTime::now();
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
--- a/crates/direct/tests/weights.rs
+++ b/crates/direct/tests/weights.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use tokio::net::UdpSocket;
 use wagtailreel_direct::DirectEntry;
-use wagtailreel_fleet::{Datagram, HeardNaming, NamedWeights, RouteKind, Status, Topic};
+use wagtailreel_fleet::{Datagram, NamedWeights, NamingReport, RouteKind, Status, Topic};
 use wagtailreel_standins::RegistryStandin;
 
 const MODEL: &str = "epitaph";
@@ -142,7 +142,7 @@
         };
         let age_ms = u32::try_from(heard.elapsed().as_millis()).unwrap();
         Status {
-            naming: Some(HeardNaming { weights, age_ms }),
+            naming: Some(NamingReport { weights, age_ms }),
             entries: vec![from],
             ..Status::default()
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,7 +24,7 @@
 pub use follower::{Applied, Follower, Step};
 pub use registry::{Change, Keyed, Page, Registry, RegistryError, Snapshot, Topic};
 pub use status::{
-    Datagram, ENDED_A_DATAGRAM, EndedUnder, Fingerprint, HeardNaming, HeldChunks, LoadStatus,
+    Datagram, ENDED_A_DATAGRAM, EndedUnder, Fingerprint, HeldChunks, LoadStatus, NamingReport,
     Permit, PermitRequest, Query, Status, StatusError,
 };
 pub use upstream::{LoadedModel, Upstream, UpstreamId, UpstreamStart, UpstreamState};
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -54,7 +54,7 @@
 
 /// Weights that were named lately, and when they were not yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardNaming {
+pub struct NamingReport {
     /// The weights.
     #[serde(flatten)]
     pub weights: NamedWeights,
@@ -122,7 +122,7 @@
     /// Weights that were named lately. An entry that has just started learns from it how long their
     /// bound still lasts.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-    pub naming: Option<HeardNaming>,
+    pub naming: Option<NamingReport>,
     /// The agent's clock in milliseconds, while it wants to be told when weights were not named yet.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub clock_ms: Option<u64>,
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -9,8 +9,8 @@
 use tokio::time::MissedTickBehavior;
 use wagtailreel_core::first_ranked;
 use wagtailreel_fleet::{
-    BootTime, Datagram, ENDED_A_DATAGRAM, EndedUnder, HeardNaming, HeldChunks, LoadStatus,
-    NamedWeights, PermitRequest, Query, Status, WeightsVersion,
+    BootTime, Datagram, ENDED_A_DATAGRAM, EndedUnder, HeldChunks, LoadStatus, NamedWeights,
+    NamingReport, PermitRequest, Query, Status, WeightsVersion,
 };
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_route::direct::{Permits, Places};
@@ -128,11 +128,11 @@
     }
 
     /// Returns the weights that were named lately.
-    fn naming(&self) -> Option<HeardNaming> {
+    fn naming(&self) -> Option<NamingReport> {
         let known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let (weights, heard) = known.naming.as_ref()?;
         let age = BootTime::now().since(heard.after?);
-        (age <= self.naming_told).then(|| HeardNaming {
+        (age <= self.naming_told).then(|| NamingReport {
             weights: weights.clone(),
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
         })
