--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -7,7 +7,9 @@
 
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
-use wagtailreel_fleet::{Datagram, ENDED_A_DATAGRAM, EndedUnder, Permit, PermitRequest, Query};
+use wagtailreel_fleet::{
+    CRASH_REPORTS_PER_DATAGRAM, CrashReport, Datagram, Permit, PermitRequest, Query,
+};
 
 use wagtailreel_route::direct::{Limit, Permits};
 
@@ -141,15 +143,15 @@
     }
 
     /// Tells the agents on the VMs `ips` of requests that upstreams ended under.
-    pub(crate) fn tell(&self, ips: &[IpAddr], ended: &[EndedUnder]) {
+    pub(crate) fn tell(&self, ips: &[IpAddr], ended: &[CrashReport]) {
         for ip in ips {
             self.tell_one(self.addr_of(*ip), ended);
         }
     }
 
     /// Tells the process at `addr` of requests that upstreams ended under.
-    pub(crate) fn tell_one(&self, addr: SocketAddr, ended: &[EndedUnder]) {
-        for ended in ended.chunks(ENDED_A_DATAGRAM) {
+    pub(crate) fn tell_one(&self, addr: SocketAddr, ended: &[CrashReport]) {
+        for ended in ended.chunks(CRASH_REPORTS_PER_DATAGRAM) {
             self.send_to(addr, &Datagram::Ended(ended.to_vec()));
         }
     }
--- a/crates/direct/src/seed.rs
+++ b/crates/direct/src/seed.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wagtailreel_fleet::{Datagram, EndedUnder, PermitRequest, Query};
+use wagtailreel_fleet::{CrashReport, Datagram, PermitRequest, Query};
 use wagtailreel_route::direct::Permits;
 
 use crate::agents::Agents;
@@ -63,7 +63,7 @@
     }
 
     /// Takes what a process tells of requests, which may be this one, and relays what is news.
-    pub(crate) fn take_accounts(&self, told: &[EndedUnder], from: SocketAddr) {
+    pub(crate) fn take_accounts(&self, told: &[CrashReport], from: SocketAddr) {
         let is_own = self.agents.is_own(from);
         let news = self.suspects.hear(told, is_own);
         if news.is_empty() || self.askers.is_empty() {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn relay(&self, told: &[EndedUnder], from: Option<SocketAddr>) {
+    fn relay(&self, told: &[CrashReport], from: Option<SocketAddr>) {
         for asker in self.askers.keys().filter(|asker| Some(**asker) != from) {
             self.agents.tell_one(*asker, told);
         }
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -11,7 +11,7 @@
 
 use rand::RngExt as _;
 use tokio::sync::watch;
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint};
 use wagtailreel_route::direct::{Pick, Quarantine, Suspicion};
 
 use crate::agents::Agents;
@@ -84,7 +84,7 @@
 
     /// Takes what another process tells, or this one told itself if `is_own`; returns the requests of which
     /// others have not heard so.
-    pub(crate) fn hear(&self, told: &[EndedUnder], is_own: bool) -> BTreeSet<Fingerprint> {
+    pub(crate) fn hear(&self, told: &[CrashReport], is_own: bool) -> BTreeSet<Fingerprint> {
         let mut news = BTreeSet::new();
         for account in told {
             let mut is_news = false;
@@ -99,12 +99,12 @@
     }
 
     /// Returns all that others are to know.
-    pub(crate) fn all(&self) -> Vec<EndedUnder> {
+    pub(crate) fn all(&self) -> Vec<CrashReport> {
         lock(&self.known).told_of(Duration::MAX, BootTime::now())
     }
 
     /// Returns what others are told again.
-    pub(crate) fn learned_lately(&self) -> Vec<EndedUnder> {
+    pub(crate) fn learned_lately(&self) -> Vec<CrashReport> {
         lock(&self.known).told_of(TOLD_FOR, BootTime::now())
     }
 
@@ -169,7 +169,7 @@
     }
 }
 
-async fn repeat(agents: Agents, ips: Vec<IpAddr>, told: Vec<EndedUnder>, pauses: &[Duration]) {
+async fn repeat(agents: Agents, ips: Vec<IpAddr>, told: Vec<CrashReport>, pauses: &[Duration]) {
     let begun = BootTime::now();
     for pause in pauses {
         tokio::time::sleep(*pause).await;
@@ -178,7 +178,7 @@
 }
 
 /// Returns the same accounts `age` later.
-fn older(told: &[EndedUnder], age: Duration) -> Vec<EndedUnder> {
+fn older(told: &[CrashReport], age: Duration) -> Vec<CrashReport> {
     let age = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
     let mut told = told.to_vec();
     for account in &mut told {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,8 +24,8 @@
 pub use follower::{Applied, Follower, Step};
 pub use registry::{Change, Keyed, Page, Registry, RegistryError, Snapshot, Topic};
 pub use status::{
-    Datagram, ENDED_A_DATAGRAM, EndedUnder, Fingerprint, HeldChunks, LoadStatus, NamingReport,
-    Permit, PermitRequest, Query, Status, StatusError,
+    CRASH_REPORTS_PER_DATAGRAM, CrashReport, Datagram, Fingerprint, HeldChunks, LoadStatus,
+    NamingReport, Permit, PermitRequest, Query, Status, StatusError,
 };
 pub use upstream::{LoadedModel, Upstream, UpstreamId, UpstreamStart, UpstreamState};
 pub use weights::{ModelName, NamedWeights, ReadNamings, WeightsVersion};
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -135,11 +135,11 @@
 }
 
 /// Accounts of requests in one datagram: with ids of 60 bytes it takes 2 KB.
-pub const ENDED_A_DATAGRAM: usize = 4;
+pub const CRASH_REPORTS_PER_DATAGRAM: usize = 4;
 
 /// Upstreams that ended while they had one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedUnder {
+pub struct CrashReport {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
@@ -198,7 +198,7 @@
     Status(Status),
     /// What an entry tells agents, and these tell entries, of requests that end upstreams.
     #[serde(rename = "E")]
-    Ended(Vec<EndedUnder>),
+    Ended(Vec<CrashReport>),
     /// A question for a permit.
     #[serde(rename = "A")]
     PermitRequest(PermitRequest),
--- a/crates/route/src/direct/quarantine.rs
+++ b/crates/route/src/direct/quarantine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint, UpstreamId, UpstreamStart};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint, UpstreamId, UpstreamStart};
 
 /// Upstreams that have to end under a request before it is quarantined. Whoever is on an upstream when it
 /// ends is suspected with the request that ended it, and seldom a third time.
@@ -103,10 +103,10 @@
         self.ends.values().copied().chain(self.finished).max()
     }
 
-    fn told(&self, fingerprint: Fingerprint, now: BootTime) -> EndedUnder {
+    fn told(&self, fingerprint: Fingerprint, now: BootTime) -> CrashReport {
         let ms = |at: BootTime| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         let upstreams = self.ends.iter();
-        EndedUnder {
+        CrashReport {
             fingerprint,
             upstreams: upstreams.map(|(id, at)| (id.clone(), ms(*at))).collect(),
             finished_ms: self.finished.map(ms),
@@ -239,7 +239,7 @@
     }
 
     /// Takes what another process tells; returns whether that is news.
-    pub fn hear(&mut self, heard: &EndedUnder, now: BootTime) -> bool {
+    pub fn hear(&mut self, heard: &CrashReport, now: BootTime) -> bool {
         let ago = |ms: u32| now.minus(Duration::from_millis(ms.into()));
         self.make_room(heard.fingerprint);
         let account = self.accounts.entry(heard.fingerprint).or_default();
@@ -262,14 +262,14 @@
     }
 
     /// Returns what is known of a request, to be told to others.
-    pub fn account(&self, fingerprint: Fingerprint, now: BootTime) -> Option<EndedUnder> {
+    pub fn account(&self, fingerprint: Fingerprint, now: BootTime) -> Option<CrashReport> {
         let account = self.accounts.get(&fingerprint)?;
         Some(account.told(fingerprint, now))
     }
 
     /// Returns the requests that all entries are to know of, and of which something was learned within
     /// `age`.
-    pub fn told_of(&mut self, age: Duration, now: BootTime) -> Vec<EndedUnder> {
+    pub fn told_of(&mut self, age: Duration, now: BootTime) -> Vec<CrashReport> {
         let mut told = Vec::new();
         for (fingerprint, account) in &mut self.accounts {
             let is_young = account.last_change().is_some_and(|at| now.since(at) <= age);
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use wagtailreel_core::Digest;
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint};
 use wagtailreel_route::direct::{Quarantine, Suspicion};
 
 const HOUR: Duration = Duration::from_secs(3600);
@@ -127,7 +127,7 @@
     known.finished(request("x"), at(0));
     after(&mut known, "x", &["a"]);
     known.finished(request("x"), at(5000));
-    let told = EndedUnder {
+    let told = CrashReport {
         fingerprint: request("x"),
         upstreams: ["b", "c", "d"].map(|id| (id.to_owned(), 3000)).into(),
         finished_ms: None,
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -9,8 +9,8 @@
 use tokio::time::MissedTickBehavior;
 use wagtailreel_core::first_ranked;
 use wagtailreel_fleet::{
-    BootTime, Datagram, ENDED_A_DATAGRAM, EndedUnder, HeldChunks, LoadStatus, NamedWeights,
-    NamingReport, PermitRequest, Query, Status, WeightsVersion,
+    BootTime, CRASH_REPORTS_PER_DATAGRAM, CrashReport, Datagram, HeldChunks, LoadStatus,
+    NamedWeights, NamingReport, PermitRequest, Query, Status, WeightsVersion,
 };
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_route::direct::{Permits, Places};
@@ -198,8 +198,8 @@
     }
 
     /// Tells entries of requests under which upstreams end.
-    fn tell_of(&self, told: &[EndedUnder], entries: &[SocketAddr]) {
-        for told in told.chunks(ENDED_A_DATAGRAM) {
+    fn tell_of(&self, told: &[CrashReport], entries: &[SocketAddr]) {
+        for told in told.chunks(CRASH_REPORTS_PER_DATAGRAM) {
             let datagram = Datagram::Ended(told.to_vec()).to_bytes();
             for entry in entries {
                 // What is lost is told again.
--- a/crates/stage/src/suspects.rs
+++ b/crates/stage/src/suspects.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint};
 use wagtailreel_route::direct::Quarantine;
 
 /// How long entries are told again of what was learned of a request, for datagrams that are lost and
@@ -19,7 +19,7 @@
 
 impl Suspects {
     /// Takes what an entry tells; returns what the others are to be told of it.
-    pub(crate) fn hear(&self, told: &[EndedUnder]) -> Vec<EndedUnder> {
+    pub(crate) fn hear(&self, told: &[CrashReport]) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut known = self.lock();
         let news = told.iter().filter(|account| known.hear(account, now));
@@ -33,12 +33,12 @@
     }
 
     /// Returns what an entry is to be told that may have missed it.
-    pub(crate) fn all(&self) -> Vec<EndedUnder> {
+    pub(crate) fn all(&self) -> Vec<CrashReport> {
         self.lock().told_of(Duration::MAX, BootTime::now())
     }
 
     /// Returns what all entries are told again, and forgets what no longer counts.
-    pub(crate) fn again(&self) -> Vec<EndedUnder> {
+    pub(crate) fn again(&self) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut known = self.lock();
         known.forget(now);
--- a/crates/stage/tests/suspects.rs
+++ b/crates/stage/tests/suspects.rs
@@ -9,11 +9,11 @@
 use common::{Fleet, ask};
 use tokio::net::UdpSocket;
 use wagtailreel_core::Digest;
-use wagtailreel_fleet::{Datagram, EndedUnder, Query};
+use wagtailreel_fleet::{CrashReport, Datagram, Query};
 
-fn ended(upstreams: &[&str]) -> EndedUnder {
+fn ended(upstreams: &[&str]) -> CrashReport {
     let upstreams = upstreams.iter().map(|id| ((*id).to_owned(), 5));
-    EndedUnder {
+    CrashReport {
         fingerprint: Digest::of(b"request"),
         upstreams: upstreams.collect::<BTreeMap<_, _>>(),
         finished_ms: None,
