--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -86,13 +86,13 @@
     /// others have not heard so.
     pub(crate) fn hear(&self, told: &[CrashReport], is_own: bool) -> BTreeSet<Fingerprint> {
         let mut news = BTreeSet::new();
-        for account in told {
+        for crash_report in told {
             let mut is_news = false;
-            self.change(account.fingerprint, "heard", |known| {
-                is_news = known.hear(account, BootTime::now());
+            self.change(crash_report.fingerprint, "heard", |known| {
+                is_news = known.hear(crash_report, BootTime::now());
             });
             if is_news || is_own {
-                news.insert(account.fingerprint);
+                news.insert(crash_report.fingerprint);
             }
         }
         news
@@ -136,16 +136,16 @@
         let before = known.suspicion(fingerprint, now);
         change(&mut known);
         let after = known.suspicion(fingerprint, now);
-        let account = known.account(fingerprint, now);
+        let crash_report = known.crash_report(fingerprint, now);
         drop(known);
-        let (Suspicion::Quarantined(left), Some(account)) = (after, account) else {
+        let (Suspicion::Quarantined(left), Some(crash_report)) = (after, crash_report) else {
             return;
         };
         if matches!(before, Suspicion::Quarantined(_)) {
             return;
         }
         self.last.send_replace(Some(fingerprint));
-        let upstreams: Vec<String> = account.upstreams.into_keys().collect();
+        let upstreams: Vec<String> = crash_report.upstreams.into_keys().collect();
         events::REQUEST_QUARANTINED.emit(&[
             ("fingerprint", &fingerprint.short()),
             ("source", source),
@@ -156,12 +156,13 @@
 
     /// Tells the agents at which accounts of the request meet what is known here.
     fn tell(&self, fingerprint: Fingerprint, repeats: &'static [Duration]) {
-        let Some(account) = lock(&self.known).account(fingerprint, BootTime::now()) else {
+        let Some(crash_report) = lock(&self.known).crash_report(fingerprint, BootTime::now())
+        else {
             return;
         };
         let ips = self.view.meeting_agents(fingerprint.as_bytes());
         let agents = self.agents.clone();
-        let told = vec![account];
+        let told = vec![crash_report];
         agents.tell(&ips, &told);
         if !repeats.is_empty() {
             tokio::spawn(repeat(agents, ips, told, repeats));
@@ -181,9 +182,9 @@
 fn older(told: &[CrashReport], age: Duration) -> Vec<CrashReport> {
     let age = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
     let mut told = told.to_vec();
-    for account in &mut told {
-        let ends = account.upstreams.values_mut();
-        for ms in ends.chain(&mut account.finished_ms) {
+    for crash_report in &mut told {
+        let ends = crash_report.upstreams.values_mut();
+        for ms in ends.chain(&mut crash_report.finished_ms) {
             *ms = ms.saturating_add(age);
         }
     }
--- a/crates/route/src/direct/quarantine.rs
+++ b/crates/route/src/direct/quarantine.rs
@@ -182,36 +182,36 @@
             return;
         }
         self.make_room(fingerprint);
-        let account = self.accounts.entry(fingerprint).or_default();
-        account.ends.entry(upstream).or_insert(now);
-        account.heard = Some(now);
-        account.trim(now);
+        let crash_report = self.accounts.entry(fingerprint).or_default();
+        crash_report.ends.entry(upstream).or_insert(now);
+        crash_report.heard = Some(now);
+        crash_report.trim(now);
     }
 
     /// Takes that a request ran to its end; returns whether others have to be told.
     pub fn finished(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
         self.trusted.insert(fingerprint, now);
-        let Some(account) = self.accounts.get_mut(&fingerprint) else {
+        let Some(crash_report) = self.accounts.get_mut(&fingerprint) else {
             return false;
         };
-        account.finished = Some(now);
-        account.trim(now);
+        crash_report.finished = Some(now);
+        crash_report.trim(now);
         self.tell_again(fingerprint, now)
     }
 
     /// Returns what is thought of a request.
     pub fn suspicion(&mut self, fingerprint: Fingerprint, now: BootTime) -> Suspicion {
-        let Some(account) = self.accounts.get_mut(&fingerprint) else {
+        let Some(crash_report) = self.accounts.get_mut(&fingerprint) else {
             return Suspicion::None;
         };
-        account.trim(now);
+        crash_report.trim(now);
         let ran_before = self.trusted.last(fingerprint).is_some();
         let tried_after = if ran_before {
             TRIED_SOON
         } else {
             self.tried_after
         };
-        account.suspicion(tried_after, now)
+        crash_report.suspicion(tried_after, now)
     }
 
     /// Returns the same for a request that has come; one that is due to be tried again is only suspected.
@@ -220,20 +220,22 @@
         if thought != Suspicion::Quarantined(Duration::ZERO) {
             return thought;
         }
-        if let Some(account) = self.accounts.get_mut(&fingerprint) {
-            account.tried = Some(now);
+        if let Some(crash_report) = self.accounts.get_mut(&fingerprint) {
+            crash_report.tried = Some(now);
         }
         Suspicion::Suspected
     }
 
     /// Says whether a request that comes again is to be told of again, and takes that it is.
     pub fn tell_again(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
-        let Some(account) = self.accounts.get_mut(&fingerprint) else {
+        let Some(crash_report) = self.accounts.get_mut(&fingerprint) else {
             return false;
         };
-        let is_due = account.told.is_none_or(|at| now.since(at) >= TOLD_EVERY);
+        let is_due = crash_report
+            .told
+            .is_none_or(|at| now.since(at) >= TOLD_EVERY);
         if is_due {
-            account.told = Some(now);
+            crash_report.told = Some(now);
         }
         is_due
     }
@@ -242,41 +244,45 @@
     pub fn hear(&mut self, heard: &CrashReport, now: BootTime) -> bool {
         let ago = |ms: u32| now.minus(Duration::from_millis(ms.into()));
         self.make_room(heard.fingerprint);
-        let account = self.accounts.entry(heard.fingerprint).or_default();
-        account.heard.get_or_insert(now);
-        let before = account.clone();
+        let crash_report = self.accounts.entry(heard.fingerprint).or_default();
+        crash_report.heard.get_or_insert(now);
+        let before = crash_report.clone();
         for (upstream, ms) in &heard.upstreams {
-            if !account.ends.contains_key(upstream) {
-                account.ends.insert(upstream.clone(), ago(*ms));
-                account.heard = Some(now);
+            if !crash_report.ends.contains_key(upstream) {
+                crash_report.ends.insert(upstream.clone(), ago(*ms));
+                crash_report.heard = Some(now);
             }
         }
         let finished = heard.finished_ms.map(ago);
         // The same end of a run is a little later each time that it is told of.
         if finished > before.finished.map(|at| at.plus(SLACK)) {
-            account.finished = finished;
+            crash_report.finished = finished;
         }
-        account.finished = account.finished.max(self.trusted.last(heard.fingerprint));
-        account.trim(now);
-        !account.ends.keys().eq(before.ends.keys()) || account.finished != before.finished
+        crash_report.finished = crash_report
+            .finished
+            .max(self.trusted.last(heard.fingerprint));
+        crash_report.trim(now);
+        !crash_report.ends.keys().eq(before.ends.keys()) || crash_report.finished != before.finished
     }
 
     /// Returns what is known of a request, to be told to others.
-    pub fn account(&self, fingerprint: Fingerprint, now: BootTime) -> Option<CrashReport> {
-        let account = self.accounts.get(&fingerprint)?;
-        Some(account.told(fingerprint, now))
+    pub fn crash_report(&self, fingerprint: Fingerprint, now: BootTime) -> Option<CrashReport> {
+        let crash_report = self.accounts.get(&fingerprint)?;
+        Some(crash_report.told(fingerprint, now))
     }
 
     /// Returns the requests that all entries are to know of, and of which something was learned within
     /// `age`.
     pub fn told_of(&mut self, age: Duration, now: BootTime) -> Vec<CrashReport> {
         let mut told = Vec::new();
-        for (fingerprint, account) in &mut self.accounts {
-            let is_young = account.last_change().is_some_and(|at| now.since(at) <= age);
-            let was_told = account.told.is_some() && account.finished.is_some();
-            if is_young && (account.ends.len() >= TOLD_AFTER || was_told) {
-                account.told = Some(now);
-                told.push(account.told(*fingerprint, now));
+        for (fingerprint, crash_report) in &mut self.accounts {
+            let is_young = crash_report
+                .last_change()
+                .is_some_and(|at| now.since(at) <= age);
+            let was_told = crash_report.told.is_some() && crash_report.finished.is_some();
+            if is_young && (crash_report.ends.len() >= TOLD_AFTER || was_told) {
+                crash_report.told = Some(now);
+                told.push(crash_report.told(*fingerprint, now));
             }
         }
         told
@@ -284,9 +290,9 @@
 
     /// Forgets what no longer counts.
     pub fn forget(&mut self, now: BootTime) {
-        self.accounts.retain(|_, account| {
+        self.accounts.retain(|_, crash_report| {
             let is_settled = |at: BootTime| now.since(at) > SETTLED_AFTER;
-            account.trim(now).is_some() || !account.heard.is_none_or(is_settled)
+            crash_report.trim(now).is_some() || !crash_report.heard.is_none_or(is_settled)
         });
     }
 
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -115,7 +115,7 @@
     let (mut one, mut other) = (Quarantine::new(0.0), Quarantine::new(0.0));
     after(&mut one, "x", &["a"]);
     after(&mut other, "x", &["b", "c"]);
-    let told = one.account(request("x"), at(2000)).unwrap();
+    let told = one.crash_report(request("x"), at(2000)).unwrap();
     assert!(other.hear(&told, at(2000)));
     assert!(is_quarantined(other.suspicion(request("x"), at(2000))));
     assert!(!other.hear(&told, at(2000)), "the same again is no news");
--- a/crates/stage/src/suspects.rs
+++ b/crates/stage/src/suspects.rs
@@ -22,13 +22,16 @@
     pub(crate) fn hear(&self, told: &[CrashReport]) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut known = self.lock();
-        let news = told.iter().filter(|account| known.hear(account, now));
-        let news: BTreeSet<Fingerprint> = news.map(|account| account.fingerprint).collect();
+        let news = told
+            .iter()
+            .filter(|crash_report| known.hear(crash_report, now));
+        let news: BTreeSet<Fingerprint> =
+            news.map(|crash_report| crash_report.fingerprint).collect();
         if news.is_empty() {
             return Vec::new();
         }
         let mut told = known.told_of(Duration::MAX, now);
-        told.retain(|account| news.contains(&account.fingerprint));
+        told.retain(|crash_report| news.contains(&crash_report.fingerprint));
         told
     }
 
