--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -152,7 +152,7 @@
     /// Tells the process at `addr` of requests that upstreams ended under.
     pub(crate) fn tell_one(&self, addr: SocketAddr, ended: &[CrashReport]) {
         for ended in ended.chunks(CRASH_REPORTS_PER_DATAGRAM) {
-            self.send_to(addr, &Datagram::Ended(ended.to_vec()));
+            self.send_to(addr, &Datagram::CrashReports(ended.to_vec()));
         }
     }
 
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -93,7 +93,7 @@
                 let Ok((len, from)) = received else { continue };
                 let status = match Datagram::from_bytes(&buf[..len]) {
                     Ok(Datagram::Status(status)) => status,
-                    Ok(Datagram::Ended(told)) => {
+                    Ok(Datagram::CrashReports(told)) => {
                         seed.take_accounts(&told, from);
                         continue;
                     }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -198,7 +198,7 @@
     Status(Status),
     /// What an entry tells agents, and these tell entries, of requests that end upstreams.
     #[serde(rename = "E")]
-    Ended(Vec<CrashReport>),
+    CrashReports(Vec<CrashReport>),
     /// A question for a permit.
     #[serde(rename = "A")]
     PermitRequest(PermitRequest),
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -200,7 +200,7 @@
     /// Tells entries of requests under which upstreams end.
     fn tell_of(&self, told: &[CrashReport], entries: &[SocketAddr]) {
         for told in told.chunks(CRASH_REPORTS_PER_DATAGRAM) {
-            let datagram = Datagram::Ended(told.to_vec()).to_bytes();
+            let datagram = Datagram::CrashReports(told.to_vec()).to_bytes();
             for entry in entries {
                 // What is lost is told again.
                 let _ = self.socket.try_send_to(&datagram, *entry);
@@ -264,7 +264,7 @@
                     }
                 }
                 Ok(Datagram::PermitRequest(ask)) => self.give_permit(&ask, from),
-                Ok(Datagram::Ended(told)) => {
+                Ok(Datagram::CrashReports(told)) => {
                     let askers = self.askers.recent(Instant::now());
                     self.tell_of(&self.suspects.hear(&told), &askers);
                 }
--- a/crates/stage/tests/suspects.rs
+++ b/crates/stage/tests/suspects.rs
@@ -33,7 +33,7 @@
 }
 
 async fn tell(entry: &UdpSocket, agent: SocketAddr, upstreams: &[&str]) {
-    let datagram = Datagram::Ended(vec![ended(upstreams)]).to_bytes();
+    let datagram = Datagram::CrashReports(vec![ended(upstreams)]).to_bytes();
     entry.send_to(&datagram, agent).await.unwrap();
 }
 
@@ -42,7 +42,7 @@
     let mut buf = [0; 4096];
     loop {
         let (len, _) = entry.recv_from(&mut buf).await.unwrap();
-        if let Ok(Datagram::Ended(told)) = Datagram::from_bytes(&buf[..len]) {
+        if let Ok(Datagram::CrashReports(told)) = Datagram::from_bytes(&buf[..len]) {
             assert_eq!(told.len(), 1);
             return told[0].upstreams.keys().cloned().collect();
         }
