--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -78,7 +78,7 @@
                 }
                 let abroad = is_far_turn.then_some(far.as_ref());
                 let engines = engines(&view, &home, abroad);
-                if engines.values().any(|asked| asked.is_near) {
+                if engines.values().any(|asked| asked.is_local) {
                     neighbours.agents_asked();
                 }
                 for (ip, asked) in engines {
@@ -114,7 +114,7 @@
                 let asked_of = known.get(&from.ip());
                 match asked_of {
                     // Of another data centre the entries are no neighbours.
-                    Some(of) if of.is_near => neighbours.hear(&status.entries, BootTime::now()),
+                    Some(of) if of.is_local => neighbours.hear(&status.entries, BootTime::now()),
                     Some(of) => far.hear_entries(&of.data_centre, &status.entries),
                     None => {}
                 }
@@ -215,7 +215,7 @@
     naming: Option<Naming>,
     data_centre: DataCentre,
     /// It stands in the entry's data centre.
-    is_near: bool,
+    is_local: bool,
     /// It is asked now; what the others say is taken too.
     is_due: bool,
 }
@@ -234,7 +234,7 @@
             weights_after_ms: clock
                 .zip(after)
                 .map(|(clock, after)| clock.translate(after).as_millis()),
-            is_near: self.is_near,
+            is_local: self.is_local,
             ..Query::default()
         }
     }
@@ -253,7 +253,7 @@
             naming: view.newest_weights(&model),
             model: Some(model),
             data_centre: home.to_owned(),
-            is_near: true,
+            is_local: true,
             is_due: true,
         };
         add_near(&mut agents, &asked);
@@ -276,7 +276,7 @@
             model: None,
             naming: None,
             data_centre: home.to_owned(),
-            is_near: true,
+            is_local: true,
             is_due: true,
         };
         add_near(&mut agents, &asked);
@@ -315,7 +315,7 @@
         for member in members {
             let asked = Asked {
                 data_centre: data_centre.clone(),
-                is_near: false,
+                is_local: false,
                 is_due: member.needs_own_word(now) || rand::rng().random_bool(share),
                 ..near.clone()
             };
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -45,7 +45,7 @@
     pub chunks: Option<(ModelName, WeightsVersion)>,
     /// The asker is an entry of the agent's data centre.
     #[serde(rename = "e", default, skip_serializing_if = "std::ops::Not::not")]
-    pub is_near: bool,
+    pub is_local: bool,
     /// The asker is about to send the engine a request, whose prompt takes so many microseconds to
     /// read. It wants no answer.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
--- a/crates/stage/src/askers.rs
+++ b/crates/stage/src/askers.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Asker {
     at: Instant,
-    is_near: bool,
+    is_local: bool,
 }
 
 /// Who asked for the engine's load lately.
@@ -27,10 +27,10 @@
 impl Askers {
     /// Takes that `from` asked at `now`, and whether it is an entry of the own data centre; returns whether
     /// it is one of those and may have missed what was told.
-    pub(crate) fn note(&self, from: SocketAddr, is_near: bool, now: Instant) -> bool {
-        let before = self.lock().insert(from, Asker { at: now, is_near });
+    pub(crate) fn note(&self, from: SocketAddr, is_local: bool, now: Instant) -> bool {
+        let before = self.lock().insert(from, Asker { at: now, is_local });
         let is_recent = |asker: Asker| now.saturating_duration_since(asker.at) <= NEAR_FOR;
-        is_near && !before.is_some_and(is_recent)
+        is_local && !before.is_some_and(is_recent)
     }
 
     /// Returns who asked lately, and forgets the others.
@@ -44,7 +44,7 @@
     pub(crate) fn near(&self, now: Instant) -> Vec<SocketAddr> {
         let seen = self.lock();
         let is_there =
-            |asker: &Asker| asker.is_near && now.saturating_duration_since(asker.at) <= NEAR_FOR;
+            |asker: &Asker| asker.is_local && now.saturating_duration_since(asker.at) <= NEAR_FOR;
         let near = seen.iter().filter(|(_, asker)| is_there(asker));
         near.map(|(addr, _)| *addr).collect()
     }
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -276,14 +276,14 @@
 
     fn answer(&self, query: &Query, from: SocketAddr) {
         let now = Instant::now();
-        if query.chunks.is_none() && self.askers.note(from, query.is_near, now) {
+        if query.chunks.is_none() && self.askers.note(from, query.is_local, now) {
             self.tell_of(&self.suspects.all(), &[from]);
         }
         let chunks = query.chunks.as_ref();
         // Other agents have no use for them.
         let entries = if query.chunks.is_none() {
             let mut entries = self.askers.near(now);
-            if query.is_near {
+            if query.is_local {
                 self.hear_one(&entries);
             }
             entries.truncate(NEAR_TOLD);
--- a/crates/stage/tests/neighbours.rs
+++ b/crates/stage/tests/neighbours.rs
@@ -10,9 +10,9 @@
 use wagtailreel_fleet::{Datagram, Query, Status};
 
 /// Asks the fleet's first agent from a socket of its own.
-async fn ask(fleet: &Fleet, socket: &UdpSocket, is_near: bool) -> Status {
+async fn ask(fleet: &Fleet, socket: &UdpSocket, is_local: bool) -> Status {
     let query = Query {
-        is_near,
+        is_local,
         ..Query::default()
     };
     common::ask(socket, fleet.addr(0), query).await
--- a/crates/stage/tests/suspects.rs
+++ b/crates/stage/tests/suspects.rs
@@ -25,7 +25,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let query = Query {
         nonce: 1,
-        is_near: true,
+        is_local: true,
         ..Query::default()
     };
     ask(&socket, agent, query).await;
@@ -70,7 +70,7 @@
     let started = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let query = Datagram::Query(Query {
         nonce: 1,
-        is_near: true,
+        is_local: true,
         ..Query::default()
     });
     started.send_to(&query.to_bytes(), agent).await.unwrap();
