--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -125,7 +125,7 @@
         self.send(
             ip,
             Query {
-                sends_us: Some(u32::try_from(reading.as_micros()).unwrap_or(u32::MAX)),
+                prefill_us: Some(u32::try_from(reading.as_micros()).unwrap_or(u32::MAX)),
                 ..Query::default()
             },
         );
--- a/crates/direct/tests/crashing.rs
+++ b/crates/direct/tests/crashing.rs
@@ -186,7 +186,7 @@
                 continue;
             };
             match Datagram::from_bytes(&buf[..len]) {
-                Ok(Datagram::Query(query)) if query.sends_us.is_none() => {
+                Ok(Datagram::Query(query)) if query.prefill_us.is_none() => {
                     entries.insert(from, ());
                     let load = LoadStatus {
                         version: Some(1),
--- a/crates/direct/tests/places.rs
+++ b/crates/direct/tests/places.rs
@@ -64,7 +64,7 @@
     registry.upstream(writer_in("hall", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
-    until_asked(&socket, |query| query.sends_us.is_some()).await;
+    until_asked(&socket, |query| query.prefill_us.is_some()).await;
 }
 
 /// Words from abroad are old: an engine that was free then may be full.
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -49,7 +49,7 @@
     /// The asker is about to send the engine a request, whose prompt takes so many microseconds to
     /// read. It wants no answer.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-    pub sends_us: Option<u32>,
+    pub prefill_us: Option<u32>,
 }
 
 /// Weights that were named lately, and when they were not yet.
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -244,7 +244,7 @@
             };
             match Datagram::from_bytes(&buf[..len]) {
                 Ok(Datagram::Query(Query {
-                    sends_us: Some(micros),
+                    prefill_us: Some(micros),
                     ..
                 })) => self.take_place(Duration::from_micros(micros.into()), from),
                 Ok(Datagram::Query(query)) => {
--- a/crates/stage/tests/neighbours.rs
+++ b/crates/stage/tests/neighbours.rs
@@ -60,7 +60,7 @@
     ask(&fleet, &sender, true).await;
     let before = ask(&fleet, &other, true).await.load.unwrap();
     let taken = Query {
-        sends_us: Some(90_000),
+        prefill_us: Some(90_000),
         ..Query::default()
     };
     let datagram = Datagram::Query(taken).to_bytes();
