--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -84,7 +84,7 @@
     pub running: u32,
     /// How long the engine still reads prompts, in milliseconds.
     #[serde(rename = "u", default)]
-    pub reading_ms: u32,
+    pub prefill_ms: u32,
     /// Share of its memory that is taken, 0 to 1.
     #[serde(rename = "m")]
     pub memory: f32,
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -329,7 +329,7 @@
             before.version != status.version || before.is_switching != status.is_switching
         });
         self.take_load(status.queued.saturating_add(status.running), heard_at);
-        let reading_left = Duration::from_millis(status.reading_ms.into());
+        let reading_left = Duration::from_millis(status.prefill_ms.into());
         self.reading.set(reading_left, heard_at);
         self.status = Some((status.clone(), heard_at));
         Some(changed)
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -50,7 +50,7 @@
     LoadStatus {
         version: Some(1),
         running,
-        reading_ms: u32::try_from(reading.as_millis()).unwrap(),
+        prefill_ms: u32::try_from(reading.as_millis()).unwrap(),
         pace,
         ..LoadStatus::default()
     }
--- a/crates/stage/tests/neighbours.rs
+++ b/crates/stage/tests/neighbours.rs
@@ -73,5 +73,5 @@
     let load = told.load.unwrap();
     assert_eq!(told.nonce, 0, "nobody asked");
     assert_eq!(load.queued, before.queued + 1);
-    assert!((80..=90).contains(&load.reading_ms), "{load:?}");
+    assert!((80..=90).contains(&load.prefill_ms), "{load:?}");
 }
