--- a/crates/direct/tests/far.rs
+++ b/crates/direct/tests/far.rs
@@ -45,7 +45,7 @@
     let port = socket.local_addr().unwrap().port();
     answer_questions(socket, move |_| Status {
         load: Some(LoadStatus {
-            pace: 1.0,
+            slowdown: 1.0,
             ..holds(1, 3)
         }),
         entries: vec![entry],
--- a/crates/direct/tests/places.rs
+++ b/crates/direct/tests/places.rs
@@ -42,7 +42,7 @@
     let load = LoadStatus {
         version: Some(1),
         running,
-        pace: 1.0,
+        slowdown: 1.0,
         ..LoadStatus::default()
     };
     let status = Status {
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -90,7 +90,7 @@
     pub memory: f32,
     /// How many times slower than usual it is.
     #[serde(rename = "p")]
-    pub pace: f32,
+    pub slowdown: f32,
     /// Age of the figures when the answer was sent, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u32,
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -280,13 +280,13 @@
         presumed: Option<Presumed>,
         now: Instant,
     ) -> Prediction<'a> {
-        let pace = self.fresh_status(now).map_or(1.0, |status| status.pace);
+        let slowdown = self.fresh_status(now).map_or(1.0, |status| status.slowdown);
         Prediction {
             model: engine,
             slots: self.upstream.slots.max(1),
             in_flight: self.thought_in_flight(presumed, now).0,
             reading_left: self.reading_left(engine, presumed, now),
-            pace: f64::from(pace),
+            slowdown: f64::from(slowdown),
         }
     }
 
--- a/crates/route/src/direct/prediction.rs
+++ b/crates/route/src/direct/prediction.rs
@@ -24,7 +24,7 @@
     /// How long it still reads the prompts that it has.
     pub reading_left: Duration,
     /// How many times slower than usual it is.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 impl Prediction<'_> {
@@ -39,7 +39,7 @@
         let pass = self.step(running) * f64::from(self.model.steps_per_pass.max(1));
         let own = reading(self.model, tokens).as_secs_f64();
         let start = self.reading_left.as_secs_f64() + own + PASSES * pass;
-        seconds(self.slot_wait().as_secs_f64() + start * self.pace.max(1.0))
+        seconds(self.slot_wait().as_secs_f64() + start * self.slowdown.max(1.0))
     }
 
     /// Returns how long an answer of at most `tokens` is written, from its first event on, by an engine that is
@@ -50,7 +50,7 @@
             slots: model.slots,
             in_flight: model.slots,
             reading_left: Duration::ZERO,
-            pace: 1.0,
+            slowdown: 1.0,
         };
         seconds(f64::from(tokens) * full.step(model.slots) * SLOWEST)
     }
@@ -84,7 +84,7 @@
             return Duration::ZERO;
         };
         let waits = f64::from(ahead.saturating_add(1));
-        seconds(waits * self.turnover() * self.pace.max(1.0))
+        seconds(waits * self.turnover() * self.slowdown.max(1.0))
     }
 
     /// Returns the time from the end of one request to that of the next at a full engine, in seconds:
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -35,10 +35,10 @@
 }
 
 /// Makes an entry's view of one engine, as its agent tells.
-fn view(running: u32, reading: Duration, pace: f32, now: Instant) -> Upstreams {
+fn view(running: u32, reading: Duration, slowdown: f32, now: Instant) -> Upstreams {
     let mut upstreams = Upstreams::new("hall".to_owned(), BTreeMap::new());
     upstreams.update(lab::upstream(0, SLOTS));
-    upstreams.status(ip(), &word(running, reading, pace), None, now);
+    upstreams.status(ip(), &word(running, reading, slowdown), None, now);
     upstreams
 }
 
@@ -46,12 +46,12 @@
     Ipv4Addr::from(1).into()
 }
 
-fn word(running: u32, reading: Duration, pace: f32) -> LoadStatus {
+fn word(running: u32, reading: Duration, slowdown: f32) -> LoadStatus {
     LoadStatus {
         version: Some(1),
         running,
         prefill_ms: u32::try_from(reading.as_millis()).unwrap(),
-        pace,
+        slowdown,
         ..LoadStatus::default()
     }
 }
@@ -61,9 +61,14 @@
 #[case::others_are_read(4, 100, 1.0, true)]
 #[case::crowded(4, 300, 1.0, false)]
 #[case::slow_by_itself(4, 300, 8.0, true)]
-fn free_slot(#[case] running: u32, #[case] reading: u64, #[case] pace: f32, #[case] takes: bool) {
+fn free_slot(
+    #[case] running: u32,
+    #[case] reading: u64,
+    #[case] slowdown: f32,
+    #[case] takes: bool,
+) {
     let now = Instant::now();
-    let mut upstreams = view(running, Duration::from_millis(reading), pace, now);
+    let mut upstreams = view(running, Duration::from_millis(reading), slowdown, now);
     let chosen = choose(&mut upstreams, 900, now);
     assert_eq!(chosen.is_ok(), takes, "{chosen:?}");
 }
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -307,7 +307,7 @@
             running: it.running,
             queued: waiting + it.places.on_their_way(now).min(1),
             prefill_ms: u32::try_from(it.places.reading_left(now).as_millis()).unwrap(),
-            pace: 1.0,
+            slowdown: 1.0,
             ..LoadStatus::default()
         };
         self.at(self.now + WAY, Step::Heard(engine));
--- a/crates/stage/src/engine.rs
+++ b/crates/stage/src/engine.rs
@@ -25,7 +25,7 @@
     /// Memory for requests.
     pub memory_total: u64,
     /// How many times slower than usual it is.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 impl EngineReport {
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -322,9 +322,9 @@
         let (report, at) = known.report.as_ref()?;
         // Shares and factors need no more digits than a short float has.
         #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-        let (memory, pace) = (
+        let (memory, slowdown) = (
             report.memory_used as f32 / report.memory_total.max(1) as f32,
-            report.pace as f32,
+            report.slowdown as f32,
         );
         let age = now.saturating_duration_since(*at).as_millis();
         Some(LoadStatus {
@@ -336,7 +336,7 @@
                 .unwrap_or(u32::MAX),
             running: report.running,
             memory,
-            pace,
+            slowdown,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         })
     }
