--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -150,7 +150,7 @@
         let view = View::new(home.clone(), regions, bounds).with_seeds(settings.seeds.clone());
         let view = Arc::new(view);
         let agent_port = settings.agent_port;
-        let pace = settings.bounds.upstreams_pace;
+        let read_interval = settings.bounds.upstreams_pace;
         let lapse_after = settings.bounds.lapse_after;
         let agents = Agents::new(socket, own, agent_port, &settings.seeds);
         let suspects = Arc::new(Suspects::new(Arc::clone(&view), agents.clone()));
@@ -172,7 +172,7 @@
         let far = Arc::new(far);
         let registry = Nearby::new(
             registry,
-            NearbyConfig::new(cx.settings.bounds.denial, pace),
+            NearbyConfig::new(cx.settings.bounds.denial, read_interval),
             Arc::clone(&neighbours),
         )
         .with_mirror(Arc::clone(&mirror))
@@ -187,7 +187,7 @@
             Arc::clone(&view),
             settings_follow(),
         ));
-        let upstreams = upstreams_follow(pace, lapse_after);
+        let upstreams = upstreams_follow(read_interval, lapse_after);
         tasks.spawn(follow(registry, Arc::clone(&view), upstreams));
         tasks.spawn(load::ask_agents(
             Arc::clone(&view),
@@ -304,8 +304,8 @@
     FollowConfig {
         topic: Topic::Settings,
         wait: SETTINGS_WAIT,
-        pace: SETTINGS_PACE,
-        second_hand_pace: Duration::ZERO,
+        read_interval: SETTINGS_PACE,
+        relayed_read_interval: Duration::ZERO,
         timeout: READ_TIMEOUT,
         longest_pause: SETTINGS_PAUSE,
         lapse_hold: Duration::ZERO,
@@ -315,12 +315,12 @@
 
 /// Returns how the upstreams are followed: they change several times a second, so that a read which
 /// waits would be a call for every heartbeat.
-fn upstreams_follow(pace: Duration, lapse_after: Duration) -> FollowConfig {
+fn upstreams_follow(read_interval: Duration, lapse_after: Duration) -> FollowConfig {
     FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
-        pace,
-        second_hand_pace: Duration::ZERO,
+        read_interval,
+        relayed_read_interval: Duration::ZERO,
         timeout: UPSTREAMS_TIMEOUT,
         longest_pause: UPSTREAMS_PAUSE,
         lapse_hold: LAPSE_HOLD,
--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -9,7 +9,7 @@
 
 /// Longest pace of reads that take long. One that takes half of its pace leaves half of a link that is
 /// full to others; with the read it stays below the 2 s in which a change has to be in force.
-const SLOWEST_PACE: Duration = Duration::from_secs(1);
+const MAX_READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many time-outs of a read the newest of each key may take. It is all that there is, asked for
 /// by many processes at once when they start together; 6 MB over 30 Mbit/s take 1.6 s, and a call
@@ -25,9 +25,9 @@
     pub wait: Duration,
     /// Shortest time from one call to the next; a topic that never rests is read in pages of this
     /// length.
-    pub pace: Duration,
+    pub read_interval: Duration,
     /// The same for answers that came second-hand; they cost the registry nothing.
-    pub second_hand_pace: Duration,
+    pub relayed_read_interval: Duration,
     /// How much longer than the wait an answer may take.
     pub timeout: Duration,
     /// Longest pause after failed calls. Each call costs the registry work while it is in trouble; a
@@ -78,17 +78,17 @@
             Ok(applied) => {
                 pause = FIRST_PAUSE;
                 let took = BootTime::now().since(sent);
-                let pace = match applied.as_of {
+                let read_interval = match applied.as_of {
                     // There is more to read.
                     None => Duration::ZERO,
-                    Some(_) if applied.is_second_hand => cfg.second_hand_pace,
+                    Some(_) if applied.is_second_hand => cfg.relayed_read_interval,
                     // Nothing came; the registry held the call.
-                    Some(_) if applied.changes.is_empty() => cfg.pace,
-                    Some(_) => cfg.pace.max((took * 2).min(SLOWEST_PACE)),
+                    Some(_) if applied.changes.is_empty() => cfg.read_interval,
+                    Some(_) => cfg.read_interval.max((took * 2).min(MAX_READ_INTERVAL)),
                 };
                 take(sink.as_ref(), &cfg, applied, unanswered.take());
                 let due = follower.next_due(BootTime::now());
-                let rest_for = pace.saturating_sub(BootTime::now().since(sent));
+                let rest_for = read_interval.saturating_sub(BootTime::now().since(sent));
                 let is_wished = rest(sink.as_ref(), &cfg, rest_for, due).await;
                 // News that the registry has not got would keep back the answer that is wished for.
                 wait = if is_wished { Duration::ZERO } else { cfg.wait };
--- a/crates/fleet/tests/follow.rs
+++ b/crates/fleet/tests/follow.rs
@@ -43,8 +43,8 @@
     let cfg = FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
-        pace: Duration::from_millis(1500),
-        second_hand_pace: Duration::ZERO,
+        read_interval: Duration::from_millis(1500),
+        relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_secs(1),
         longest_pause: Duration::from_millis(50),
         lapse_hold: Duration::from_millis(100),
@@ -79,8 +79,8 @@
     let cfg = FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
-        pace: Duration::from_millis(20),
-        second_hand_pace: Duration::ZERO,
+        read_interval: Duration::from_millis(20),
+        relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_secs(1),
         longest_pause: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
@@ -131,8 +131,8 @@
     let cfg = FollowConfig {
         topic: Topic::Settings,
         wait: Duration::from_secs(3),
-        pace: Duration::from_secs(3),
-        second_hand_pace: Duration::ZERO,
+        read_interval: Duration::from_secs(3),
+        relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_secs(1),
         longest_pause: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
@@ -194,8 +194,8 @@
     let cfg = FollowConfig {
         topic: Topic::Settings,
         wait,
-        pace: Duration::from_secs(60),
-        second_hand_pace: Duration::ZERO,
+        read_interval: Duration::from_secs(60),
+        relayed_read_interval: Duration::ZERO,
         timeout,
         longest_pause: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
--- a/crates/nearby/src/config.rs
+++ b/crates/nearby/src/config.rs
@@ -71,11 +71,11 @@
 
 impl NearbyConfig {
     /// Makes the limits under which a change of the settings is in force within `settings`, and one
-    /// of the upstreams, which readers read each `pace`, 1.3 s after that time.
-    pub fn new(settings: Duration, pace: Duration) -> Self {
+    /// of the upstreams, which readers read each `read_interval`, 1.3 s after that time.
+    pub fn new(settings: Duration, read_interval: Duration) -> Self {
         Self {
             settings_age: settings.saturating_sub(LAST_CALLS).max(READER_WAIT + LATE),
-            upstreams_age: pace + LATE,
+            upstreams_age: read_interval + LATE,
             wait: NEIGHBOUR_WAIT,
             readers: READERS,
             own_pause: ENTRY_PAUSE,
--- a/crates/nearby/tests/common/mod.rs
+++ b/crates/nearby/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) use wagtailreel_standins::ready_upstream as upstream;
 
 /// Time between two reads of the upstreams.
-pub(crate) const PACE: Duration = Duration::from_millis(300);
+pub(crate) const READ_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What one entry believes.
 #[derive(Debug, Default)]
@@ -55,8 +55,8 @@
     let cfg = FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
-        pace: PACE,
-        second_hand_pace: Duration::ZERO,
+        read_interval: READ_INTERVAL,
+        relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_millis(500),
         longest_pause: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
@@ -108,7 +108,7 @@
         let neighbours = Arc::new(Neighbours::new(addr));
         let registry = Nearby::new(
             store.clone(),
-            NearbyConfig::new(Duration::from_secs(2), PACE),
+            NearbyConfig::new(Duration::from_secs(2), READ_INTERVAL),
             Arc::clone(&neighbours),
         )
         .with_mirror(Arc::clone(&mirror));
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -191,8 +191,8 @@
     FollowConfig {
         topic: Topic::Settings,
         wait: Duration::ZERO,
-        pace: SETTINGS_PACE,
-        second_hand_pace: SETTINGS_PACE,
+        read_interval: SETTINGS_PACE,
+        relayed_read_interval: SETTINGS_PACE,
         timeout: READ_TIMEOUT,
         longest_pause: LONGEST_PAUSE,
         lapse_hold: Duration::ZERO,
