--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -81,7 +81,7 @@
                 let read_interval = match applied.as_of {
                     // There is more to read.
                     None => Duration::ZERO,
-                    Some(_) if applied.is_second_hand => cfg.relayed_read_interval,
+                    Some(_) if applied.is_relayed => cfg.relayed_read_interval,
                     // Nothing came; the registry held the call.
                     Some(_) if applied.changes.is_empty() => cfg.read_interval,
                     Some(_) => cfg.read_interval.max((took * 2).min(MAX_READ_INTERVAL)),
--- a/crates/fleet/src/follower.rs
+++ b/crates/fleet/src/follower.rs
@@ -26,7 +26,7 @@
     /// The registry answers again after it was away.
     pub is_back: bool,
     /// The answer came from another process, which waits for news without a call of its own.
-    pub is_second_hand: bool,
+    pub is_relayed: bool,
 }
 
 /// Follows one topic.
@@ -105,7 +105,7 @@
             changes,
             as_of: Some(snapshot.as_of),
             is_back,
-            is_second_hand: snapshot.is_second_hand,
+            is_relayed: snapshot.is_relayed,
         }
     }
 
@@ -122,7 +122,7 @@
             changes,
             as_of: (!is_behind).then_some(page.as_of),
             is_back,
-            is_second_hand: page.is_second_hand,
+            is_relayed: page.is_relayed,
         }
     }
 
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -61,7 +61,7 @@
     /// The latest moment at which this is known to have been the registry's state.
     pub as_of: BootTime,
     /// Another process answered in place of the registry.
-    pub is_second_hand: bool,
+    pub is_relayed: bool,
 }
 
 /// Some records in order.
@@ -76,7 +76,7 @@
     /// The latest moment at which this is known to have been the registry's state.
     pub as_of: BootTime,
     /// Another process answered in place of the registry.
-    pub is_second_hand: bool,
+    pub is_relayed: bool,
 }
 
 impl Page {
--- a/crates/fleet/tests/follower.rs
+++ b/crates/fleet/tests/follower.rs
@@ -38,7 +38,7 @@
         items: items.collect(),
         end: 10,
         as_of: at(0),
-        is_second_hand: false,
+        is_relayed: false,
     };
     follower.newest(snapshot, at(1));
     follower
@@ -50,7 +50,7 @@
         next,
         end: next,
         as_of: at(0),
-        is_second_hand: false,
+        is_relayed: false,
     }
 }
 
@@ -162,7 +162,7 @@
         items: vec![keyed(45, upstream("b"))],
         end: 50,
         as_of: at(100),
-        is_second_hand: false,
+        is_relayed: false,
     };
     let applied = follower.newest(snapshot, at(101));
     assert!(applied.changes.contains(&gone("a")), "it is missing");
@@ -176,7 +176,7 @@
         items: vec![keyed(20, upstream("a"))],
         end: 15,
         as_of: at(0),
-        is_second_hand: false,
+        is_relayed: false,
     };
     follower.newest(snapshot, at(1));
     let items = vec![keyed(15, upstream("a"))];
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -307,7 +307,7 @@
                 items: records.items,
                 end: records.next,
                 as_of,
-                is_second_hand: true,
+                is_relayed: true,
             },
             Ok(Heard::Expired(_)) => {
                 let call = self.registry.newest(topic, timeout);
@@ -343,7 +343,7 @@
                 next: records.next,
                 end: records.next,
                 as_of,
-                is_second_hand: true,
+                is_relayed: true,
             },
             // In a burst the neighbour reads the newest of each key, time and again; all that follow
             // it would read the registry themselves.
--- a/crates/nearby/tests/mirror.rs
+++ b/crates/nearby/tests/mirror.rs
@@ -23,7 +23,7 @@
         items,
         end,
         as_of: BootTime::now(),
-        is_second_hand: false,
+        is_relayed: false,
     }
 }
 
@@ -33,7 +33,7 @@
         next,
         end: next,
         as_of: BootTime::now(),
-        is_second_hand: false,
+        is_relayed: false,
     }
 }
 
@@ -55,7 +55,7 @@
     first.mirror.take_page(TOPIC, 7, &page(again, 8));
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await.unwrap();
-    assert!(read.is_second_hand);
+    assert!(read.is_relayed);
     let offsets: Vec<u64> = read.items.iter().map(|item| item.offset).collect();
     assert_eq!(offsets, vec![6, 7]);
     assert_eq!(read.next, 8);
--- a/crates/nearby/tests/reading.rs
+++ b/crates/nearby/tests/reading.rs
@@ -103,7 +103,7 @@
     second.hear(&first);
     let newest = second.registry.newest(Topic::Settings, TIMEOUT);
     let newest = newest.await.unwrap();
-    assert!(newest.is_second_hand);
+    assert!(newest.is_relayed);
     assert!(newest.as_of <= read_at, "{:?} {read_at:?}", newest.as_of);
     let slack = Duration::from_millis(200);
     assert!(newest.as_of.plus(slack) >= read_by, "nor for much older");
@@ -132,7 +132,7 @@
     second.hear(&first);
     let newest = second.registry.newest(Topic::Settings, TIMEOUT);
     let newest = newest.await.unwrap();
-    assert!(newest.is_second_hand);
+    assert!(newest.is_relayed);
     let change = newest.items.into_iter().next().unwrap().change;
     assert_eq!(change, Change::Config(Box::new(directory)));
 }
@@ -157,7 +157,7 @@
         second.registry.newest(Topic::Settings, TIMEOUT),
     );
     naming.await.unwrap();
-    assert!(!one.unwrap().is_second_hand);
-    assert!(two.unwrap().is_second_hand);
+    assert!(!one.unwrap().is_relayed);
+    assert!(two.unwrap().is_relayed);
     assert_eq!(second.store.calls(), 0);
 }
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -123,7 +123,7 @@
             next,
             end,
             as_of,
-            is_second_hand: false,
+            is_relayed: false,
         }
     }
 
@@ -157,7 +157,7 @@
             items,
             end,
             as_of: sent,
-            is_second_hand: false,
+            is_relayed: false,
         })
     }
 
