--- a/crates/fleet/src/follower.rs
+++ b/crates/fleet/src/follower.rs
@@ -44,7 +44,7 @@
     known: BTreeMap<UpstreamId, Offset>,
     /// Upstreams whose removal is not believed before this moment.
     doubted: BTreeMap<UpstreamId, BootTime>,
-    is_away: bool,
+    is_unreachable: bool,
     known_as_of: Option<BootTime>,
     hold_until: Option<BootTime>,
 }
@@ -60,7 +60,7 @@
             burst_end: None,
             known: BTreeMap::new(),
             doubted: BTreeMap::new(),
-            is_away: false,
+            is_unreachable: false,
             known_as_of: None,
             hold_until: None,
         }
@@ -72,8 +72,8 @@
     }
 
     /// Says whether the registry did not answer the last call.
-    pub const fn is_away(&self) -> bool {
-        self.is_away
+    pub const fn is_unreachable(&self) -> bool {
+        self.is_unreachable
     }
 
     /// Takes the newest record of each key.
@@ -132,14 +132,14 @@
             self.next = None;
             return false;
         }
-        let was_there = !self.is_away;
-        self.is_away = true;
+        let was_there = !self.is_unreachable;
+        self.is_unreachable = true;
         was_there
     }
 
     /// Returns the removals whose time to be doubted is over.
     pub fn due(&mut self, now: BootTime) -> Vec<Change> {
-        if self.is_away {
+        if self.is_unreachable {
             return Vec::new();
         }
         let due: Vec<UpstreamId> = self
@@ -162,7 +162,7 @@
     }
 
     fn answered(&mut self, as_of: BootTime, now: BootTime) -> bool {
-        let is_back = self.is_away;
+        let is_back = self.is_unreachable;
         let before = self.known_as_of.replace(as_of);
         let may_have_lapsed = before.is_none_or(|at| now.since(at) >= self.lapse_after);
         if is_back && may_have_lapsed {
@@ -172,7 +172,7 @@
                 *doubted = until;
             }
         }
-        self.is_away = false;
+        self.is_unreachable = false;
         is_back
     }
 
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -113,7 +113,7 @@
     },
     /// No answer came.
     #[snafu(display("the registry can't be reached ({reason}): check its address and its links"))]
-    Away {
+    Unreachable {
         /// What happened.
         reason: String,
     },
@@ -133,7 +133,7 @@
 impl RegistryError {
     /// Says whether the registry was called and did not answer as it should.
     pub const fn is_unanswered(&self) -> bool {
-        matches!(self, Self::Refused { .. } | Self::Away { .. })
+        matches!(self, Self::Refused { .. } | Self::Unreachable { .. })
     }
 }
 
--- a/crates/fleet/tests/follower.rs
+++ b/crates/fleet/tests/follower.rs
@@ -24,8 +24,8 @@
     Change::Gone(id.to_owned())
 }
 
-fn away() -> RegistryError {
-    RegistryError::Away {
+fn unreachable_error() -> RegistryError {
+    RegistryError::Unreachable {
         reason: "no answer".to_owned(),
     }
 }
@@ -107,8 +107,11 @@
 #[rstest]
 fn removal_after_outage() {
     let mut follower = knows(&["a", "b"]);
-    assert!(follower.failed(&away()), "the first failure is news");
-    assert!(!follower.failed(&away()));
+    assert!(
+        follower.failed(&unreachable_error()),
+        "the first failure is news"
+    );
+    assert!(!follower.failed(&unreachable_error()));
     let items = vec![keyed(10, gone("a")), keyed(11, gone("b"))];
     let applied = follower.page(page(items, 12), at(5000));
     assert!(applied.is_back);
@@ -127,7 +130,7 @@
 #[case::long(1600, vec![])]
 fn short_outage(#[case] back_at: u64, #[case] changes: Vec<Change>) {
     let mut follower = knows(&["a"]);
-    follower.failed(&away());
+    follower.failed(&unreachable_error());
     let mut page = page(vec![keyed(10, gone("a"))], 11);
     page.as_of = at(back_at);
     let applied = follower.page(page, at(back_at));
@@ -138,10 +141,10 @@
 #[rstest]
 fn second_outage() {
     let mut follower = knows(&["a"]);
-    follower.failed(&away());
+    follower.failed(&unreachable_error());
     let items = vec![keyed(10, gone("a"))];
     follower.page(page(items, 11), at(5000));
-    follower.failed(&away());
+    follower.failed(&unreachable_error());
     assert_eq!(
         follower.due(at(9000)),
         vec![],
@@ -156,7 +159,7 @@
 fn deleted_records() {
     let mut follower = knows(&["a", "b"]);
     assert!(!follower.failed(&RegistryError::Expired { first: 40 }));
-    assert!(!follower.is_away(), "the registry did answer");
+    assert!(!follower.is_unreachable(), "the registry did answer");
     assert_eq!(follower.step(), Step::Newest);
     let snapshot = Snapshot {
         items: vec![keyed(45, upstream("b"))],
--- a/crates/nearby/tests/mirror.rs
+++ b/crates/nearby/tests/mirror.rs
@@ -132,7 +132,10 @@
     second.store.set_away(true);
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await;
-    assert!(matches!(read, Err(RegistryError::Away { .. })), "{read:?}");
+    assert!(
+        matches!(read, Err(RegistryError::Unreachable { .. })),
+        "{read:?}"
+    );
 }
 
 /// A late record of an older version doesn't take the place of a newer one, in pages and snapshots.
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -99,7 +99,7 @@
             let refused = &self.inner.refused;
             refused.send_modify(|refused| *refused.entry(topic).or_default() += 1);
             let reason = "told to be away".to_owned();
-            return Err(RegistryError::Away { reason });
+            return Err(RegistryError::Unreachable { reason });
         }
         Ok(())
     }
