--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -13,7 +13,9 @@
 use tokio_util::sync::CancellationToken;
 use wagtailreel_adapters::bind;
 use wagtailreel_fleet::{FollowConfig, Registry, Topic, follow};
-use wagtailreel_nearby::{CallCounters, Mirror, Nearby, NearbyConfig, Neighbours, Seeds};
+use wagtailreel_nearby::{
+    CallCounters, Mirror, Neighbours, Seeds, SharedRegistry, SharedRegistryConfig,
+};
 use wagtailreel_route::direct::NamingBounds;
 use wagtailreel_serve::{ConnectionCounters, LONGEST_UNUSED, Phase, Routes, Server};
 use wagtailreel_settings::DirectEntrySettings;
@@ -170,9 +172,9 @@
         let neighbours = Arc::new(Neighbours::new(own));
         let far = FarWords::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
         let far = Arc::new(far);
-        let registry = Nearby::new(
+        let registry = SharedRegistry::new(
             registry,
-            NearbyConfig::new(cx.settings.bounds.denial, read_interval),
+            SharedRegistryConfig::new(cx.settings.bounds.denial, read_interval),
             Arc::clone(&neighbours),
         )
         .with_mirror(Arc::clone(&mirror))
--- a/crates/nearby/src/config.rs
+++ b/crates/nearby/src/config.rs
@@ -47,7 +47,7 @@
 
 /// How old a neighbour's knowledge may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NearbyConfig {
+pub struct SharedRegistryConfig {
     /// Of the settings.
     pub settings_age: Duration,
     /// Of the upstreams.
@@ -69,7 +69,7 @@
     pub start_wait: Duration,
 }
 
-impl NearbyConfig {
+impl SharedRegistryConfig {
     /// Makes the limits under which a change of the settings is in force within `settings`, and one
     /// of the upstreams, which readers read each `read_interval`, 1.3 s after that time.
     pub fn new(settings: Duration, read_interval: Duration) -> Self {
--- a/crates/nearby/src/lib.rs
+++ b/crates/nearby/src/lib.rs
@@ -1,6 +1,6 @@
 //! One reader of the registry in each data centre, and copies for its neighbours.
 //!
-//! Each entry keeps a [`Mirror`] of what it last read and gives it to others. [`Nearby`] is a
+//! Each entry keeps a [`Mirror`] of what it last read and gives it to others. [`SharedRegistry`] is a
 //! [`Registry`](wagtailreel_fleet::Registry) that reads from the first entry of the data centre and
 //! goes to the registry itself if that entry is silent, behind, or itself. Which entry is first
 //! follows from what agents say they are asked by ([`Neighbours`]): there is no election, and two
@@ -26,11 +26,11 @@
 mod wire;
 
 pub use calls::CallCounters;
-pub use config::NearbyConfig;
+pub use config::SharedRegistryConfig;
 pub use mirror::Mirror;
 pub use neighbours::Neighbours;
 pub use own_turn::OwnTurn;
-pub use registry::Nearby;
+pub use registry::SharedRegistry;
 pub use seeds::Seeds;
 pub use serve::router;
 pub use stand_in::StandIn;
--- a/crates/nearby/src/pauses.rs
+++ b/crates/nearby/src/pauses.rs
@@ -5,7 +5,7 @@
 
 use wagtailreel_core::rank_score;
 
-use crate::NearbyConfig;
+use crate::SharedRegistryConfig;
 
 /// How long a process waits before it reads the registry itself.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
 }
 
 impl Pauses {
-    pub(crate) fn new(cfg: &NearbyConfig, own: SocketAddr) -> Self {
+    pub(crate) fn new(cfg: &SharedRegistryConfig, own: SocketAddr) -> Self {
         let share = share_of(own);
         Self {
             own: cfg.own_pause + cfg.own_pause.mul_f64(share / 2.0),
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -12,7 +12,9 @@
 use crate::config::READER_WAIT;
 use crate::neighbour::{Heard, Known, NeighbourClient, NeighbourError, Question};
 use crate::pauses::Pauses;
-use crate::{CallCounters, Mirror, NearbyConfig, Neighbours, OwnTurn, Seeds, StandIn, events};
+use crate::{
+    CallCounters, Mirror, Neighbours, OwnTurn, Seeds, SharedRegistryConfig, StandIn, events,
+};
 
 /// How long after a neighbour's question this entry reads for it.
 const READS_FOR: Duration = Duration::from_secs(2);
@@ -32,10 +34,10 @@
 
 /// The registry, read through a neighbour where there is one.
 #[derive(Clone, Debug)]
-pub struct Nearby<R> {
+pub struct SharedRegistry<R> {
     registry: R,
     client: NeighbourClient,
-    cfg: NearbyConfig,
+    cfg: SharedRegistryConfig,
     /// Where what was read is kept for others.
     mirror: Option<Arc<Mirror>>,
     neighbours: Arc<Neighbours>,
@@ -50,12 +52,12 @@
     counters: Option<CallCounters>,
 }
 
-impl<R> Nearby<R>
+impl<R> SharedRegistry<R>
 where
     R: Registry,
 {
     /// Makes a view of `registry` for a process that gives nothing to others.
-    pub fn new(registry: R, cfg: NearbyConfig, neighbours: Arc<Neighbours>) -> Self {
+    pub fn new(registry: R, cfg: SharedRegistryConfig, neighbours: Arc<Neighbours>) -> Self {
         let pauses = Pauses::new(&cfg, neighbours.own());
         Self {
             registry,
@@ -291,7 +293,7 @@
     }
 }
 
-impl<R> Registry for Nearby<R>
+impl<R> Registry for SharedRegistry<R>
 where
     R: Registry,
 {
--- a/crates/nearby/tests/common/mod.rs
+++ b/crates/nearby/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use wagtailreel_fleet::{BootTime, Change, FollowConfig, Sink, Topic, follow};
-use wagtailreel_nearby::{Mirror, Nearby, NearbyConfig, Neighbours, router};
+use wagtailreel_nearby::{Mirror, Neighbours, SharedRegistry, SharedRegistryConfig, router};
 use wagtailreel_standins::RegistryStandin;
 #[allow(unused_imports, reason = "each test program uses a part")]
 pub(crate) use wagtailreel_standins::ready_upstream as upstream;
@@ -83,7 +83,7 @@
     pub(crate) store: RegistryStandin,
     pub(crate) mirror: Arc<Mirror>,
     pub(crate) neighbours: Arc<Neighbours>,
-    pub(crate) registry: Nearby<RegistryStandin>,
+    pub(crate) registry: SharedRegistry<RegistryStandin>,
     serving: JoinHandle<()>,
 }
 
@@ -106,9 +106,9 @@
         let addr = listener.local_addr().unwrap();
         let mirror = Arc::new(Mirror::default());
         let neighbours = Arc::new(Neighbours::new(addr));
-        let registry = Nearby::new(
+        let registry = SharedRegistry::new(
             store.clone(),
-            NearbyConfig::new(Duration::from_secs(2), READ_INTERVAL),
+            SharedRegistryConfig::new(Duration::from_secs(2), READ_INTERVAL),
             Arc::clone(&neighbours),
         )
         .with_mirror(Arc::clone(&mirror));
--- a/crates/nearby/tests/seeds.rs
+++ b/crates/nearby/tests/seeds.rs
@@ -10,7 +10,7 @@
 use common::{Entry, upstream};
 use rstest::rstest;
 use wagtailreel_fleet::{BootTime, Change, ClientLimits, Directory, Registry as _, Topic};
-use wagtailreel_nearby::{Nearby, NearbyConfig, Neighbours, Seeds};
+use wagtailreel_nearby::{Neighbours, Seeds, SharedRegistry, SharedRegistryConfig};
 use wagtailreel_standins::RegistryStandin;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -28,7 +28,7 @@
 /// A process that nobody has asked yet.
 struct Newcomer {
     store: RegistryStandin,
-    registry: Nearby<RegistryStandin>,
+    registry: SharedRegistry<RegistryStandin>,
 }
 
 impl Newcomer {
@@ -37,8 +37,8 @@
         let own = SocketAddr::from(([127, 0, 0, 9], entry.addr.port()));
         let store = RegistryStandin::default();
         store.config(directory());
-        let cfg = NearbyConfig::seldom(Duration::from_secs(4));
-        let registry = Nearby::new(store.clone(), cfg, Arc::new(Neighbours::of_a_guest()))
+        let cfg = SharedRegistryConfig::seldom(Duration::from_secs(4));
+        let registry = SharedRegistry::new(store.clone(), cfg, Arc::new(Neighbours::of_a_guest()))
             .with_seeds(Seeds::new(own, seeds));
         Self { store, registry }
     }
@@ -48,7 +48,7 @@
     }
 }
 
-async fn config_at(registry: &Nearby<RegistryStandin>) -> Change {
+async fn config_at(registry: &SharedRegistry<RegistryStandin>) -> Change {
     let newest = registry.newest(Topic::Settings, TIMEOUT).await;
     newest.unwrap().items.into_iter().next().unwrap().change
 }
@@ -121,8 +121,9 @@
 #[tokio::test]
 async fn seed_reads_at_once(#[case] topic: Topic) {
     let store = RegistryStandin::default();
-    let cfg = NearbyConfig::seldom(Duration::from_secs(4));
-    let registry = Nearby::new(store, cfg, Arc::new(Neighbours::of_a_guest())).with_is_seed(true);
+    let cfg = SharedRegistryConfig::seldom(Duration::from_secs(4));
+    let registry =
+        SharedRegistry::new(store, cfg, Arc::new(Neighbours::of_a_guest())).with_is_seed(true);
     let began = Instant::now();
     registry.newest(topic, TIMEOUT).await.unwrap();
     assert!(began.elapsed() < cfg.start_wait / 2, "it waits for nobody");
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -16,7 +16,7 @@
 use wagtailreel_adapters::HttpClient;
 use wagtailreel_core::VmEntry;
 use wagtailreel_fleet::{FollowConfig, Registry, Topic, follow};
-use wagtailreel_nearby::{CallCounters, Nearby, NearbyConfig, Neighbours, Seeds};
+use wagtailreel_nearby::{CallCounters, Neighbours, Seeds, SharedRegistry, SharedRegistryConfig};
 use wagtailreel_serve::{ConnectionCounters, Phase, Routes, Server};
 use wagtailreel_settings::StagingAgentSettings;
 use wagtailreel_telemetry::{encode_metrics, lines_dropped};
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub(crate) struct Surroundings<R, E, O> {
     pub(crate) settings: StagingAgentSettings,
-    pub(crate) registry: Nearby<R>,
+    pub(crate) registry: SharedRegistry<R>,
     pub(crate) engine: E,
     pub(crate) origin: O,
     pub(crate) client: HttpClient,
@@ -123,9 +123,9 @@
         let (tx, rx) = unbounded_channel();
         let shelf = Arc::new(Shelf::default());
         let neighbours = Arc::new(Neighbours::of_a_guest());
-        let registry = Nearby::new(
+        let registry = SharedRegistry::new(
             registry,
-            NearbyConfig::seldom(OLDEST_LIST),
+            SharedRegistryConfig::seldom(OLDEST_LIST),
             Arc::clone(&neighbours),
         )
         .with_seeds(Seeds::new(addr, &settings.seeds))
