--- a/crates/nearby/src/config.rs
+++ b/crates/nearby/src/config.rs
@@ -86,7 +86,7 @@
     }
 
     /// Makes the limits of a process that asks now and then, and does not wait for news.
-    pub const fn seldom(age: Duration) -> Self {
+    pub const fn for_non_reader(age: Duration) -> Self {
         Self {
             settings_age: age,
             upstreams_age: age,
--- a/crates/nearby/src/neighbours.rs
+++ b/crates/nearby/src/neighbours.rs
@@ -72,7 +72,7 @@
     }
 
     /// Makes the neighbours of a process that never reads for others, and so always comes last.
-    pub fn of_a_guest() -> Self {
+    pub fn for_non_reader() -> Self {
         Self::new(SocketAddr::from(([255, 255, 255, 255], u16::MAX)))
     }
 
--- a/crates/nearby/tests/seeds.rs
+++ b/crates/nearby/tests/seeds.rs
@@ -37,9 +37,10 @@
         let own = SocketAddr::from(([127, 0, 0, 9], entry.addr.port()));
         let store = RegistryStandin::default();
         store.config(directory());
-        let cfg = SharedRegistryConfig::seldom(Duration::from_secs(4));
-        let registry = SharedRegistry::new(store.clone(), cfg, Arc::new(Neighbours::of_a_guest()))
-            .with_seeds(Seeds::new(own, seeds));
+        let cfg = SharedRegistryConfig::for_non_reader(Duration::from_secs(4));
+        let registry =
+            SharedRegistry::new(store.clone(), cfg, Arc::new(Neighbours::for_non_reader()))
+                .with_seeds(Seeds::new(own, seeds));
         Self { store, registry }
     }
 
@@ -121,9 +122,9 @@
 #[tokio::test]
 async fn seed_reads_at_once(#[case] topic: Topic) {
     let store = RegistryStandin::default();
-    let cfg = SharedRegistryConfig::seldom(Duration::from_secs(4));
+    let cfg = SharedRegistryConfig::for_non_reader(Duration::from_secs(4));
     let registry =
-        SharedRegistry::new(store, cfg, Arc::new(Neighbours::of_a_guest())).with_is_seed(true);
+        SharedRegistry::new(store, cfg, Arc::new(Neighbours::for_non_reader())).with_is_seed(true);
     let began = Instant::now();
     registry.newest(topic, TIMEOUT).await.unwrap();
     assert!(began.elapsed() < cfg.start_wait / 2, "it waits for nobody");
@@ -169,7 +170,7 @@
 fn seed_until_named() {
     let now = BootTime::now();
     let addr = |host| SocketAddr::from(([10, 0, 0, host], 7700));
-    let neighbours = Neighbours::of_a_guest();
+    let neighbours = Neighbours::for_non_reader();
     neighbours.introduce(addr(1));
     assert_eq!(neighbours.candidates(now), [addr(1)]);
     neighbours.hear(&[addr(2)], now);
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -122,10 +122,10 @@
         let counters = ConnectionCounters::register(&prometheus).context(MetricsSnafu)?;
         let (tx, rx) = unbounded_channel();
         let shelf = Arc::new(Shelf::default());
-        let neighbours = Arc::new(Neighbours::of_a_guest());
+        let neighbours = Arc::new(Neighbours::for_non_reader());
         let registry = SharedRegistry::new(
             registry,
-            SharedRegistryConfig::seldom(OLDEST_LIST),
+            SharedRegistryConfig::for_non_reader(OLDEST_LIST),
             Arc::clone(&neighbours),
         )
         .with_seeds(Seeds::new(addr, &settings.seeds))
