--- a/crates/nearby/src/own_turn.rs
+++ b/crates/nearby/src/backoff.rs
@@ -14,12 +14,12 @@
 /// A call that failed holds back those of its own topic alone: a large configuration may not come over a link
 /// that brings the upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnTurn {
+pub struct RegistryBackoff {
     pause: Duration,
     failed_at: BTreeMap<Topic, BootTime>,
 }
 
-impl OwnTurn {
+impl RegistryBackoff {
     /// Makes the turn of a process that waits for `pause` after a call that failed.
     pub const fn new(pause: Duration) -> Self {
         Self {
--- a/crates/nearby/src/lib.rs
+++ b/crates/nearby/src/lib.rs
@@ -6,17 +6,17 @@
 //! follows from what agents say they are asked by ([`Neighbours`]): there is no election, and two
 //! readers at once cost calls, nothing else. A process that starts reads from the nearest of its [`Seeds`]
 //! until it is told of its neighbours. While the registry does not answer, only the first ones
-//! go on asking it ([`OwnTurn`]), and the others hear of its return from them. While it answers slowly,
+//! go on asking it ([`RegistryBackoff`]), and the others hear of its return from them. While it answers slowly,
 //! others read beside those one after the other ([`StandIn`]). A copy always carries the age of what
 //! it says, so that a bound on a belief's age holds however many hands the belief went through.
 
+mod backoff;
 mod calls;
 mod config;
 pub mod events;
 mod mirror;
 mod neighbour;
 mod neighbours;
-mod own_turn;
 pub mod packing;
 mod pauses;
 mod registry;
@@ -25,11 +25,11 @@
 mod stand_in;
 mod wire;
 
+pub use backoff::RegistryBackoff;
 pub use calls::CallCounters;
 pub use config::SharedRegistryConfig;
 pub use mirror::Mirror;
 pub use neighbours::Neighbours;
-pub use own_turn::OwnTurn;
 pub use registry::SharedRegistry;
 pub use seeds::Seeds;
 pub use serve::router;
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -13,7 +13,7 @@
 use crate::neighbour::{Heard, Known, NeighbourClient, NeighbourError, Question};
 use crate::pauses::Pauses;
 use crate::{
-    CallCounters, Mirror, Neighbours, OwnTurn, Seeds, SharedRegistryConfig, StandIn, events,
+    CallCounters, Mirror, Neighbours, RegistryBackoff, Seeds, SharedRegistryConfig, StandIn, events,
 };
 
 /// How long after a neighbour's question this entry reads for it.
@@ -47,7 +47,7 @@
     start: Arc<Mutex<Start>>,
     /// Processes that start together read from this one, which waits for none of them.
     is_seed: bool,
-    own_turn: Arc<Mutex<OwnTurn>>,
+    backoff: Arc<Mutex<RegistryBackoff>>,
     stand_in: Arc<Mutex<StandIn>>,
     counters: Option<CallCounters>,
 }
@@ -69,7 +69,7 @@
             reader: Arc::default(),
             start: Arc::default(),
             is_seed: false,
-            own_turn: Arc::new(Mutex::new(OwnTurn::new(pauses.own))),
+            backoff: Arc::new(Mutex::new(RegistryBackoff::new(pauses.own))),
             stand_in: Arc::new(Mutex::new(StandIn::new(pauses.stand_in))),
             counters: None,
         }
@@ -231,7 +231,7 @@
         }
         let sent = BootTime::now();
         let is_reader = self.neighbours.place(sent) < self.cfg.readers;
-        if !self.lock_turn().is_due(topic, is_reader, sent) {
+        if !self.lock_backoff().is_due(topic, is_reader, sent) {
             return Err(RegistryError::NotCalled);
         }
         self.note_reader(topic, None);
@@ -242,11 +242,11 @@
         let now = BootTime::now();
         let outcome = match &answer {
             Ok(_) | Err(RegistryError::Expired { .. }) => {
-                self.lock_turn().answered();
+                self.lock_backoff().answered();
                 "answered"
             }
             Err(_) => {
-                self.lock_turn().failed(topic, now);
+                self.lock_backoff().failed(topic, now);
                 "failed"
             }
         };
@@ -265,8 +265,8 @@
         answer
     }
 
-    fn lock_turn(&self) -> MutexGuard<'_, OwnTurn> {
-        self.own_turn.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_backoff(&self) -> MutexGuard<'_, RegistryBackoff> {
+        self.backoff.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Tells once that a topic comes from somewhere else than before.
--- a/crates/nearby/tests/own_turn.rs
+++ b/crates/nearby/tests/backoff.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{BootTime, Topic};
-use wagtailreel_nearby::OwnTurn;
+use wagtailreel_nearby::RegistryBackoff;
 
 fn at(ms: u64) -> BootTime {
     BootTime::new(Duration::from_millis(ms))
@@ -15,19 +15,19 @@
 #[case::too_soon(false, 999, false)]
 #[case::rested(false, 1000, true)]
 fn after_failure(#[case] is_reader: bool, #[case] after: u64, #[case] is_due: bool) {
-    let mut turn = OwnTurn::new(Duration::from_secs(1));
+    let mut backoff = RegistryBackoff::new(Duration::from_secs(1));
     assert!(
-        turn.is_due(Topic::Settings, false, at(500)),
+        backoff.is_due(Topic::Settings, false, at(500)),
         "nothing failed yet"
     );
-    turn.failed(Topic::Settings, at(500));
+    backoff.failed(Topic::Settings, at(500));
     assert_eq!(
-        turn.is_due(Topic::Settings, is_reader, at(500 + after)),
+        backoff.is_due(Topic::Settings, is_reader, at(500 + after)),
         is_due
     );
-    turn.answered();
+    backoff.answered();
     assert!(
-        turn.is_due(Topic::Settings, false, at(501)),
+        backoff.is_due(Topic::Settings, false, at(501)),
         "it answers again"
     );
 }
