--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -51,7 +51,7 @@
         }
         let (place, (ip, share)) = answers?;
         let ask = PermitRequest {
-            is_stand_in: place > 0,
+            is_fallback: place > 0,
             ..ask(&pick.id, limit.per_second() * share, named_at)
         };
         agents.ask_permit(ip, ask).await
@@ -113,6 +113,6 @@
         per_second,
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         is_withdrawn: false,
-        is_stand_in: false,
+        is_fallback: false,
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -173,7 +173,7 @@
     pub is_withdrawn: bool,
     /// The asked one gives in place of another that doesn't answer the asker, and may answer others.
     #[serde(rename = "i", default, skip_serializing_if = "std::ops::Not::not")]
-    pub is_stand_in: bool,
+    pub is_fallback: bool,
 }
 
 /// An agent's answer.
--- a/crates/route/src/direct/permits.rs
+++ b/crates/route/src/direct/permits.rs
@@ -75,7 +75,7 @@
             self.withdrawn(&ask.upstream, at);
             return None;
         }
-        let depth = if ask.is_stand_in {
+        let depth = if ask.is_fallback {
             STAND_IN_DEPTH
         } else {
             DEPTH
--- a/crates/route/tests/permits.rs
+++ b/crates/route/tests/permits.rs
@@ -26,7 +26,7 @@
         per_second,
         age_ms,
         is_withdrawn: false,
-        is_stand_in: false,
+        is_fallback: false,
     }
 }
 
@@ -81,7 +81,7 @@
             for (place, (share, permits)) in givers.iter_mut().enumerate() {
                 let age_ms = u32::try_from(at.as_millis()).unwrap();
                 let ask = PermitRequest {
-                    is_stand_in: place > 0,
+                    is_fallback: place > 0,
                     ..ask(per_second * *share, age_ms)
                 };
                 while permits.answer(&ask, now).unwrap().wait_ms == 0 {
