--- a/crates/nearby/src/stand_in.rs
+++ b/crates/nearby/src/fallback.rs
@@ -14,7 +14,7 @@
 /// one after the other, each after a time of its own, and each new word from a reader begins the wait
 /// anew.
 #[derive(Clone, Debug)]
-pub struct StandIn {
+pub struct FallbackRead {
     after: Duration,
     waits: BTreeMap<Topic, Wait>,
 }
@@ -27,7 +27,7 @@
     as_of: Option<BootTime>,
 }
 
-impl StandIn {
+impl FallbackRead {
     /// Makes the turn of a process that waits for its readers for the time `after`.
     pub const fn new(after: Duration) -> Self {
         Self {
--- a/crates/nearby/src/lib.rs
+++ b/crates/nearby/src/lib.rs
@@ -7,13 +7,14 @@
 //! readers at once cost calls, nothing else. A process that starts reads from the nearest of its [`Seeds`]
 //! until it is told of its neighbours. While the registry does not answer, only the first ones
 //! go on asking it ([`RegistryBackoff`]), and the others hear of its return from them. While it answers slowly,
-//! others read beside those one after the other ([`StandIn`]). A copy always carries the age of what
+//! others read beside those one after the other ([`FallbackRead`]). A copy always carries the age of what
 //! it says, so that a bound on a belief's age holds however many hands the belief went through.
 
 mod backoff;
 mod calls;
 mod config;
 pub mod events;
+mod fallback;
 mod mirror;
 mod neighbour;
 mod neighbours;
@@ -22,15 +23,14 @@
 mod registry;
 mod seeds;
 mod serve;
-mod stand_in;
 mod wire;
 
 pub use backoff::RegistryBackoff;
 pub use calls::CallCounters;
 pub use config::SharedRegistryConfig;
+pub use fallback::FallbackRead;
 pub use mirror::Mirror;
 pub use neighbours::Neighbours;
 pub use registry::SharedRegistry;
 pub use seeds::Seeds;
 pub use serve::router;
-pub use stand_in::StandIn;
--- a/crates/nearby/src/pauses.rs
+++ b/crates/nearby/src/pauses.rs
@@ -13,7 +13,7 @@
     /// After the registry did not answer.
     pub(crate) own: Duration,
     /// For neighbours that are reading.
-    pub(crate) stand_in: Duration,
+    pub(crate) fallback: Duration,
 }
 
 impl Pauses {
@@ -21,7 +21,7 @@
         let share = share_of(own);
         Self {
             own: cfg.own_pause + cfg.own_pause.mul_f64(share / 2.0),
-            stand_in: cfg.stand_in_after + cfg.stand_in_spread.mul_f64(share),
+            fallback: cfg.stand_in_after + cfg.stand_in_spread.mul_f64(share),
         }
     }
 }
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -13,7 +13,8 @@
 use crate::neighbour::{Heard, Known, NeighbourClient, NeighbourError, Question};
 use crate::pauses::Pauses;
 use crate::{
-    CallCounters, Mirror, Neighbours, RegistryBackoff, Seeds, SharedRegistryConfig, StandIn, events,
+    CallCounters, FallbackRead, Mirror, Neighbours, RegistryBackoff, Seeds, SharedRegistryConfig,
+    events,
 };
 
 /// How long after a neighbour's question this entry reads for it.
@@ -48,7 +49,7 @@
     /// Processes that start together read from this one, which waits for none of them.
     is_seed: bool,
     backoff: Arc<Mutex<RegistryBackoff>>,
-    stand_in: Arc<Mutex<StandIn>>,
+    fallback: Arc<Mutex<FallbackRead>>,
     counters: Option<CallCounters>,
 }
 
@@ -70,7 +71,7 @@
             start: Arc::default(),
             is_seed: false,
             backoff: Arc::new(Mutex::new(RegistryBackoff::new(pauses.own))),
-            stand_in: Arc::new(Mutex::new(StandIn::new(pauses.stand_in))),
+            fallback: Arc::new(Mutex::new(FallbackRead::new(pauses.fallback))),
             counters: None,
         }
     }
@@ -125,7 +126,7 @@
             match self.client.ask(*candidate, question, oldest).await {
                 Ok(heard) => {
                     self.note_reader(topic, Some(*candidate));
-                    self.lock_stand_in().heard(topic);
+                    self.lock_fallback().heard(topic);
                     return Ok(heard);
                 }
                 Err(err) => {
@@ -191,11 +192,11 @@
     fn waits_for_reader(&self, topic: Topic, as_of: Option<BootTime>) -> bool {
         let now = BootTime::now();
         let is_reader = self.neighbours.place(now) < self.cfg.readers;
-        !is_reader && !self.lock_stand_in().is_due(topic, as_of, now)
+        !is_reader && !self.lock_fallback().is_due(topic, as_of, now)
     }
 
-    fn lock_stand_in(&self) -> MutexGuard<'_, StandIn> {
-        self.stand_in.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_fallback(&self) -> MutexGuard<'_, FallbackRead> {
+        self.fallback.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes that a neighbour was no use.
--- a/crates/nearby/tests/stand_in.rs
+++ b/crates/nearby/tests/fallback.rs
@@ -8,7 +8,7 @@
 use common::{Entry, following, keep_told, upstream};
 use rstest::rstest;
 use wagtailreel_fleet::{BootTime, Topic};
-use wagtailreel_nearby::StandIn;
+use wagtailreel_nearby::FallbackRead;
 use wagtailreel_standins::RegistryStandin;
 
 const AFTER: Duration = Duration::from_millis(350);
@@ -21,31 +21,31 @@
 #[case::early(1_349, false)]
 #[case::due(1_350, true)]
 fn due_after(#[case] now: u64, #[case] is_due: bool) {
-    let mut stand_in = StandIn::new(AFTER);
-    assert!(!stand_in.is_due(Topic::Settings, None, at(1_000)));
-    assert_eq!(stand_in.is_due(Topic::Settings, None, at(now)), is_due);
+    let mut fallback = FallbackRead::new(AFTER);
+    assert!(!fallback.is_due(Topic::Settings, None, at(1_000)));
+    assert_eq!(fallback.is_due(Topic::Settings, None, at(now)), is_due);
 }
 
 /// Who heard what is young enough begins to wait anew.
 #[rstest]
 fn heard_again() {
-    let mut stand_in = StandIn::new(AFTER);
-    assert!(!stand_in.is_due(Topic::Settings, None, at(1_000)));
-    stand_in.heard(Topic::Settings);
-    assert!(!stand_in.is_due(Topic::Settings, None, at(9_000)));
-    assert!(!stand_in.is_due(Topic::Upstreams, None, at(9_000)));
+    let mut fallback = FallbackRead::new(AFTER);
+    assert!(!fallback.is_due(Topic::Settings, None, at(1_000)));
+    fallback.heard(Topic::Settings);
+    assert!(!fallback.is_due(Topic::Settings, None, at(9_000)));
+    assert!(!fallback.is_due(Topic::Upstreams, None, at(9_000)));
 }
 
 /// A reader that tells of later moments is waited for, however old they are.
 #[rstest]
 fn progress() {
-    let mut stand_in = StandIn::new(AFTER);
+    let mut fallback = FallbackRead::new(AFTER);
     for read in 0..20 {
         let now = 2_000 + 300 * read;
-        assert!(!stand_in.is_due(Topic::Settings, Some(at(now - 1_900)), at(now)));
+        assert!(!fallback.is_due(Topic::Settings, Some(at(now - 1_900)), at(now)));
     }
     let last = Some(at(2_000 + 300 * 19 - 1_900));
-    assert!(stand_in.is_due(Topic::Settings, last, at(2_000 + 300 * 19 + 350)));
+    assert!(fallback.is_due(Topic::Settings, last, at(2_000 + 300 * 19 + 350)));
 }
 
 /// Of eight entries whose reader's read takes 0.9 s a few read beside it, and what it brings is taken by
