--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -309,7 +309,7 @@
         read_interval: SETTINGS_PACE,
         relayed_read_interval: Duration::ZERO,
         timeout: READ_TIMEOUT,
-        longest_pause: SETTINGS_PAUSE,
+        max_backoff: SETTINGS_PAUSE,
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     }
@@ -324,7 +324,7 @@
         read_interval,
         relayed_read_interval: Duration::ZERO,
         timeout: UPSTREAMS_TIMEOUT,
-        longest_pause: UPSTREAMS_PAUSE,
+        max_backoff: UPSTREAMS_PAUSE,
         lapse_hold: LAPSE_HOLD,
         lapse_after,
     }
--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -32,7 +32,7 @@
     pub timeout: Duration,
     /// Longest pause after failed calls. Each call costs the registry work while it is in trouble; a
     /// return is noticed within this time and the time-out.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
     /// How long a removal is doubted that is read just after the registry was away.
     pub lapse_hold: Duration,
     /// How long the registry has to be away for an upstream that lives to lapse.
@@ -104,7 +104,7 @@
                 }
                 if !matches!(err, RegistryError::Expired { .. }) {
                     tokio::time::sleep(pause).await;
-                    pause = (pause * 2).min(cfg.longest_pause);
+                    pause = (pause * 2).min(cfg.max_backoff);
                 }
             }
         }
--- a/crates/fleet/tests/follow.rs
+++ b/crates/fleet/tests/follow.rs
@@ -46,7 +46,7 @@
         read_interval: Duration::from_millis(1500),
         relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_secs(1),
-        longest_pause: Duration::from_millis(50),
+        max_backoff: Duration::from_millis(50),
         lapse_hold: Duration::from_millis(100),
         lapse_after: Duration::ZERO,
     };
@@ -82,7 +82,7 @@
         read_interval: Duration::from_millis(20),
         relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_secs(1),
-        longest_pause: Duration::from_millis(50),
+        max_backoff: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     };
@@ -134,7 +134,7 @@
         read_interval: Duration::from_secs(3),
         relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_secs(1),
-        longest_pause: Duration::from_millis(50),
+        max_backoff: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     };
@@ -197,7 +197,7 @@
         read_interval: Duration::from_secs(60),
         relayed_read_interval: Duration::ZERO,
         timeout,
-        longest_pause: Duration::from_millis(50),
+        max_backoff: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     };
--- a/crates/nearby/tests/common/mod.rs
+++ b/crates/nearby/tests/common/mod.rs
@@ -58,7 +58,7 @@
         read_interval: READ_INTERVAL,
         relayed_read_interval: Duration::ZERO,
         timeout: Duration::from_millis(500),
-        longest_pause: Duration::from_millis(50),
+        max_backoff: Duration::from_millis(50),
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     };
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -194,7 +194,7 @@
         read_interval: SETTINGS_PACE,
         relayed_read_interval: SETTINGS_PACE,
         timeout: READ_TIMEOUT,
-        longest_pause: LONGEST_PAUSE,
+        max_backoff: LONGEST_PAUSE,
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     }
