--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -294,7 +294,7 @@
         }
     }
 
-    async fn wake(&self, topic: Topic) {
+    async fn read_now_requested(&self, topic: Topic) {
         match topic {
             Topic::Settings => self.read_due.notified().await,
             Topic::Upstreams => std::future::pending().await,
--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -55,7 +55,7 @@
 
     /// Waits for a wish to read at once, without the pace and without waiting for news; never returns if
     /// there is none.
-    fn wake(&self, topic: Topic) -> impl Future<Output = ()> + Send {
+    fn read_now_requested(&self, topic: Topic) -> impl Future<Output = ()> + Send {
         let _ = topic;
         std::future::pending()
     }
@@ -172,7 +172,7 @@
     };
     tokio::select! {
         biased;
-        () = sink.wake(cfg.topic) => true,
+        () = sink.read_now_requested(cfg.topic) => true,
         () = rested => false,
     }
 }
--- a/crates/fleet/tests/follow.rs
+++ b/crates/fleet/tests/follow.rs
@@ -115,7 +115,7 @@
             .send_modify(|confirmed| confirmed.push(as_of));
     }
 
-    async fn wake(&self, _topic: Topic) {
+    async fn read_now_requested(&self, _topic: Topic) {
         self.wish.notified().await;
     }
 }
