--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -28,4 +28,4 @@
     NamingReport, Permit, PermitRequest, Query, Status, StatusError,
 };
 pub use upstream::{LoadedModel, Upstream, UpstreamId, UpstreamStart, UpstreamState};
-pub use weights::{ModelName, NamedWeights, ReadNamings, WeightsVersion};
+pub use weights::{ModelName, NamedWeights, NamingTimes, WeightsVersion};
--- a/crates/fleet/src/weights.rs
+++ b/crates/fleet/src/weights.rs
@@ -23,11 +23,11 @@
 
 /// What a process's reads of the registry prove of when weights were named.
 #[derive(Clone, Debug, Default)]
-pub struct ReadNamings {
+pub struct NamingTimes {
     newest: BTreeMap<ModelName, WeightsVersion>,
 }
 
-impl ReadNamings {
+impl NamingTimes {
     /// Takes that the registry names `weights`, and the moment of which the last complete read speaks;
     /// returns a moment at which they were not named, none where none is proved.
     ///
--- a/crates/fleet/tests/namings.rs
+++ b/crates/fleet/tests/namings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, NamedWeights, ReadNamings};
+use wagtailreel_fleet::{BootTime, NamedWeights, NamingTimes};
 
 fn weights(version: u64) -> NamedWeights {
     NamedWeights {
@@ -17,7 +17,7 @@
 
 #[test]
 fn first_read() {
-    let mut read = ReadNamings::default();
+    let mut read = NamingTimes::default();
     assert_eq!(read.take(&weights(2), None), None, "before the start");
     assert_eq!(read.take(&weights(3), at(400)), at(400));
 }
@@ -25,7 +25,7 @@
 /// Only the read that brings a version first proves that it was not there before.
 #[test]
 fn read_again() {
-    let mut read = ReadNamings::default();
+    let mut read = NamingTimes::default();
     assert_eq!(read.take(&weights(3), at(400)), at(400));
     assert_eq!(read.take(&weights(3), at(900)), None);
     assert_eq!(read.take(&weights(2), at(1_300)), None, "a late record");
--- a/crates/stage/src/beliefs.rs
+++ b/crates/stage/src/beliefs.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use wagtailreel_core::ServiceName;
 use wagtailreel_fleet::{
-    BootTime, Change, ConfigVersion, Directory, ModelName, NamedWeights, ReadNamings, Sink, Topic,
+    BootTime, Change, ConfigVersion, Directory, ModelName, NamedWeights, NamingTimes, Sink, Topic,
     WeightsVersion,
 };
 
@@ -21,7 +21,7 @@
     origin: Option<SocketAddr>,
     draw_time: Option<Duration>,
     named: BTreeMap<ModelName, HeardWeights>,
-    read: ReadNamings,
+    read: NamingTimes,
     /// The moment of which the last read of the settings speaks.
     confirmed_as_of: Option<BootTime>,
 }
