--- a/crates/direct/src/far.rs
+++ b/crates/direct/src/far.rs
@@ -160,7 +160,7 @@
 
     async fn read(&self, data_centre: &str) {
         let own = self.neighbours.own();
-        let reader = self.neighbours.first_for(data_centre, BootTime::now());
+        let reader = self.neighbours.reader_of(data_centre, BootTime::now());
         let is_reader = reader == own;
         let giver = if is_reader {
             self.entry_in(data_centre)
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -79,7 +79,7 @@
                 let abroad = is_far_turn.then_some(far.as_ref());
                 let engines = engines(&view, &home, abroad);
                 if engines.values().any(|asked| asked.is_local) {
-                    neighbours.agents_asked();
+                    neighbours.note_agents_polled();
                 }
                 for (ip, asked) in engines {
                     if asked.is_due {
@@ -114,7 +114,7 @@
                 let asked_of = known.get(&from.ip());
                 match asked_of {
                     // Of another data centre the entries are no neighbours.
-                    Some(of) if of.is_local => neighbours.hear(&status.entries, BootTime::now()),
+                    Some(of) if of.is_local => neighbours.note_entries(&status.entries, BootTime::now()),
                     Some(of) => far.hear_entries(&of.data_centre, &status.entries),
                     None => {}
                 }
--- a/crates/nearby/src/neighbours.rs
+++ b/crates/nearby/src/neighbours.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes the entries that an agent was asked by lately.
-    pub fn hear(&self, entries: &[SocketAddr], now: BootTime) {
+    pub fn note_entries(&self, entries: &[SocketAddr], now: BootTime) {
         // An entry that doesn't know its own address can't tell itself from the others.
         if entries.is_empty() || self.own.ip().is_unspecified() {
             return;
@@ -91,7 +91,7 @@
     }
 
     /// Takes a seed that has answered: it is read from until agents name the entries of the data centre.
-    pub fn introduce(&self, seed: SocketAddr) {
+    pub fn set_seed(&self, seed: SocketAddr) {
         let mut seen = self.lock();
         if !*self.was_named.borrow() {
             seen.seed = Some(seed);
@@ -99,7 +99,7 @@
     }
 
     /// Takes that agents of the data centre are asked from now on.
-    pub fn agents_asked(&self) {
+    pub fn note_agents_polled(&self) {
         self.has_asked
             .send_if_modified(|has_asked| !std::mem::replace(has_asked, true));
     }
@@ -153,7 +153,7 @@
 
     /// Returns the entry that reads `matter` for its data centre, which may be this one: the first by
     /// rendezvous rank of those that are there, so that several matters are shared among them.
-    pub fn first_for(&self, matter: &str, now: BootTime) -> SocketAddr {
+    pub fn reader_of(&self, matter: &str, now: BootTime) -> SocketAddr {
         let mut seen = self.lock();
         seen.forget(now);
         let named = seen
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -180,7 +180,7 @@
         tokio::select! {
             () = self.neighbours.until_named(limit) => None,
             (seed, heard) = first_known => {
-                self.neighbours.introduce(seed);
+                self.neighbours.set_seed(seed);
                 self.note_reader(topic, Some(seed));
                 Some(heard)
             }
--- a/crates/nearby/tests/common/mod.rs
+++ b/crates/nearby/tests/common/mod.rs
@@ -71,7 +71,7 @@
     let neighbours = Arc::clone(&entry.neighbours);
     tokio::spawn(async move {
         loop {
-            neighbours.hear(&others, BootTime::now());
+            neighbours.note_entries(&others, BootTime::now());
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     })
@@ -96,7 +96,7 @@
     /// Starts an entry that stands after `first` and has been told of it.
     pub(crate) async fn beside(first: &Self) -> Self {
         let second = Self::at("127.0.0.2:0", RegistryStandin::default()).await;
-        second.hear(first);
+        second.note_entries(first);
         second
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// Tells this entry that `other` is there.
-    pub(crate) fn hear(&self, other: &Self) {
-        self.neighbours.hear(&[other.addr], BootTime::now());
+    pub(crate) fn note_entries(&self, other: &Self) {
+        self.neighbours.note_entries(&[other.addr], BootTime::now());
     }
 
     /// Stops giving copies, without a word.
--- a/crates/nearby/tests/copies.rs
+++ b/crates/nearby/tests/copies.rs
@@ -66,7 +66,7 @@
     first.store.config(directory.clone());
     let expected = Change::Config(Box::new(directory));
     assert_eq!(config_at(&first).await, expected);
-    second.hear(&first);
+    second.note_entries(&first);
     assert_eq!(config_at(&second).await, expected);
     assert_eq!(second.store.calls(), 0, "by the neighbour");
     let packed = bytes_given(&first).await;
@@ -85,7 +85,7 @@
         let expected = Change::Config(Box::new(directory));
         assert_eq!(config_at(&first).await, expected);
         for _ in 0..2 {
-            second.hear(&first);
+            second.note_entries(&first);
             assert_eq!(config_at(&second).await, expected);
         }
     }
@@ -109,7 +109,7 @@
         let directory = long_directory(version);
         first.store.config(directory.clone());
         read(&first, version - 7).await;
-        second.hear(&first);
+        second.note_entries(&first);
         let page = read(&second, 0).await;
         let newest = page.items.last().map(|item| item.change.clone());
         assert_eq!(newest, Some(Change::Config(Box::new(directory))));
--- a/crates/nearby/tests/neighbours.rs
+++ b/crates/nearby/tests/neighbours.rs
@@ -29,14 +29,14 @@
 fn first_address(#[case] own: u8, #[case] named: &[u8], #[case] reader: Option<u8>) {
     let neighbours = Neighbours::new(addr(own));
     let named: Vec<SocketAddr> = named.iter().map(|host| addr(*host)).collect();
-    neighbours.hear(&named, at(0));
+    neighbours.note_entries(&named, at(0));
     assert_eq!(first(&neighbours, at(100)), reader.map(addr));
 }
 
 #[rstest]
 fn named_long_ago() {
     let neighbours = Neighbours::new(addr(9));
-    neighbours.hear(&[addr(1)], at(0));
+    neighbours.note_entries(&[addr(1)], at(0));
     assert_eq!(first(&neighbours, at(400)), Some(addr(1)));
     assert_eq!(first(&neighbours, at(600)), None);
 }
@@ -44,11 +44,11 @@
 #[rstest]
 fn avoided_neighbour() {
     let neighbours = Neighbours::new(addr(9));
-    neighbours.hear(&[addr(1), addr(2)], at(0));
+    neighbours.note_entries(&[addr(1), addr(2)], at(0));
     assert!(neighbours.avoid(addr(1), at(0)), "it is news");
     assert!(!neighbours.avoid(addr(1), at(10)));
     assert_eq!(first(&neighbours, at(100)), Some(addr(2)));
-    neighbours.hear(&[addr(1), addr(2)], at(3200));
+    neighbours.note_entries(&[addr(1), addr(2)], at(3200));
     assert_eq!(
         first(&neighbours, at(3200)),
         Some(addr(1)),
@@ -59,7 +59,7 @@
 #[rstest]
 fn unknown_own_address() {
     let neighbours = Neighbours::new("0.0.0.0:7700".parse().unwrap());
-    neighbours.hear(&[addr(1)], at(0));
+    neighbours.note_entries(&[addr(1)], at(0));
     assert_eq!(first(&neighbours, at(0)), None);
 }
 
@@ -68,7 +68,7 @@
 fn behind_neighbour() {
     let neighbours = Neighbours::new(addr(9));
     let named: Vec<SocketAddr> = (1..9).map(addr).collect();
-    neighbours.hear(&named, at(0));
+    neighbours.note_entries(&named, at(0));
     assert_eq!(neighbours.candidates(at(0)), [addr(1), addr(2), addr(3)]);
     for host in [1, 2, 3] {
         assert!(neighbours.behind(addr(host), at(0)), "it is news");
@@ -76,6 +76,6 @@
     assert!(!neighbours.behind(addr(1), at(10)));
     assert_eq!(neighbours.candidates(at(20)), [addr(1), addr(4), addr(5)]);
     assert_eq!(neighbours.place(at(20)), 8, "all of them answer");
-    neighbours.hear(&named, at(3100));
+    neighbours.note_entries(&named, at(3100));
     assert_eq!(neighbours.candidates(at(3100)), [addr(1), addr(2), addr(3)]);
 }
--- a/crates/nearby/tests/reading.rs
+++ b/crates/nearby/tests/reading.rs
@@ -100,7 +100,7 @@
         .unwrap();
     let read_at = BootTime::now();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    second.hear(&first);
+    second.note_entries(&first);
     let newest = second.registry.newest(Topic::Settings, TIMEOUT);
     let newest = newest.await.unwrap();
     assert!(newest.is_relayed);
@@ -129,7 +129,7 @@
         .newest(Topic::Settings, TIMEOUT)
         .await
         .unwrap();
-    second.hear(&first);
+    second.note_entries(&first);
     let newest = second.registry.newest(Topic::Settings, TIMEOUT);
     let newest = newest.await.unwrap();
     assert!(newest.is_relayed);
@@ -150,7 +150,7 @@
     let addr = first.addr;
     let naming = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        late.hear(&[addr], BootTime::now());
+        late.note_entries(&[addr], BootTime::now());
     });
     let (one, two) = tokio::join!(
         first.registry.newest(Topic::Settings, TIMEOUT),
--- a/crates/nearby/tests/seeds.rs
+++ b/crates/nearby/tests/seeds.rs
@@ -171,11 +171,11 @@
     let now = BootTime::now();
     let addr = |host| SocketAddr::from(([10, 0, 0, host], 7700));
     let neighbours = Neighbours::for_non_reader();
-    neighbours.introduce(addr(1));
+    neighbours.set_seed(addr(1));
     assert_eq!(neighbours.candidates(now), [addr(1)]);
-    neighbours.hear(&[addr(2)], now);
+    neighbours.note_entries(&[addr(2)], now);
     assert_eq!(neighbours.candidates(now), [addr(2)]);
-    neighbours.introduce(addr(1));
+    neighbours.set_seed(addr(1));
     assert_eq!(neighbours.candidates(now), [addr(2)], "it comes too late");
 }
 
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -313,7 +313,7 @@
         let own = own.to_string();
         let first = first_ranked(own.as_bytes(), entries.iter().copied());
         if let Some(first) = first {
-            self.neighbours.hear(&[first], BootTime::now());
+            self.neighbours.note_entries(&[first], BootTime::now());
         }
     }
 
