--- a/crates/nearby/src/neighbours.rs
+++ b/crates/nearby/src/neighbours.rs
@@ -165,7 +165,7 @@
     }
 
     /// Returns how many neighbours come before this entry.
-    pub fn place(&self, now: BootTime) -> usize {
+    pub fn rank(&self, now: BootTime) -> usize {
         let mut seen = self.lock();
         seen.forget(now);
         seen.before(self.own).count()
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -191,7 +191,7 @@
     /// `as_of`.
     fn waits_for_reader(&self, topic: Topic, as_of: Option<BootTime>) -> bool {
         let now = BootTime::now();
-        let is_reader = self.neighbours.place(now) < self.cfg.readers;
+        let is_reader = self.neighbours.rank(now) < self.cfg.readers;
         !is_reader && !self.lock_fallback().is_due(topic, as_of, now)
     }
 
@@ -231,7 +231,7 @@
             return Err(RegistryError::Pending);
         }
         let sent = BootTime::now();
-        let is_reader = self.neighbours.place(sent) < self.cfg.readers;
+        let is_reader = self.neighbours.rank(sent) < self.cfg.readers;
         if !self.lock_backoff().is_due(topic, is_reader, sent) {
             return Err(RegistryError::NotCalled);
         }
--- a/crates/nearby/tests/neighbours.rs
+++ b/crates/nearby/tests/neighbours.rs
@@ -75,7 +75,7 @@
     }
     assert!(!neighbours.behind(addr(1), at(10)));
     assert_eq!(neighbours.candidates(at(20)), [addr(1), addr(4), addr(5)]);
-    assert_eq!(neighbours.place(at(20)), 8, "all of them answer");
+    assert_eq!(neighbours.rank(at(20)), 8, "all of them answer");
     neighbours.note_entries(&named, at(3100));
     assert_eq!(neighbours.candidates(at(3100)), [addr(1), addr(2), addr(3)]);
 }
