--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,7 +1,7 @@
-//! Datagrams by which processes ask an agent for its engine's load and its chunks.
+//! Datagrams by which processes query an agent for its engine's load and its chunks.
 //!
-//! A question and its answer are one datagram each, in JSON. Losing one costs nothing but the age
-//! of what the asker knows.
+//! A query and its answer are one datagram each, in JSON. If one is lost, the sender only works with
+//! older figures until the next answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,54 +12,55 @@
 
 use crate::{ModelName, NamedWeights, UpstreamId, UpstreamStart, WeightsVersion};
 
-/// Digest of what is the same whenever a caller sends a request again, as against its id.
+/// Digest of the parts of a request that stay the same when a caller sends the request again; the id
+/// of the request changes.
 pub type Fingerprint = Digest;
 
-/// A datagram can't be read.
+/// Error for a datagram that can't be parsed.
 #[derive(Debug, Snafu)]
-#[snafu(display("a status datagram can't be read ({source}): run the same version everywhere"))]
+#[snafu(display("a status datagram can't be parsed ({source}): run the same version everywhere"))]
 pub struct StatusError {
     source: serde_json::Error,
 }
 
-/// A question to an agent.
+/// A query to an agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
-    /// Told back in the answer.
+    /// Returned in the answer.
     #[serde(rename = "n")]
     pub nonce: u32,
-    /// The newest weights that the asker knows to be named. An agent that the registry turns away
-    /// hears of them so, and need not ask the registry often.
+    /// The newest named weights that the sender knows. An agent learns of a naming from them while the
+    /// registry refuses its calls, so it can read the registry less often.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub weights: Option<NamedWeights>,
-    /// How long ago the asker takes these weights to be named, in milliseconds; none if it was told of them
-    /// when it started. Agents count the time that they have to load them from it.
+    /// How long ago the weights were named by the sender's estimate, in milliseconds; `None` if the sender
+    /// learned of them when it started. Agents derive from it how much time is left to load the weights.
     #[serde(rename = "wa", default, skip_serializing_if = "Option::is_none")]
     pub weights_age_ms: Option<u32>,
-    /// A moment at which these weights were not named yet, in milliseconds on the agent's clock; none
-    /// if the asker can't prove one, or doesn't know the agent's clock.
+    /// A time at which the weights were not named yet, in milliseconds on the agent's clock; `None` if
+    /// the sender can't prove one, or doesn't know the agent's clock.
     #[serde(rename = "wm", default, skip_serializing_if = "Option::is_none")]
     pub weights_after_ms: Option<u64>,
-    /// Weights whose chunks the asker wants to hear of.
+    /// Weights whose chunks the sender asks for.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub chunks: Option<(ModelName, WeightsVersion)>,
-    /// The asker is an entry of the agent's data centre.
+    /// Whether the sender is an entry of the agent's data centre.
     #[serde(rename = "e", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_local: bool,
-    /// The asker is about to send the engine a request, whose prompt takes so many microseconds to
-    /// read. It wants no answer.
+    /// Announces a request that the sender is about to send to the engine: the prefill time of its prompt,
+    /// in microseconds. Such a query gets no answer.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub prefill_us: Option<u32>,
 }
 
-/// Weights that were named lately, and when they were not yet.
+/// A report of recently named weights, with a bound on how long ago they were named.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamingReport {
     /// The weights.
     #[serde(flatten)]
     pub weights: NamedWeights,
-    /// They were named in the last so many milliseconds before this was told: before that, a read of the
-    /// registry did not find them.
+    /// Upper bound of the naming's age when the report was sent, in milliseconds: a read of the registry at
+    /// that time did not return the naming yet.
     #[serde(rename = "age")]
     pub age_ms: u32,
 }
@@ -67,28 +68,28 @@
 /// An engine's load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadStatus {
-    /// Which start of the engine the figures are from.
+    /// The start of the engine that the figures belong to.
     #[serde(rename = "b", default)]
     pub started: UpstreamStart,
-    /// The version of the weights that the engine holds whole; none while it has none.
+    /// The version of the weights that the engine holds completely; `None` while it holds none.
     #[serde(rename = "v")]
     pub version: Option<WeightsVersion>,
-    /// The engine takes nothing new: it is about to load other weights, or loads them.
+    /// Whether the engine accepts no new requests because it loads other weights or is about to.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_switching: bool,
-    /// Requests that wait at the engine, or are on their way there.
+    /// Requests that wait at the engine, or were announced and are not there yet.
     #[serde(rename = "q")]
     pub queued: u32,
-    /// Requests that the engine works on.
+    /// Requests that the engine processes.
     #[serde(rename = "r")]
     pub running: u32,
-    /// How long the engine still reads prompts, in milliseconds.
+    /// Prefill time that is left for the prompts at the engine, in milliseconds.
     #[serde(rename = "u", default)]
     pub prefill_ms: u32,
-    /// Share of its memory that is taken, 0 to 1.
+    /// Share of its memory that is in use, 0 to 1.
     #[serde(rename = "m")]
     pub memory: f32,
-    /// How many times slower than usual it is.
+    /// How many times slower than its model the engine runs.
     #[serde(rename = "p")]
     pub slowdown: f32,
     /// Age of the figures when the answer was sent, in milliseconds.
@@ -96,7 +97,7 @@
     pub age_ms: u32,
 }
 
-/// Chunks that an agent gives to others.
+/// Chunks that an agent can send to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldChunks {
     /// The model.
@@ -110,34 +111,35 @@
     pub chunks: String,
 }
 
-/// An agent's answer.
+/// An agent's answer to a query.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The question's nonce.
+    /// The query's nonce.
     #[serde(rename = "n")]
     pub nonce: u32,
-    /// The engine's load; none while the engine does not answer.
+    /// The engine's load; `None` while the engine does not answer.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub load: Option<LoadStatus>,
-    /// Weights that were named lately. An entry that has just started learns from it how long their
-    /// bound still lasts.
+    /// Recently named weights. An entry that has just started derives from it how much of the naming's
+    /// bound is left.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub naming: Option<NamingReport>,
-    /// The agent's clock in milliseconds, while it wants to be told when weights were not named yet.
+    /// The agent's clock in milliseconds, while the agent asks for a time at which weights were not named
+    /// yet.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub clock_ms: Option<u64>,
-    /// The chunks that were asked for.
+    /// The chunks that the query asked for.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub chunks: Option<HeldChunks>,
-    /// The first entries of the agent's data centre, in the order of their addresses.
+    /// The first entries of the agent's data centre by address.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<SocketAddr>,
 }
 
-/// Accounts of requests in one datagram: with ids of 60 bytes it takes 2 KB.
+/// Maximum number of crash reports in one datagram. With upstream ids of 60 bytes the datagram takes 2 KB.
 pub const CRASH_REPORTS_PER_DATAGRAM: usize = 4;
 
-/// Upstreams that ended while they had one request.
+/// Upstreams that ended while they ran one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
@@ -146,43 +148,44 @@
     /// How long ago each upstream ended, in milliseconds.
     #[serde(rename = "u")]
     pub upstreams: BTreeMap<UpstreamId, u32>,
-    /// How long ago an upstream last ran the request to its end, in milliseconds; what ended before that
-    /// did not end because of it.
+    /// How long ago an upstream last completed the request, in milliseconds. Upstreams that ended before
+    /// that did not end because of the request.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub finished_ms: Option<u32>,
 }
 
-/// A question for leave to send one request to an upstream that names a limit for all entries together.
+/// A request for a permit to send one request to an upstream with a rate limit that all entries share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Told back in the answer.
+    /// Returned in the answer.
     #[serde(rename = "n")]
     pub nonce: u32,
     /// The upstream.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
-    /// Its limit, or the asked one's share of it, in requests a second.
+    /// The upstream's limit, or the addressed agent's share of it, in requests per second.
     #[serde(rename = "l")]
     pub per_second: f64,
-    /// How long ago the asker was told of it, in milliseconds. Of a withdrawal: how long ago the request was sent
-    /// whose answer named none.
+    /// How long ago the sender learned of the limit, in milliseconds. For a withdrawal: how long ago the
+    /// request was sent whose answer had no limit.
     #[serde(rename = "a")]
     pub age_ms: u32,
-    /// It names none any more: the asker tells so, and wants no answer.
+    /// Whether the upstream has no limit any more. Such a datagram gets no answer.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_withdrawn: bool,
-    /// The asked one gives in place of another that doesn't answer the asker, and may answer others.
+    /// Whether the addressed agent issues permits in place of another that doesn't answer the sender, but
+    /// may answer others.
     #[serde(rename = "i", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_fallback: bool,
 }
 
-/// An agent's answer.
+/// An agent's answer to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// The question's nonce.
+    /// The request's nonce.
     #[serde(rename = "n")]
     pub nonce: u32,
-    /// How long the upstream has no room yet, in milliseconds; the request may be sent if it is 0.
+    /// Time until the upstream has capacity, in milliseconds; at 0 the request may be sent.
     #[serde(rename = "w")]
     pub wait_ms: u32,
 }
@@ -190,35 +193,35 @@
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A question to an agent.
+    /// A query to an agent.
     #[serde(rename = "Q")]
     Query(Query),
     /// An agent's answer.
     #[serde(rename = "S")]
     Status(Status),
-    /// What an entry tells agents, and these tell entries, of requests that end upstreams.
+    /// Crash reports, from entries to agents and from agents to entries.
     #[serde(rename = "E")]
     CrashReports(Vec<CrashReport>),
-    /// A question for a permit.
+    /// A request for a permit.
     #[serde(rename = "A")]
     PermitRequest(PermitRequest),
-    /// Its answer.
+    /// The answer to a permit request.
     #[serde(rename = "P")]
     Permit(Permit),
 }
 
 impl Datagram {
-    /// Writes the datagram.
+    /// Serialises the datagram.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // A plain struct of numbers and texts is always written.
+        // Serialising plain numbers and strings can't fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a datagram.
+    /// Parses a datagram.
     ///
     /// # Errors
     ///
-    /// Returns a [`StatusError`] if it is something else.
+    /// Returns a [`StatusError`] if `buf` is no datagram.
     pub fn from_bytes(buf: &[u8]) -> Result<Self, StatusError> {
         serde_json::from_slice(buf).context(StatusSnafu)
     }
