--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -1,120 +1,125 @@
-//! The task that follows one topic of the registry.
+//! The task that follows one topic of the registry and passes its changes to a [`Sink`].
 
 use std::time::Duration;
 
 use crate::{Applied, BootTime, Change, Follower, Registry, RegistryError, Step, Topic, events};
 
-/// First pause after a failed call, in place of an answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Shortest pause after a failed call.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest pace of reads that take long. One that takes half of its pace leaves half of a link that is
-/// full to others; with the read it stays below the 2 s in which a change has to be in force.
+/// Upper bound of the read interval after slow reads. A read is started at most every two read durations,
+/// so that half of a saturated link is left to others. With the bound, interval and read together stay below
+/// the 2 s in which a change has to be in force.
 const MAX_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many time-outs of a read the newest of each key may take. It is all that there is, asked for
-/// by many processes at once when they start together; 6 MB over 30 Mbit/s take 1.6 s, and a call
-/// that is given up before begins from nothing.
-const NEWEST_PATIENCE: u32 = 3;
+/// Time-out of a snapshot, as a multiple of the time-out of a read. A snapshot holds the whole topic, and
+/// processes that start together read it at the same time: 6 MB over 30 Mbit/s take 1.6 s. A call that times
+/// out earlier has to begin again from the start.
+const SNAPSHOT_TIMEOUT_FACTOR: u32 = 3;
 
-/// How a topic is followed.
+/// Settings for following a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowConfig {
     /// The topic.
     pub topic: Topic,
     /// How long the registry may wait for the first record of an answer.
     pub wait: Duration,
-    /// Shortest time from one call to the next; a topic that never rests is read in pages of this
-    /// length.
+    /// Shortest time from one call to the next. The records of a topic that changes all the time are
+    /// collected for this long and read as one page.
     pub read_interval: Duration,
-    /// The same for answers that came second-hand; they cost the registry nothing.
+    /// The same for answers that a neighbour relayed; these put no load on the registry.
     pub relayed_read_interval: Duration,
-    /// How much longer than the wait an answer may take.
+    /// How long an answer may take in addition to the wait.
     pub timeout: Duration,
-    /// Longest pause after failed calls. Each call costs the registry work while it is in trouble; a
-    /// return is noticed within this time and the time-out.
+    /// Longest pause after failed calls. Each call adds load to a registry that has trouble answering. A
+    /// recovery is noticed within this time plus the time-out.
     pub max_backoff: Duration,
-    /// How long a removal is doubted that is read just after the registry was away.
+    /// How long a removal is held back that is read just after the registry was unreachable.
     pub lapse_hold: Duration,
-    /// How long the registry has to be away for an upstream that lives to lapse.
+    /// Shortest outage of the registry in which the registration of a running upstream can lapse.
     pub lapse_after: Duration,
 }
 
-/// Takes what a topic says.
+/// Receives the changes of a topic.
 pub trait Sink: Send + Sync + 'static {
-    /// Takes a change, in order.
+    /// Applies a change. Changes come in the order of the log.
     fn apply(&self, change: Change);
 
-    /// Takes that the topic's state at `as_of` is known.
+    /// Records that the state of the topic as of `as_of` has been applied.
     fn confirmed(&self, topic: Topic, as_of: BootTime);
 
-    /// Takes that the registry answers again, before what it says is applied; `unanswered` is when the
-    /// last call was sent that it did not answer, none if this process made no such call.
+    /// Records that the registry answers again, before the answer's changes are applied. `unanswered` is the
+    /// time at which the last unanswered call was sent, `None` if this process sent no such call.
     fn returned(&self, topic: Topic, unanswered: Option<BootTime>) {
         let _ = (topic, unanswered);
     }
 
-    /// Waits for a wish to read at once, without the pace and without waiting for news; never returns if
-    /// there is none.
+    /// Completes when the sink wants the topic to be read at once, without the read interval and without
+    /// waiting for new records.
     fn read_now_requested(&self, topic: Topic) -> impl Future<Output = ()> + Send {
         let _ = topic;
         std::future::pending()
     }
 }
 
-/// Follows a topic until it is dropped.
+/// Follows a topic until the future is dropped.
 pub async fn follow<R, S>(registry: R, sink: std::sync::Arc<S>, cfg: FollowConfig)
 where
     R: Registry,
     S: Sink,
 {
     let mut follower = Follower::new(cfg.lapse_hold, cfg.lapse_after);
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = MIN_BACKOFF;
     let mut unanswered = None;
     let mut wait = cfg.wait;
     loop {
         let sent = BootTime::now();
-        let answer = ask(&registry, &mut follower, &cfg, wait).await;
+        let answer = call_registry(&registry, &mut follower, &cfg, wait).await;
         match answer {
             Ok(applied) => {
-                pause = FIRST_PAUSE;
-                let took = BootTime::now().since(sent);
+                backoff = MIN_BACKOFF;
+                let elapsed = BootTime::now().since(sent);
                 let read_interval = match applied.as_of {
-                    // There is more to read.
+                    // More records are waiting to be read.
                     None => Duration::ZERO,
                     Some(_) if applied.is_relayed => cfg.relayed_read_interval,
-                    // Nothing came; the registry held the call.
+                    // The registry held the call, so its duration says nothing about the link.
                     Some(_) if applied.changes.is_empty() => cfg.read_interval,
-                    Some(_) => cfg.read_interval.max((took * 2).min(MAX_READ_INTERVAL)),
+                    Some(_) => cfg.read_interval.max((elapsed * 2).min(MAX_READ_INTERVAL)),
+                };
+                deliver(sink.as_ref(), &cfg, applied, unanswered.take());
+                let due = follower.next_removal_due(BootTime::now());
+                let remaining = read_interval.saturating_sub(BootTime::now().since(sent));
+                let read_requested = wait_until_due(sink.as_ref(), &cfg, remaining, due).await;
+                // A call that waits for new records would delay the requested answer.
+                wait = if read_requested {
+                    Duration::ZERO
+                } else {
+                    cfg.wait
                 };
-                take(sink.as_ref(), &cfg, applied, unanswered.take());
-                let due = follower.next_due(BootTime::now());
-                let rest_for = read_interval.saturating_sub(BootTime::now().since(sent));
-                let is_wished = rest(sink.as_ref(), &cfg, rest_for, due).await;
-                // News that the registry has not got would keep back the answer that is wished for.
-                wait = if is_wished { Duration::ZERO } else { cfg.wait };
             }
-            // Who reads for this process is not away, only slow.
-            Err(RegistryError::Pending) => tokio::time::sleep(FIRST_PAUSE).await,
+            // The neighbour that reads for this process is slow, but has not failed.
+            Err(RegistryError::Pending) => tokio::time::sleep(MIN_BACKOFF).await,
             Err(err) => {
                 if err.is_unanswered() {
                     unanswered = Some(sent);
                 }
-                if follower.failed(&err) {
-                    tell(events::REGISTRY_AWAY, cfg.topic, &err.to_string());
+                if follower.note_failure(&err) {
+                    emit(events::REGISTRY_AWAY, cfg.topic, &err.to_string());
                 }
                 if !matches!(err, RegistryError::Expired { .. }) {
-                    tokio::time::sleep(pause).await;
-                    pause = (pause * 2).min(cfg.max_backoff);
+                    tokio::time::sleep(backoff).await;
+                    backoff = (backoff * 2).min(cfg.max_backoff);
                 }
             }
         }
-        for change in follower.due(BootTime::now()) {
+        for change in follower.due_removals(BootTime::now()) {
             sink.apply(change);
         }
     }
 }
 
-async fn ask<R>(
+async fn call_registry<R>(
     registry: &R,
     follower: &mut Follower,
     cfg: &FollowConfig,
@@ -125,25 +130,25 @@
 {
     match follower.step() {
         Step::Newest => {
-            let timeout = cfg.timeout * NEWEST_PATIENCE;
+            let timeout = cfg.timeout * SNAPSHOT_TIMEOUT_FACTOR;
             let snapshot = registry.newest(cfg.topic, timeout).await?;
-            Ok(follower.newest(snapshot, BootTime::now()))
+            Ok(follower.apply_snapshot(snapshot, BootTime::now()))
         }
         Step::Read(from) => {
-            // An answer that isn't held may still be late: it has the time that a held one has.
+            // An answer without a wait may be late too, so the total time allowed stays the same.
             let timeout = cfg.timeout + cfg.wait.saturating_sub(wait);
             let page = registry.read(cfg.topic, from, wait, timeout).await?;
-            Ok(follower.page(page, BootTime::now()))
+            Ok(follower.apply_page(page, BootTime::now()))
         }
     }
 }
 
-fn take<S>(sink: &S, cfg: &FollowConfig, applied: Applied, unanswered: Option<BootTime>)
+fn deliver<S>(sink: &S, cfg: &FollowConfig, applied: Applied, unanswered: Option<BootTime>)
 where
     S: Sink,
 {
-    if applied.is_back {
-        tell(events::REGISTRY_BACK, cfg.topic, "");
+    if applied.has_recovered {
+        emit(events::REGISTRY_BACK, cfg.topic, "");
         sink.returned(cfg.topic, unanswered);
     }
     for change in applied.changes {
@@ -158,16 +163,21 @@
     }
 }
 
-/// Waits until the next call is due, or a doubted removal before it; returns whether the sink wishes for
-/// the call.
-async fn rest<S>(sink: &S, cfg: &FollowConfig, rest_for: Duration, due: Option<Duration>) -> bool
+/// Waits until the next call or an earlier held-back removal is due; returns whether the sink requested a
+/// read.
+async fn wait_until_due<S>(
+    sink: &S,
+    cfg: &FollowConfig,
+    remaining: Duration,
+    due: Option<Duration>,
+) -> bool
 where
     S: Sink,
 {
-    let rest_for = due.map_or(rest_for, |due| due.min(rest_for));
+    let remaining = due.map_or(remaining, |due| due.min(remaining));
     let rested = async {
-        if !rest_for.is_zero() {
-            tokio::time::sleep(rest_for).await;
+        if !remaining.is_zero() {
+            tokio::time::sleep(remaining).await;
         }
     };
     tokio::select! {
@@ -177,6 +187,6 @@
     }
 }
 
-fn tell(event: wagtailreel_telemetry::Event, topic: Topic, reason: &str) {
+fn emit(event: wagtailreel_telemetry::Event, topic: Topic, reason: &str) {
     event.emit(&[("topic", &topic.to_string()), ("reason", reason)]);
 }
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: a log of keyed records that the platform keeps.
+//! Interface of the registry, a log of keyed records that the platform stores.
 
 use std::time::Duration;
 
@@ -8,46 +8,46 @@
 
 use crate::{BootTime, Directory, NamedWeights, Upstream, UpstreamId};
 
-/// What a part of the registry is about.
+/// A part of the registry.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Topic {
-    /// Configurations and the weights that are named.
+    /// Configurations and namings of weights.
     #[display("settings")]
     Settings,
-    /// Upstreams, by their ids.
+    /// Upstreams by id.
     #[display("upstreams")]
     Upstreams,
 }
 
-/// What one record says.
+/// Content of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// The configuration, in full.
+    /// The complete configuration.
     Config(Box<Directory>),
-    /// Weights that are to be served.
+    /// A naming: weights that are to be served.
     Weights(NamedWeights),
-    /// An upstream tells of itself.
+    /// The registration of an upstream.
     Upstream(Box<Upstream>),
-    /// An upstream is no longer registered.
+    /// The upstream is no longer registered.
     Gone(UpstreamId),
-    /// The record can't be understood; the last good belief stays in force.
+    /// The record can't be parsed; the last valid record of its key stays in force.
     Unreadable {
         /// Key of the record.
         key: String,
-        /// What is wrong, and what to mend.
+        /// What is wrong, and how to fix it.
         reason: String,
     },
 }
 
-/// A change with its place in the log.
+/// A change with its offset in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Keyed {
-    /// Place of the record.
+    /// Offset of the record.
     pub offset: Offset,
-    /// What it says.
+    /// Content of the record.
     pub change: Change,
 }
 
@@ -56,34 +56,34 @@
 pub struct Snapshot {
     /// The records.
     pub items: Vec<Keyed>,
-    /// Where the log ended when the snapshot was begun.
+    /// End of the log when the snapshot was started.
     pub end: Offset,
-    /// The latest moment at which this is known to have been the registry's state.
+    /// The latest time at which this is known to have been the registry's state.
     pub as_of: BootTime,
-    /// Another process answered in place of the registry.
+    /// Whether a neighbour answered in place of the registry.
     pub is_relayed: bool,
 }
 
-/// Some records in order.
+/// Consecutive records of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
     /// The records.
     pub items: Vec<Keyed>,
-    /// Place of the next record to be read.
+    /// Offset of the next record to read.
     pub next: Offset,
-    /// Where the log ended; beyond `next` if the page has not all that there is.
+    /// End of the log; beyond `next` if more records follow the page.
     pub end: Offset,
-    /// The latest moment at which this is known to have been the registry's state.
+    /// The latest time at which this is known to have been the registry's state.
     pub as_of: BootTime,
-    /// Another process answered in place of the registry.
+    /// Whether a neighbour answered in place of the registry.
     pub is_relayed: bool,
 }
 
 impl Page {
-    /// Returns the moment of which an answer speaks, to a read that was sent at `sent`, allowed to
-    /// wait for `wait`, and answered by `now`.
+    /// Returns the time as of which an answer is known to hold. The read was sent at `sent`, allowed a wait
+    /// of `wait`, and was answered by `now`.
     pub fn answer_as_of(is_empty: bool, sent: BootTime, wait: Duration, now: BootTime) -> BootTime {
-        // An empty answer was given at the end of the wait, any other perhaps at once.
+        // An empty answer is made at the end of the wait, any other possibly at once.
         if is_empty {
             sent.plus(wait).min(now)
         } else {
@@ -92,23 +92,23 @@
     }
 }
 
-/// The registry did not answer as wanted.
+/// Error of a call to the registry.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum RegistryError {
-    /// The records were deleted; the newest of each key are kept.
+    /// The records were deleted; the registry keeps only the newest of each key.
     #[snafu(display("records before {first} were deleted: read the newest of each key"))]
     Expired {
-        /// The oldest record that is left.
+        /// Offset of the oldest record that is left.
         first: Offset,
     },
-    /// Another process is reading it for this one, and has not failed.
-    #[snafu(display("a neighbour is still reading it: wait for it"))]
+    /// A neighbour is reading the topic for this process, and has not failed.
+    #[snafu(display("a neighbour is still reading the topic: wait for its answer"))]
     Pending,
     /// The registry refused the call.
     #[snafu(display("the registry refused with {status}: try again later"))]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
     /// No answer came.
@@ -117,12 +117,12 @@
         /// What happened.
         reason: String,
     },
-    /// It was not called: it left a call unanswered lately, and neighbours know only old things.
+    /// The registry was not called: it did not answer a recent call, and neighbours have only old records.
     #[snafu(display(
-        "the registry did not answer lately, and neighbours know only old things: wait for them"
+        "the registry did not answer a recent call, and neighbours have only old records: wait for them"
     ))]
     NotCalled,
-    /// The answer can't be understood.
+    /// The answer can't be parsed.
     #[snafu(display("the registry's answer can't be read ({reason}): check its version"))]
     Unreadable {
         /// What is wrong.
@@ -131,7 +131,7 @@
 }
 
 impl RegistryError {
-    /// Says whether the registry was called and did not answer as it should.
+    /// Returns whether the registry was called and gave no valid answer.
     pub const fn is_unanswered(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::Unreachable { .. })
     }
@@ -143,19 +143,19 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`RegistryError`] if no whole answer came within `timeout`.
+    /// Returns a [`RegistryError`] if no complete answer came within `timeout`.
     fn newest(
         &self,
         topic: Topic,
         timeout: Duration,
     ) -> impl Future<Output = Result<Snapshot, RegistryError>> + Send;
 
-    /// Reads the records of `topic` from `from` on; waits up to `wait` for the first.
+    /// Reads the records of `topic` from offset `from` on; waits up to `wait` for the first.
     ///
     /// # Errors
     ///
     /// Returns [`RegistryError::Expired`] if the records were deleted, and another
-    /// [`RegistryError`] if no whole answer came within `wait` and `timeout` together.
+    /// [`RegistryError`] if no complete answer came within `wait` and `timeout` together.
     fn read(
         &self,
         topic: Topic,
--- a/crates/fleet/src/weights.rs
+++ b/crates/fleet/src/weights.rs
@@ -21,20 +21,20 @@
     pub version: WeightsVersion,
 }
 
-/// What a process's reads of the registry prove of when weights were named.
+/// Derives from reads of the registry when weights were named.
 #[derive(Clone, Debug, Default)]
 pub struct NamingTimes {
     newest: BTreeMap<ModelName, WeightsVersion>,
 }
 
 impl NamingTimes {
-    /// Takes that the registry names `weights`, and the moment of which the last complete read speaks;
-    /// returns a moment at which they were not named, none where none is proved.
+    /// Records that the registry names `weights`. `last_read` is the time as of which the last complete read
+    /// holds. Returns a time at which the weights were not named yet, `None` if no read proves one.
     ///
-    /// What the first read brings was named before it. A record that is read again, as the newest of its
-    /// key after a burst, was there at the last read: taken for news, it made a naming 12 s younger than
-    /// it was.
-    pub fn take(
+    /// Namings of the first read are older than that read, by an unknown time. A record that is read again,
+    /// as the newest of its key after a burst, was already there at the last read. If such a record counted
+    /// as new, a naming could appear 12 s younger than it is.
+    pub fn record(
         &mut self,
         weights: &NamedWeights,
         last_read: Option<BootTime>,
--- a/crates/fleet/tests/follower.rs
+++ b/crates/fleet/tests/follower.rs
@@ -40,7 +40,7 @@
         as_of: at(0),
         is_relayed: false,
     };
-    follower.newest(snapshot, at(1));
+    follower.apply_snapshot(snapshot, at(1));
     follower
 }
 
@@ -77,7 +77,7 @@
     let mut follower = knows(&["a"]);
     let mut full = page(vec![keyed(10, upstream("b"))], 11);
     full.as_of = as_of;
-    assert_eq!(follower.page(full, at(1400)).as_of, Some(at(1000)));
+    assert_eq!(follower.apply_page(full, at(1400)).as_of, Some(at(1000)));
     assert_eq!(follower.step(), Step::Read(11));
 }
 
@@ -86,7 +86,7 @@
     let mut follower = knows(&["a"]);
     let mut full = page(vec![keyed(10, upstream("b"))], 11);
     full.end = 40;
-    let applied = follower.page(full, at(1400));
+    let applied = follower.apply_page(full, at(1400));
     assert_eq!(applied.changes.len(), 1);
     assert_eq!(applied.as_of, None, "it does not know all yet");
     assert_eq!(
@@ -100,7 +100,7 @@
 fn plain_removal() {
     let mut follower = knows(&["a"]);
     let items = vec![keyed(10, gone("a"))];
-    let applied = follower.page(page(items, 11), at(11));
+    let applied = follower.apply_page(page(items, 11), at(11));
     assert_eq!(applied.changes, vec![gone("a")]);
 }
 
@@ -108,20 +108,20 @@
 fn removal_after_outage() {
     let mut follower = knows(&["a", "b"]);
     assert!(
-        follower.failed(&unreachable_error()),
+        follower.note_failure(&unreachable_error()),
         "the first failure is news"
     );
-    assert!(!follower.failed(&unreachable_error()));
+    assert!(!follower.note_failure(&unreachable_error()));
     let items = vec![keyed(10, gone("a")), keyed(11, gone("b"))];
-    let applied = follower.page(page(items, 12), at(5000));
-    assert!(applied.is_back);
+    let applied = follower.apply_page(page(items, 12), at(5000));
+    assert!(applied.has_recovered);
     assert_eq!(applied.changes, vec![], "they may be back in a moment");
     let items = vec![keyed(12, upstream("a"))];
-    let applied = follower.page(page(items, 13), at(6000));
+    let applied = follower.apply_page(page(items, 13), at(6000));
     assert_eq!(applied.changes.len(), 1);
-    assert_eq!(follower.due(at(7000)), vec![]);
-    assert_eq!(follower.due(at(7300)), vec![gone("b")]);
-    assert_eq!(follower.due(at(9000)), vec![]);
+    assert_eq!(follower.due_removals(at(7000)), vec![]);
+    assert_eq!(follower.due_removals(at(7300)), vec![gone("b")]);
+    assert_eq!(follower.due_removals(at(9000)), vec![]);
 }
 
 /// A read that failed in between is no outage: nothing that lives can have lapsed meanwhile.
@@ -130,35 +130,39 @@
 #[case::long(1600, vec![])]
 fn short_outage(#[case] back_at: u64, #[case] changes: Vec<Change>) {
     let mut follower = knows(&["a"]);
-    follower.failed(&unreachable_error());
+    follower.note_failure(&unreachable_error());
     let mut page = page(vec![keyed(10, gone("a"))], 11);
     page.as_of = at(back_at);
-    let applied = follower.page(page, at(back_at));
-    assert!(applied.is_back);
+    let applied = follower.apply_page(page, at(back_at));
+    assert!(applied.has_recovered);
     assert_eq!(applied.changes, changes);
 }
 
 #[rstest]
 fn second_outage() {
     let mut follower = knows(&["a"]);
-    follower.failed(&unreachable_error());
+    follower.note_failure(&unreachable_error());
     let items = vec![keyed(10, gone("a"))];
-    follower.page(page(items, 11), at(5000));
-    follower.failed(&unreachable_error());
+    follower.apply_page(page(items, 11), at(5000));
+    follower.note_failure(&unreachable_error());
     assert_eq!(
-        follower.due(at(9000)),
+        follower.due_removals(at(9000)),
         vec![],
         "nothing is judged while away"
     );
-    follower.page(page(vec![], 11), at(9500));
-    assert_eq!(follower.due(at(11_000)), vec![], "the time begins anew");
-    assert_eq!(follower.due(at(11_800)), vec![gone("a")]);
+    follower.apply_page(page(vec![], 11), at(9500));
+    assert_eq!(
+        follower.due_removals(at(11_000)),
+        vec![],
+        "the time begins anew"
+    );
+    assert_eq!(follower.due_removals(at(11_800)), vec![gone("a")]);
 }
 
 #[rstest]
 fn deleted_records() {
     let mut follower = knows(&["a", "b"]);
-    assert!(!follower.failed(&RegistryError::Expired { first: 40 }));
+    assert!(!follower.note_failure(&RegistryError::Expired { first: 40 }));
     assert!(!follower.is_unreachable(), "the registry did answer");
     assert_eq!(follower.step(), Step::Newest);
     let snapshot = Snapshot {
@@ -167,7 +171,7 @@
         as_of: at(100),
         is_relayed: false,
     };
-    let applied = follower.newest(snapshot, at(101));
+    let applied = follower.apply_snapshot(snapshot, at(101));
     assert!(applied.changes.contains(&gone("a")), "it is missing");
     assert_eq!(follower.step(), Step::Read(50));
 }
@@ -181,9 +185,9 @@
         as_of: at(0),
         is_relayed: false,
     };
-    follower.newest(snapshot, at(1));
+    follower.apply_snapshot(snapshot, at(1));
     let items = vec![keyed(15, upstream("a"))];
-    let applied = follower.page(page(items, 16), at(3));
+    let applied = follower.apply_page(page(items, 16), at(3));
     assert_eq!(
         applied.changes,
         vec![],
--- a/crates/fleet/tests/namings.rs
+++ b/crates/fleet/tests/namings.rs
@@ -18,17 +18,17 @@
 #[test]
 fn first_read() {
     let mut read = NamingTimes::default();
-    assert_eq!(read.take(&weights(2), None), None, "before the start");
-    assert_eq!(read.take(&weights(3), at(400)), at(400));
+    assert_eq!(read.record(&weights(2), None), None, "before the start");
+    assert_eq!(read.record(&weights(3), at(400)), at(400));
 }
 
 /// Only the read that brings a version first proves that it was not there before.
 #[test]
 fn read_again() {
     let mut read = NamingTimes::default();
-    assert_eq!(read.take(&weights(3), at(400)), at(400));
-    assert_eq!(read.take(&weights(3), at(900)), None);
-    assert_eq!(read.take(&weights(2), at(1_300)), None, "a late record");
-    assert_eq!(read.take(&weights(3), at(1_700)), None);
-    assert_eq!(read.take(&weights(4), at(2_000)), at(2_000));
+    assert_eq!(read.record(&weights(3), at(400)), at(400));
+    assert_eq!(read.record(&weights(3), at(900)), None);
+    assert_eq!(read.record(&weights(2), at(1_300)), None, "a late record");
+    assert_eq!(read.record(&weights(3), at(1_700)), None);
+    assert_eq!(read.record(&weights(4), at(2_000)), at(2_000));
 }
--- a/crates/stage/src/beliefs.rs
+++ b/crates/stage/src/beliefs.rs
@@ -129,7 +129,7 @@
         let before = {
             let mut inner = self.lock();
             let confirmed_as_of = inner.confirmed_as_of;
-            inner.read.take(weights, confirmed_as_of)
+            inner.read.record(weights, confirmed_as_of)
         };
         let heard = HeardWeights {
             version: weights.version,
