--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -19,29 +19,30 @@
 /// Secret that a customer's requests carry.
 pub type ApiKey = String;
 
-/// Rank of a customer or route, 0 first.
+/// Priority rank of a customer or route; 0 is the highest.
 pub type CustomerRank = u8;
 
-/// What may be repeated of a request.
+/// How a route's requests may be retried, and whether the answer is streamed.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// The request may run more than once.
     Idempotent,
-    /// The request may run once at most.
+    /// The request may run at most once.
     NonIdempotent,
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     Stream {
-        /// A broken stream may go on at another upstream; without it the request runs once.
+        /// Whether a broken stream may be resumed at another upstream. Without it the request runs at most
+        /// once.
         resumable: bool,
-        /// Longest pause between two events for an answer that is on time.
+        /// Objective for the longest pause between two events.
         #[serde_as(as = "Option<DurationNanoSeconds<u64>>")]
         gap: Option<Duration>,
     },
 }
 
 impl RouteKind {
-    /// Says whether a request that may have run can be sent again.
+    /// Returns whether a request that may have run can be sent again.
     pub const fn repeatable(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Returns the longest wanted pause between two events of a stream, if one is set.
+    /// Returns the objective for the longest pause between two events of a stream, if one is set.
     pub const fn gap(self) -> Option<Duration> {
         match self {
             Self::Stream { gap, .. } => gap,
@@ -58,85 +59,85 @@
         }
     }
 
-    /// Says whether the answer is a series of events.
+    /// Returns whether the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Where requests of one host and path prefix go.
+/// Routing of the requests with one host and path prefix.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name of the route.
     pub name: RouteName,
-    /// Host that requests name, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How requests may be retried.
     pub kind: RouteKind,
-    /// Longest time until the final answer.
+    /// Longest time until the answer is complete.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub timeout: Duration,
-    /// Time to the first byte that callers want.
+    /// Objective for the time to first byte.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub objective: Duration,
     /// Rank of its requests.
     pub rank: CustomerRank,
-    /// Services that share the requests, each with its weight.
+    /// Services among which the requests are split, each with its weight.
     pub services: Vec<(ServiceName, u32)>,
-    /// Upstreams that one request may be sent to.
+    /// Number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// Requests need no key.
+    /// Whether requests need no key.
     pub is_public: bool,
 }
 
-/// What an engine's answers take, as its operator measured it.
+/// Performance model of an engine, as its operator measured it.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineModel {
     /// Name of the model.
     pub model: ModelName,
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Number of tokens that the engine's memory holds.
     pub memory_tokens: u64,
-    /// Time of one token step without requests.
+    /// Fixed duration of one token step.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub step: Duration,
-    /// Further time of a step for each request in the batch.
+    /// Additional duration of a step for each request in the batch.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub step_per_request: Duration,
-    /// Further time of a step for each 1,000 tokens of context.
+    /// Additional duration of a step for each 1,000 tokens of context.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub step_per_1k_context: Duration,
-    /// Prompt tokens that are read in a second.
+    /// Prefill rate, in prompt tokens per second.
     pub read_per_second: f64,
-    /// Token steps of one pass over the batch.
+    /// Number of token steps in one pass over the batch.
     pub steps_per_pass: u32,
-    /// Mean tokens of a prompt.
+    /// Mean length of a prompt, in tokens.
     pub usual_prompt: u32,
-    /// Mean tokens of an answer.
+    /// Mean length of an answer, in tokens.
     pub usual_answer: u32,
-    /// Chunks of the model's weights.
+    /// Number of chunks of the model's weights.
     pub chunks: u32,
-    /// Bytes of a chunk; 0 if its operator doesn't tell.
+    /// Size of a chunk in bytes; 0 if unknown.
     #[serde(default)]
     pub chunk_bytes: u32,
-    /// Time that loading staged weights takes.
+    /// Time to load staged weights.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub load_time: Duration,
 }
 
-/// Where weights are drawn from.
+/// The origin from which weights are downloaded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OriginSpec {
-    /// Its address.
+    /// Address of the origin.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the origin.
     pub data_centre: DataCentre,
-    /// What its link carries, in Mbit/s; 0 if its operator doesn't tell.
+    /// Bandwidth of its link, in Mbit/s; 0 if unknown.
     #[serde(default)]
     pub link_mbps: f64,
 }
@@ -146,26 +147,26 @@
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: ServiceName,
-    /// Connections that each upstream takes from all callers together.
+    /// Number of connections that each upstream accepts from all callers together.
     pub max_connections: u32,
-    /// What an engine's answers take; none for a plain service.
+    /// Performance model of the service's engines; `None` for a plain service.
     pub engine: Option<EngineModel>,
-    /// The service is an origin of weights.
+    /// The origin of weights, if the service is one.
     pub origin: Option<OriginSpec>,
 }
 
-/// What a client may send.
+/// Limits for requests and connections of clients.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Longest head in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Longest time from the first byte of a request to the end of its head.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub header_timeout: Duration,
-    /// How long a connection is kept without a request.
+    /// How long a connection is kept open without a request.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub idle_timeout: Duration,
 }
@@ -175,16 +176,16 @@
 pub struct Customer {
     /// Name of the customer.
     pub name: CustomerId,
-    /// Rank of its requests, in place of the route's.
+    /// Rank of the customer's requests; overrides the rank of the route.
     pub rank: Option<CustomerRank>,
-    /// Keys that its requests carry.
+    /// Keys of the customer's requests.
     pub keys: Vec<ApiKey>,
 }
 
 /// A configuration in force.
 ///
-/// Invariant: the indexes name positions in `routes` and `customers`, and the routes of one host
-/// stand with the longest prefix first.
+/// Invariant: the indexes hold positions in `routes` and `customers`, and the routes of one host are sorted
+/// by descending length of the prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "DirectoryParts", into = "DirectoryParts")]
 pub struct Directory {
@@ -198,7 +199,7 @@
 }
 
 impl Directory {
-    /// Makes the configuration `version`.
+    /// Makes an empty configuration with the given version.
     pub fn new(version: ConfigVersion, limits: ClientLimits) -> Self {
         Self {
             version,
@@ -254,12 +255,12 @@
         self.version
     }
 
-    /// Returns what a client may send.
+    /// Returns the limits for clients.
     pub const fn limits(&self) -> ClientLimits {
         self.limits
     }
 
-    /// Returns the route of a request: the longest prefix of its host that begins its path.
+    /// Returns the route of a request: of the routes of its host, the one with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let positions = self.by_host.get(&host.to_ascii_lowercase())?;
         positions
@@ -268,24 +269,24 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns the customer that holds `key`.
+    /// Returns the customer that owns `key`.
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         self.by_key
             .get(key)
             .map(|position| &self.customers[*position])
     }
 
-    /// Says whether requests on routes that are not public need a key.
+    /// Returns whether requests on routes that are not public need a key.
     pub fn needs_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
-    /// Returns a service.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// Returns all services in the order of their names.
+    /// Returns all services, sorted by name.
     pub fn services(&self) -> impl Iterator<Item = &ServiceSpec> {
         self.services.values()
     }
@@ -297,8 +298,8 @@
             .find_map(|service| service.origin.as_ref())
     }
 
-    /// Returns how long the origin's link takes for one chunk of an engine's weights, if its operator
-    /// tells the link and the chunks.
+    /// Returns how long the origin's link takes to transfer one chunk of an engine's weights, if the
+    /// bandwidth and the chunk size are known.
     pub fn draw_time(&self, engine: &EngineModel) -> Option<Duration> {
         let link = self.origin()?.link_mbps * 1e6;
         let bits = f64::from(engine.chunk_bytes) * 8.0;
@@ -314,7 +315,7 @@
     }
 }
 
-/// A configuration without its indexes, as one process hands it to another.
+/// A configuration without its indexes, as processes send it to each other.
 #[derive(Debug, Serialize, Deserialize)]
 struct DirectoryParts {
     version: ConfigVersion,
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -1,4 +1,4 @@
-//! Events of beliefs about the fleet, numbers 6000 to 6099.
+//! Events of reading the registry, numbers 6000 to 6099.
 
 use wagtailreel_telemetry::{Event, Level};
 
@@ -7,8 +7,8 @@
     id: 6001,
     name: "registry-away",
     level: Level::Warn,
-    meaning: "A topic of the registry can't be read; the last belief stays in force.",
-    remedy: "Look at the platform's store and the link to it.",
+    meaning: "A topic of the registry can't be read; the last known state stays in force.",
+    remedy: "Check the platform's store and the link to it.",
 };
 
 /// The registry answers again.
@@ -20,13 +20,13 @@
     remedy: "Nothing.",
 };
 
-/// A record was passed over.
+/// A record was skipped.
 pub const RECORD_UNREADABLE: Event = Event {
     id: 6003,
     name: "record-unreadable",
     level: Level::Error,
-    meaning: "A record of the registry can't be understood; the last good belief stays in force.",
-    remedy: "Mend the record as the reason says.",
+    meaning: "A record of the registry can't be parsed; the last valid record of its key stays in force.",
+    remedy: "Fix the record as the reason says.",
 };
 
 /// All events of this crate.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,8 @@
-//! What a process knows of its fleet: routes, customers, upstreams and the weights that are named.
+//! State of the fleet as a process knows it: routes, customers, upstreams and namings of weights.
 //!
-//! All of it comes from a [`Registry`], a log of keyed records that the platform keeps. The types
-//! here say what those records mean; the [`Follower`] turns pages of them into beliefs, each with
-//! the time at which the registry last confirmed it. Nothing here opens a socket but
-//! [`follow`], and that only through the trait.
+//! The state comes from a [`Registry`], a log of keyed records that the platform stores. The types of this
+//! crate define the content of the records. The [`Follower`] turns pages of records into changes, with the
+//! time as of which the registry confirms them. Only [`follow`] does I/O, through the trait.
 
 mod clock;
 mod directory;
--- a/crates/fleet/src/upstream.rs
+++ b/crates/fleet/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that register themselves.
+//! Registrations of upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 
 use crate::{ModelName, WeightsVersion};
 
-/// Id of an upstream. A restart may have the same one; [`UpstreamStart`] tells the two apart.
+/// Id of an upstream. A restarted upstream may keep its id; [`UpstreamStart`] distinguishes the starts.
 pub type UpstreamId = String;
 
-/// When an upstream started, in milliseconds of the Unix epoch by its own clock; 0 where upstreams
-/// don't tell, and have another id for each start. A later start has a higher one.
+/// Start time of an upstream, in milliseconds since the Unix epoch by the upstream's clock. A later start has
+/// a higher value. Upstreams that use a new id for each start report none and have 0.
 pub type UpstreamStart = u64;
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream accepts new requests.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display, Serialize, Deserialize,
 )]
 pub enum UpstreamState {
-    /// It does.
+    /// The upstream accepts new requests.
     #[display("ready")]
     Ready,
-    /// It finishes what it has and leaves.
+    /// The upstream completes its requests and then shuts down.
     #[display("draining")]
     Draining,
 }
@@ -36,38 +36,38 @@
     pub model: ModelName,
     /// The version of its weights.
     pub version: WeightsVersion,
-    /// All layers are there. An engine that holds only some can't serve alone.
+    /// Whether all layers are loaded. An engine that holds only some can't serve requests alone.
     pub whole: bool,
 }
 
-/// One upstream, as it says of itself.
+/// Registration of one upstream.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
     /// Id of the upstream.
     pub id: UpstreamId,
-    /// Which start of it this is.
+    /// The start of the upstream that the registration belongs to.
     #[serde(default)]
     pub started: UpstreamStart,
     /// The service that it runs.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address on which the upstream accepts requests.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the upstream.
     pub data_centre: DataCentre,
-    /// Requests that it works on at once.
+    /// Number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the upstream accepts new requests.
     pub state: UpstreamState,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time, in which the upstream is slower.
     #[serde_as(as = "DurationNanoSeconds<u64>")]
     pub warmup_left: Duration,
-    /// The weights that it holds; empty for a plain service and a new engine.
+    /// The weights that the upstream holds; empty for a plain service or a new engine.
     pub models: Vec<LoadedModel>,
 }
 
 impl Upstream {
-    /// Returns the version of `model` that the upstream holds whole.
+    /// Returns the version of `model` that the upstream holds completely.
     pub fn version_of(&self, model: &str) -> Option<WeightsVersion> {
         let held = self.models.iter().find(|held| held.model == model)?;
         held.whole.then_some(held.version)
