--- a/crates/nearby/src/config.rs
+++ b/crates/nearby/src/config.rs
@@ -12,19 +12,19 @@
 pub(crate) const READER_WAIT: Duration = Duration::from_millis(600);
 
 /// How late a neighbour's read of the registry may come.
-const LATE: Duration = Duration::from_millis(300);
+const MAX_READ_DELAY: Duration = Duration::from_millis(300);
 
 /// Time for the neighbour's answer that is too old, and for the own call in its place.
-const LAST_CALLS: Duration = Duration::from_millis(1100);
+const STALE_ANSWER_AND_READ: Duration = Duration::from_millis(1100);
 
 /// How long an entry that starts waits at most to hear of its neighbours: a read of the upstreams over a link
 /// that is half full (0.35 s), and two questions to their agents. With 0.3 s, ten entries that lost power together
 /// read 1,500 routes each for themselves and had them after 1.3 to 2.2 s, where the others of their data
 /// centre had them from a neighbour after 0.2 s.
-const ENTRY_START: Duration = Duration::from_millis(700);
+const ENTRY_START_WAIT: Duration = Duration::from_millis(700);
 
 /// How long another process that starts waits to be asked by an entry that has started too.
-const GUEST_START: Duration = Duration::from_secs(2);
+const NON_READER_START_WAIT: Duration = Duration::from_secs(2);
 
 /// Entries of a data centre that go on asking a registry which does not answer: the first, and one
 /// that stands in where the first is cut off.
@@ -32,18 +32,18 @@
 
 /// Pause of the other entries. A change has to be in force 3 s after an entry reaches the registry
 /// again at the earliest, since it has to have been in touch for as long.
-const ENTRY_PAUSE: Duration = Duration::from_millis(1600);
+const ENTRY_BACKOFF: Duration = Duration::from_millis(1600);
 
 /// How long an entry waits for readers that are slow, and tell of nothing later: longer than a read of
 /// the upstreams over a link that is half full.
-const ENTRY_STANDS_IN: Duration = Duration::from_millis(350);
+const ENTRY_FALLBACK_AFTER: Duration = Duration::from_millis(350);
 
 /// How far apart entries begin to read beside such readers: 14 of them one each 75 ms, about as long as one
 /// packed configuration of 1,500 routes takes over a link of 26 Mbit/s.
-const ENTRY_SPREAD: Duration = Duration::from_millis(1050);
+const ENTRY_FALLBACK_SPREAD: Duration = Duration::from_millis(1050);
 
 /// Pause of processes that ask now and then. Entries tell them of what is urgent.
-const GUEST_PAUSE: Duration = Duration::from_secs(4);
+const NON_READER_BACKOFF: Duration = Duration::from_secs(4);
 
 /// How old a neighbour's knowledge may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,11 +59,11 @@
     pub readers: usize,
     /// How long the others wait after the registry did not answer them before they ask it again; half
     /// as long again at most.
-    pub own_pause: Duration,
+    pub backoff: Duration,
     /// How long a process at least waits for neighbours that are still reading before it reads beside them.
-    pub stand_in_after: Duration,
+    pub fallback_after: Duration,
     /// How much longer it may wait: each process a share of its own.
-    pub stand_in_spread: Duration,
+    pub fallback_spread: Duration,
     /// How long the first read of the settings waits to hear of neighbours. Of processes that start
     /// together each would read all of a large configuration over its region's link.
     pub start_wait: Duration,
@@ -74,14 +74,16 @@
     /// of the upstreams, which readers read each `read_interval`, 1.3 s after that time.
     pub fn new(settings: Duration, read_interval: Duration) -> Self {
         Self {
-            settings_age: settings.saturating_sub(LAST_CALLS).max(READER_WAIT + LATE),
-            upstreams_age: read_interval + LATE,
+            settings_age: settings
+                .saturating_sub(STALE_ANSWER_AND_READ)
+                .max(READER_WAIT + MAX_READ_DELAY),
+            upstreams_age: read_interval + MAX_READ_DELAY,
             wait: NEIGHBOUR_WAIT,
             readers: READERS,
-            own_pause: ENTRY_PAUSE,
-            stand_in_after: ENTRY_STANDS_IN,
-            stand_in_spread: ENTRY_SPREAD,
-            start_wait: ENTRY_START,
+            backoff: ENTRY_BACKOFF,
+            fallback_after: ENTRY_FALLBACK_AFTER,
+            fallback_spread: ENTRY_FALLBACK_SPREAD,
+            start_wait: ENTRY_START_WAIT,
         }
     }
 
@@ -92,14 +94,14 @@
             upstreams_age: age,
             wait: Duration::ZERO,
             readers: 0,
-            own_pause: GUEST_PAUSE,
-            stand_in_after: GUEST_PAUSE,
-            stand_in_spread: GUEST_PAUSE,
-            start_wait: GUEST_START,
+            backoff: NON_READER_BACKOFF,
+            fallback_after: NON_READER_BACKOFF,
+            fallback_spread: NON_READER_BACKOFF,
+            start_wait: NON_READER_START_WAIT,
         }
     }
 
-    pub(crate) const fn longest_age(&self, topic: Topic) -> Duration {
+    pub(crate) const fn max_age(&self, topic: Topic) -> Duration {
         match topic {
             Topic::Settings => self.settings_age,
             Topic::Upstreams => self.upstreams_age,
--- a/crates/nearby/src/pauses.rs
+++ b/crates/nearby/src/delays.rs
@@ -9,19 +9,19 @@
 
 /// How long a process waits before it reads the registry itself.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pauses {
+pub(crate) struct Delays {
     /// After the registry did not answer.
-    pub(crate) own: Duration,
+    pub(crate) backoff: Duration,
     /// For neighbours that are reading.
     pub(crate) fallback: Duration,
 }
 
-impl Pauses {
+impl Delays {
     pub(crate) fn new(cfg: &SharedRegistryConfig, own: SocketAddr) -> Self {
         let share = share_of(own);
         Self {
-            own: cfg.own_pause + cfg.own_pause.mul_f64(share / 2.0),
-            fallback: cfg.stand_in_after + cfg.stand_in_spread.mul_f64(share),
+            backoff: cfg.backoff + cfg.backoff.mul_f64(share / 2.0),
+            fallback: cfg.fallback_after + cfg.fallback_spread.mul_f64(share),
         }
     }
 }
--- a/crates/nearby/src/lib.rs
+++ b/crates/nearby/src/lib.rs
@@ -13,13 +13,13 @@
 mod backoff;
 mod calls;
 mod config;
+mod delays;
 pub mod events;
 mod fallback;
 mod mirror;
 mod neighbour;
 mod neighbours;
 pub mod packing;
-mod pauses;
 mod registry;
 mod seeds;
 mod serve;
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -10,8 +10,8 @@
 
 use crate::calls::Cause;
 use crate::config::READER_WAIT;
+use crate::delays::Delays;
 use crate::neighbour::{Heard, Known, NeighbourClient, NeighbourError, Question};
-use crate::pauses::Pauses;
 use crate::{
     CallCounters, FallbackRead, Mirror, Neighbours, RegistryBackoff, Seeds, SharedRegistryConfig,
     events,
@@ -59,7 +59,7 @@
 {
     /// Makes a view of `registry` for a process that gives nothing to others.
     pub fn new(registry: R, cfg: SharedRegistryConfig, neighbours: Arc<Neighbours>) -> Self {
-        let pauses = Pauses::new(&cfg, neighbours.own());
+        let delays = Delays::new(&cfg, neighbours.own());
         Self {
             registry,
             client: NeighbourClient::new(),
@@ -70,8 +70,8 @@
             reader: Arc::default(),
             start: Arc::default(),
             is_seed: false,
-            backoff: Arc::new(Mutex::new(RegistryBackoff::new(pauses.own))),
-            fallback: Arc::new(Mutex::new(FallbackRead::new(pauses.fallback))),
+            backoff: Arc::new(Mutex::new(RegistryBackoff::new(delays.backoff))),
+            fallback: Arc::new(Mutex::new(FallbackRead::new(delays.fallback))),
             counters: None,
         }
     }
@@ -121,7 +121,7 @@
         let mut cause = Cause::First;
         let mut is_reading = false;
         let mut old: Option<Known> = None;
-        let oldest = self.cfg.longest_age(topic);
+        let oldest = self.cfg.max_age(topic);
         for candidate in &candidates {
             match self.client.ask(*candidate, question, oldest).await {
                 Ok(heard) => {
@@ -175,7 +175,7 @@
             wait: Duration::ZERO,
             is_for_news: false,
         };
-        let oldest = self.cfg.longest_age(topic);
+        let oldest = self.cfg.max_age(topic);
         let first_known = self.seeds.first_known(&self.client, &question, oldest);
         tokio::select! {
             () = self.neighbours.until_named(limit) => None,
