--- a/crates/nearby/src/backoff.rs
+++ b/crates/nearby/src/backoff.rs
@@ -15,32 +15,32 @@
 /// that brings the upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryBackoff {
-    pause: Duration,
+    backoff: Duration,
     failed_at: BTreeMap<Topic, BootTime>,
 }
 
 impl RegistryBackoff {
-    /// Makes the turn of a process that waits for `pause` after a call that failed.
-    pub const fn new(pause: Duration) -> Self {
+    /// Makes the turn of a process that waits for `backoff` after a call that failed.
+    pub const fn new(backoff: Duration) -> Self {
         Self {
-            pause,
+            backoff,
             failed_at: BTreeMap::new(),
         }
     }
 
     /// Says whether a call for `topic` is due at `now`; those that others hear through are always due.
     pub fn is_due(&self, topic: Topic, is_reader: bool, now: BootTime) -> bool {
-        let rested = |failed_at: &BootTime| now.since(*failed_at) >= self.pause;
-        is_reader || self.failed_at.get(&topic).is_none_or(rested)
+        let has_passed = |failed_at: &BootTime| now.since(*failed_at) >= self.backoff;
+        is_reader || self.failed_at.get(&topic).is_none_or(has_passed)
     }
 
     /// Takes that the registry did not answer a call for `topic`.
-    pub fn failed(&mut self, topic: Topic, now: BootTime) {
+    pub fn note_failure(&mut self, topic: Topic, now: BootTime) {
         self.failed_at.insert(topic, now);
     }
 
     /// Takes that the registry answered: it is there for the other topic too.
-    pub fn answered(&mut self) {
+    pub fn note_answer(&mut self) {
         self.failed_at.clear();
     }
 }
--- a/crates/nearby/src/fallback.rs
+++ b/crates/nearby/src/fallback.rs
@@ -39,16 +39,16 @@
     /// Says whether a read of `topic` is due at `now` though neighbours are reading it, which told of the
     /// moment `as_of`.
     pub fn is_due(&mut self, topic: Topic, as_of: Option<BootTime>, now: BootTime) -> bool {
-        let begun = Wait { since: now, as_of };
-        let wait = self.waits.entry(topic).or_insert(begun);
+        let started = Wait { since: now, as_of };
+        let wait = self.waits.entry(topic).or_insert(started);
         if wait.as_of < as_of {
-            *wait = begun;
+            *wait = started;
         }
         now.since(wait.since) >= self.after
     }
 
     /// Takes that a neighbour told of `topic` what is young enough.
-    pub fn heard(&mut self, topic: Topic) {
+    pub fn note_fresh_answer(&mut self, topic: Topic) {
         self.waits.remove(&topic);
     }
 }
--- a/crates/nearby/src/neighbour.rs
+++ b/crates/nearby/src/neighbour.rs
@@ -17,14 +17,14 @@
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a connection to a neighbour may take to be made.
-const NEIGHBOUR_CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a copy may take in all, once it has begun. A configuration of 2,000 routes to 14
 /// neighbours takes 1.5 s over a link of 60 Mbit/s.
-const COPY: Duration = Duration::from_millis(2500);
+const COPY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Longest copy that is taken, in bytes. A configuration of 270 routes takes about 150 KB.
-const LONGEST: usize = 32 << 20;
+const MAX_COPY_BYTES: usize = 32 << 20;
 
 /// A neighbour can't be read from.
 #[derive(Debug, Snafu)]
@@ -34,11 +34,11 @@
     #[snafu(display("refused with {status}: look at the neighbour"))]
     Refused { status: u16, is_reading: bool },
     #[snafu(display("what it knows is {age:?} old: look at its link to the registry"))]
-    Old {
+    Stale {
         age: Duration,
         is_reading: bool,
         /// What it knows all the same.
-        known: Box<Known>,
+        known: Box<RelayedRecords>,
     },
     #[snafu(transparent)]
     Unreadable { source: UnpackError },
@@ -48,7 +48,7 @@
     /// Says whether the neighbour is about to know more.
     pub(crate) const fn is_reading(&self) -> bool {
         match self {
-            Self::Refused { is_reading, .. } | Self::Old { is_reading, .. } => *is_reading,
+            Self::Refused { is_reading, .. } | Self::Stale { is_reading, .. } => *is_reading,
             Self::Silent { .. } | Self::Unreadable { .. } => false,
         }
     }
@@ -56,17 +56,17 @@
 
 /// What a neighbour is asked.
 #[derive(Debug)]
-pub(crate) struct Question {
+pub(crate) struct NeighbourQuery {
     pub(crate) topic: Topic,
     pub(crate) path: String,
     pub(crate) wait: Duration,
     /// An empty answer comes at the end of the wait.
-    pub(crate) is_for_news: bool,
+    pub(crate) waits_for_records: bool,
 }
 
 /// What a neighbour knows.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct RelayedRecords {
     pub(crate) records: KnownRecords,
     /// The moment of which it speaks.
     pub(crate) as_of: BootTime,
@@ -74,9 +74,9 @@
 
 /// What a neighbour answers.
 #[derive(Debug)]
-pub(crate) enum Heard {
+pub(crate) enum NeighbourAnswer {
     /// What it knows.
-    Known(Known),
+    Known(RelayedRecords),
     /// It knows only the newest of what stood before this place.
     Expired(Offset),
 }
@@ -87,31 +87,31 @@
 
 impl NeighbourClient {
     pub(crate) fn new() -> Self {
-        Self(HttpClient::with_connect_timeout(NEIGHBOUR_CONNECT))
+        Self(HttpClient::with_connect_timeout(CONNECT_TIMEOUT))
     }
 
     /// Asks one neighbour.
     ///
     /// # Errors
     ///
-    /// Returns a [`NeighbourError`] if it is no use, or what it knows is older than `oldest`.
+    /// Returns a [`NeighbourError`] if it is no use, or what it knows is older than `age_limit`.
     pub(crate) async fn ask(
         &self,
         neighbour: SocketAddr,
-        question: &Question,
-        oldest: Duration,
-    ) -> Result<Heard, NeighbourError> {
-        let Question { topic, wait, .. } = *question;
+        query: &NeighbourQuery,
+        age_limit: Duration,
+    ) -> Result<NeighbourAnswer, NeighbourError> {
+        let NeighbourQuery { topic, wait, .. } = *query;
         let url = format!(
             "http://{neighbour}/v1/registry/{topic}{}&oldest_ms={}",
-            question.path,
-            oldest.as_millis()
+            query.path,
+            age_limit.as_millis()
         );
         let req = Request::get(&url).body(Body::default());
-        let req = req.map_err(|e| silent(&e))?;
+        let req = req.map_err(|e| silent_error(&e))?;
         let sent = BootTime::now();
         let answer = self.0.request_within(req, wait + NEIGHBOUR_TIMEOUT);
-        let answer = answer.await.map_err(|e| silent(&e))?;
+        let answer = answer.await.map_err(|e| silent_error(&e))?;
         let status = answer.status();
         if !matches!(status, StatusCode::OK | StatusCode::GONE) {
             let status = status.as_u16();
@@ -119,24 +119,26 @@
             return RefusedSnafu { status, is_reading }.fail();
         }
         let (head, body) = answer.into_parts();
-        let body = collect_body(&url, body, LONGEST, NEIGHBOUR_TIMEOUT);
-        let body = tokio::time::timeout(COPY, body).await;
-        let body = body.map_err(|e| silent(&e))?.map_err(|e| silent(&e))?;
+        let body = collect_body(&url, body, MAX_COPY_BYTES, NEIGHBOUR_TIMEOUT);
+        let body = tokio::time::timeout(COPY_TIMEOUT, body).await;
+        let body = body
+            .map_err(|e| silent_error(&e))?
+            .map_err(|e| silent_error(&e))?;
         if status == StatusCode::GONE {
-            return Ok(Heard::Expired(unpack(&head.headers, &body)?));
+            return Ok(NeighbourAnswer::Expired(unpack(&head.headers, &body)?));
         }
         let age = age_of(&head.headers)?;
         let records: KnownRecords = unpack(&head.headers, &body)?;
-        let is_old = age > oldest;
+        let is_stale = age > age_limit;
         // Who is behind answers at once.
-        let has_waited = question.is_for_news && records.items.is_empty() && !is_old;
-        let told = Page::answer_as_of(has_waited, sent, wait, BootTime::now());
-        let as_of = told.minus(age);
-        let known = Known { records, as_of };
-        if !is_old {
-            return Ok(Heard::Known(known));
+        let has_waited = query.waits_for_records && records.items.is_empty() && !is_stale;
+        let holds_as_of = Page::answer_as_of(has_waited, sent, wait, BootTime::now());
+        let as_of = holds_as_of.minus(age);
+        let known = RelayedRecords { records, as_of };
+        if !is_stale {
+            return Ok(NeighbourAnswer::Known(known));
         }
-        OldSnafu {
+        StaleSnafu {
             age,
             is_reading: is_reading(&head.headers),
             known,
@@ -149,7 +151,7 @@
     headers.contains_key(READING_HEADER)
 }
 
-fn silent<E>(err: &E) -> NeighbourError
+fn silent_error<E>(err: &E) -> NeighbourError
 where
     E: std::fmt::Display,
 {
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -11,20 +11,22 @@
 use crate::calls::Cause;
 use crate::config::READER_WAIT;
 use crate::delays::Delays;
-use crate::neighbour::{Heard, Known, NeighbourClient, NeighbourError, Question};
+use crate::neighbour::{
+    NeighbourAnswer, NeighbourClient, NeighbourError, NeighbourQuery, RelayedRecords,
+};
 use crate::{
     CallCounters, FallbackRead, Mirror, Neighbours, RegistryBackoff, Seeds, SharedRegistryConfig,
     events,
 };
 
 /// How long after a neighbour's question this entry reads for it.
-const READS_FOR: Duration = Duration::from_secs(2);
+const QUERY_TTL: Duration = Duration::from_secs(2);
 
 /// How long a neighbour that starts may take to read the registry.
-const FIRST_READ: Duration = Duration::from_millis(1500);
+const FIRST_READ_WAIT: Duration = Duration::from_millis(1500);
 
 /// Pause after an answer that is old from a neighbour that is reading.
-const READING_PAUSE: Duration = Duration::from_millis(100);
+const READING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a process has asked for since it started.
 #[derive(Debug, Default)]
@@ -110,50 +112,52 @@
     /// # Errors
     ///
     /// Returns the [`Cause`] for asking the registry itself.
-    async fn ask(&self, question: &Question) -> Result<Heard, Cause> {
-        let topic = question.topic;
-        if let Some(limit) = self.first_wait(topic)
-            && let Some(heard) = self.ask_seeds(topic, limit).await
+    async fn ask(&self, query: &NeighbourQuery) -> Result<NeighbourAnswer, Cause> {
+        let topic = query.topic;
+        if let Some(limit) = self.start_wait_left(topic)
+            && let Some(answer) = self.ask_seeds(topic, limit).await
         {
-            return Ok(heard);
+            return Ok(answer);
         }
         let candidates = self.neighbours.candidates(BootTime::now());
         let mut cause = Cause::First;
         let mut is_reading = false;
-        let mut old: Option<Known> = None;
-        let oldest = self.cfg.max_age(topic);
+        let mut stale: Option<RelayedRecords> = None;
+        let age_limit = self.cfg.max_age(topic);
         for candidate in &candidates {
-            match self.client.ask(*candidate, question, oldest).await {
-                Ok(heard) => {
+            match self.client.ask(*candidate, query, age_limit).await {
+                Ok(answer) => {
                     self.note_reader(topic, Some(*candidate));
-                    self.lock_fallback().heard(topic);
-                    return Ok(heard);
+                    self.lock_fallback().note_fresh_answer(topic);
+                    return Ok(answer);
                 }
                 Err(err) => {
                     is_reading |= err.is_reading();
-                    cause = self.pass_over(*candidate, topic, &err);
+                    cause = self.note_useless(*candidate, topic, &err);
                     // Another wait would take the rest of the time that a change has.
-                    let NeighbourError::Old { known, .. } = err else {
+                    let NeighbourError::Stale { known, .. } = err else {
                         break;
                     };
-                    old = old.into_iter().chain([*known]).max_by_key(|it| it.as_of);
+                    stale = stale.into_iter().chain([*known]).max_by_key(|it| it.as_of);
                 }
             }
         }
-        let as_of = old.as_ref().map(|known| known.as_of);
+        let as_of = stale.as_ref().map(|known| known.as_of);
         if !is_reading || !self.waits_for_reader(topic, as_of) {
             return Err(cause);
         }
         // The answer to the next question is old too for a while.
-        tokio::time::sleep(READING_PAUSE).await;
-        old.map(Heard::Known).ok_or(Cause::NeighbourReads)
+        tokio::time::sleep(READING_POLL_INTERVAL).await;
+        stale
+            .map(NeighbourAnswer::Known)
+            .ok_or(Cause::NeighbourReads)
     }
 
     /// Returns how long the first read of `topic` waits for seeds and neighbours; none if there is nothing to
     /// wait for, or it was read before.
     ///
     /// Upstreams have to be known before their agents can name neighbours, so that only seeds are waited for.
-    fn first_wait(&self, topic: Topic) -> Option<Duration> {
+    fn start_wait_left(&self, topic: Topic) -> Option<Duration> {
         let mut start = self.start.lock().unwrap_or_else(PoisonError::into_inner);
         let now = BootTime::now();
         let since = *start.since.get_or_insert(now);
@@ -168,21 +172,21 @@
     ///
     /// Load pattern: 50 entries of a data centre that start together, each of which would read thousands of
     /// upstreams over its region's link. None of the reads ends in its time, and each begins from nothing.
-    async fn ask_seeds(&self, topic: Topic, limit: Duration) -> Option<Heard> {
-        let question = Question {
+    async fn ask_seeds(&self, topic: Topic, limit: Duration) -> Option<NeighbourAnswer> {
+        let query = NeighbourQuery {
             topic,
             path: "/newest?wait_ms=0".to_owned(),
             wait: Duration::ZERO,
-            is_for_news: false,
+            waits_for_records: false,
         };
-        let oldest = self.cfg.max_age(topic);
-        let first_known = self.seeds.first_known(&self.client, &question, oldest);
+        let age_limit = self.cfg.max_age(topic);
+        let first_known = self.seeds.first_known(&self.client, &query, age_limit);
         tokio::select! {
             () = self.neighbours.until_named(limit) => None,
-            (seed, heard) = first_known => {
+            (seed, answer) = first_known => {
                 self.neighbours.set_seed(seed);
                 self.note_reader(topic, Some(seed));
-                Some(heard)
+                Some(answer)
             }
         }
     }
@@ -200,11 +204,11 @@
     }
 
     /// Takes that a neighbour was no use.
-    fn pass_over(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
+    fn note_useless(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
         let now = BootTime::now();
-        let (is_news, cause) = match err {
+        let (is_new, cause) = match err {
             // One that has read nothing yet refuses.
-            NeighbourError::Old { .. } | NeighbourError::Refused { .. } => {
+            NeighbourError::Stale { .. } | NeighbourError::Refused { .. } => {
                 (self.neighbours.behind(neighbour, now), Cause::NeighbourOld)
             }
             NeighbourError::Silent { .. } | NeighbourError::Unreadable { .. } => (
@@ -212,7 +216,7 @@
                 Cause::NeighbourSilent,
             ),
         };
-        if is_news {
+        if is_new {
             events::NEIGHBOUR_AVOIDED.emit(&[
                 ("neighbour", &neighbour.to_string()),
                 ("topic", &topic.to_string()),
@@ -243,11 +247,11 @@
         let now = BootTime::now();
         let outcome = match &answer {
             Ok(_) | Err(RegistryError::Expired { .. }) => {
-                self.lock_backoff().answered();
+                self.lock_backoff().note_answer();
                 "answered"
             }
             Err(_) => {
-                self.lock_backoff().failed(topic, now);
+                self.lock_backoff().note_failure(topic, now);
                 "failed"
             }
         };
@@ -284,9 +288,9 @@
     }
 
     /// Returns how long the registry may hold a read.
-    fn held_for(&self, wait: Duration) -> Duration {
+    fn max_hold(&self, wait: Duration) -> Duration {
         let mirror = self.mirror.as_ref();
-        if mirror.is_some_and(|mirror| mirror.was_asked_within(READS_FOR)) {
+        if mirror.is_some_and(|mirror| mirror.was_asked_within(QUERY_TTL)) {
             wait.min(READER_WAIT)
         } else {
             wait
@@ -299,20 +303,20 @@
     R: Registry,
 {
     async fn newest(&self, topic: Topic, timeout: Duration) -> Result<Snapshot, RegistryError> {
-        let question = Question {
+        let query = NeighbourQuery {
             topic,
-            path: format!("/newest?wait_ms={}", FIRST_READ.as_millis()),
-            wait: FIRST_READ,
-            is_for_news: false,
+            path: format!("/newest?wait_ms={}", FIRST_READ_WAIT.as_millis()),
+            wait: FIRST_READ_WAIT,
+            waits_for_records: false,
         };
-        let snapshot = match self.ask(&question).await {
-            Ok(Heard::Known(Known { records, as_of })) => Snapshot {
+        let snapshot = match self.ask(&query).await {
+            Ok(NeighbourAnswer::Known(RelayedRecords { records, as_of })) => Snapshot {
                 items: records.items,
                 end: records.next,
                 as_of,
                 is_relayed: true,
             },
-            Ok(Heard::Expired(_)) => {
+            Ok(NeighbourAnswer::Expired(_)) => {
                 let call = self.registry.newest(topic, timeout);
                 self.call(topic, Cause::NeighbourOld, call).await?
             }
@@ -334,14 +338,14 @@
         wait: Duration,
         timeout: Duration,
     ) -> Result<Page, RegistryError> {
-        let question = Question {
+        let query = NeighbourQuery {
             topic,
             path: format!("?from={from}&wait_ms={}", self.cfg.wait.as_millis()),
             wait: self.cfg.wait,
-            is_for_news: true,
+            waits_for_records: true,
         };
-        let page = match self.ask(&question).await {
-            Ok(Heard::Known(Known { records, as_of })) => Page {
+        let page = match self.ask(&query).await {
+            Ok(NeighbourAnswer::Known(RelayedRecords { records, as_of })) => Page {
                 items: records.items,
                 next: records.next,
                 end: records.next,
@@ -350,9 +354,9 @@
             },
             // In a burst the neighbour reads the newest of each key, time and again; all that follow
             // it would read the registry themselves.
-            Ok(Heard::Expired(first)) => return Err(RegistryError::Expired { first }),
+            Ok(NeighbourAnswer::Expired(first)) => return Err(RegistryError::Expired { first }),
             Err(cause) => {
-                let wait = self.held_for(wait);
+                let wait = self.max_hold(wait);
                 let call = self.registry.read(topic, from, wait, timeout);
                 self.call(topic, cause, call).await?
             }
--- a/crates/nearby/src/seeds.rs
+++ b/crates/nearby/src/seeds.rs
@@ -7,20 +7,20 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-use crate::neighbour::{Heard, NeighbourClient, Question};
+use crate::neighbour::{NeighbourAnswer, NeighbourClient, NeighbourQuery};
 
 /// How long a seed may take to accept a connection: some round trips between regions. Longer ones are left
 /// to those that are nearer.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Pause before seeds that know nothing yet are asked again. Of processes that start together all seeds do.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long only the nearest seed is asked, whose process may start a little later than this one.
 ///
 /// Load pattern: 50 entries of a data centre start together, and the seed of another one, beside the registry,
 /// knows all upstreams first. The copies for half of them fill the link over which the own seed reads.
-const NEAREST_FOR: Duration = Duration::from_millis(450);
+const NEAREST_ONLY: Duration = Duration::from_millis(450);
 
 /// A seed whose VM answered.
 #[derive(Clone, Copy, Debug)]
@@ -54,18 +54,18 @@
         self.0.is_empty()
     }
 
-    /// Returns what the nearest seed that knows anything answers to `question`, and which that is; never
+    /// Returns what the nearest seed that knows anything answers to `query`, and which that is; never
     /// returns while none does.
     pub(crate) async fn first_known(
         &self,
         client: &NeighbourClient,
-        question: &Question,
-        oldest: Duration,
-    ) -> (SocketAddr, Heard) {
+        query: &NeighbourQuery,
+        age_limit: Duration,
+    ) -> (SocketAddr, NeighbourAnswer) {
         if self.is_empty() {
             std::future::pending::<()>().await;
         }
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             // The quickest to accept comes first: one in the own data centre takes a tenth of the time of
             // others, and its bytes cross no narrow link.
@@ -76,24 +76,24 @@
                     continue;
                 };
                 // One that knows nothing yet is asked again after the pause.
-                if accepts && let Ok(heard) = client.ask(seed, question, oldest).await {
-                    return (seed, heard);
+                if accepts && let Ok(answer) = client.ask(seed, query, age_limit).await {
+                    return (seed, answer);
                 }
-                if began.elapsed() < NEAREST_FOR {
+                if started.elapsed() < NEAREST_ONLY {
                     break;
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
     /// Connects to all seeds; each whose VM answers is returned as it does.
     fn connect(&self) -> JoinSet<Option<Reached>> {
         let connect = |seed| async move {
-            let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(seed));
+            let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(seed));
             let connected = connecting.await.ok()?;
-            let is_there = |e: &io::Error| e.kind() == io::ErrorKind::ConnectionRefused;
-            let answers = connected.as_ref().err().is_none_or(is_there);
+            let is_refused = |e: &io::Error| e.kind() == io::ErrorKind::ConnectionRefused;
+            let answers = connected.as_ref().err().is_none_or(is_refused);
             answers.then_some(Reached {
                 seed,
                 accepts: connected.is_ok(),
--- a/crates/nearby/tests/backoff.rs
+++ b/crates/nearby/tests/backoff.rs
@@ -20,12 +20,12 @@
         backoff.is_due(Topic::Settings, false, at(500)),
         "nothing failed yet"
     );
-    backoff.failed(Topic::Settings, at(500));
+    backoff.note_failure(Topic::Settings, at(500));
     assert_eq!(
         backoff.is_due(Topic::Settings, is_reader, at(500 + after)),
         is_due
     );
-    backoff.answered();
+    backoff.note_answer();
     assert!(
         backoff.is_due(Topic::Settings, false, at(501)),
         "it answers again"
--- a/crates/nearby/tests/fallback.rs
+++ b/crates/nearby/tests/fallback.rs
@@ -31,7 +31,7 @@
 fn heard_again() {
     let mut fallback = FallbackRead::new(AFTER);
     assert!(!fallback.is_due(Topic::Settings, None, at(1_000)));
-    fallback.heard(Topic::Settings);
+    fallback.note_fresh_answer(Topic::Settings);
     assert!(!fallback.is_due(Topic::Settings, None, at(9_000)));
     assert!(!fallback.is_due(Topic::Upstreams, None, at(9_000)));
 }
