--- a/crates/nearby/src/calls.rs
+++ b/crates/nearby/src/calls.rs
@@ -24,17 +24,17 @@
 /// Calls of one topic that are under way, and how the last one ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CallState {
-    under_way: u32,
+    in_flight: u32,
     has_failed: bool,
 }
 
 impl CallState {
-    pub(crate) const fn begun(&mut self) {
-        self.under_way = self.under_way.saturating_add(1);
+    pub(crate) const fn started(&mut self) {
+        self.in_flight = self.in_flight.saturating_add(1);
     }
 
     pub(crate) const fn ended(&mut self, has_failed: bool) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.has_failed = has_failed;
     }
 
@@ -42,7 +42,7 @@
     /// full it takes long, and reads by others would only make it longer. At a process that is cut off
     /// the last one has failed before what it knows is too old.
     pub(crate) const fn is_reading(self) -> bool {
-        self.under_way > 0 && !self.has_failed
+        self.in_flight > 0 && !self.has_failed
     }
 }
 
--- a/crates/nearby/src/mirror.rs
+++ b/crates/nearby/src/mirror.rs
@@ -48,20 +48,20 @@
 /// Invariant: `newest` holds, of each key, the newest record with a place below `end`, or of settings
 /// the one with the highest version: a write whose answer was lost may be done after a later one, and
 /// a process that starts then would take the older version for the newest. Who has read all before
-/// `floor` misses only records that stand here.
+/// `expired_before` misses only records that stand here.
 #[derive(Debug, Default)]
-struct Held {
-    floor: Offset,
+struct TopicRecords {
+    expired_before: Offset,
     end: Offset,
     as_of: Option<BootTime>,
     newest: BTreeMap<Key, Keyed>,
     /// What was given since the last read that brought anything, for neighbours that ask for the same.
-    given: BTreeMap<Wanted, Packed>,
+    copies: BTreeMap<RecordRange, Packed>,
 }
 
 /// Which records a neighbour asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wanted {
+enum RecordRange {
     /// All that still hold.
     Newest,
     /// Those that stand at this place and after it.
@@ -70,13 +70,13 @@
 
 /// A copy of what is known, as it is sent to a neighbour.
 #[derive(Clone, Debug)]
-pub(crate) struct Copy {
+pub(crate) struct RecordsCopy {
     pub(crate) records: Packed,
     /// How old the knowledge was when it was given.
     pub(crate) age: Duration,
 }
 
-impl Held {
+impl TopicRecords {
     fn insert(&mut self, items: &[Keyed]) {
         for item in items {
             let known = self.newest.entry(Key::of(&item.change));
@@ -95,20 +95,20 @@
     /// Takes that all before `end` was read.
     fn advance(&mut self, end: Offset) {
         self.end = end;
-        self.given.clear();
+        self.copies.clear();
     }
 
     /// Returns what a neighbour asks for, in the order of the log.
-    fn records(&self, wanted: Wanted) -> KnownRecords {
-        let is_wanted = |item: &&Keyed| match wanted {
-            Wanted::Newest => !matches!(item.change, Change::Gone(_)),
-            Wanted::Since(from) => item.offset >= from,
+    fn records(&self, range: RecordRange) -> KnownRecords {
+        let is_wanted = |item: &&Keyed| match range {
+            RecordRange::Newest => !matches!(item.change, Change::Gone(_)),
+            RecordRange::Since(from) => item.offset >= from,
         };
         let mut items: Vec<Keyed> = self.newest.values().filter(is_wanted).cloned().collect();
         items.sort_by_key(|item| item.offset);
-        let next = match wanted {
-            Wanted::Newest => self.end,
-            Wanted::Since(from) => self.end.max(from),
+        let next = match range {
+            RecordRange::Newest => self.end,
+            RecordRange::Since(from) => self.end.max(from),
         };
         KnownRecords { items, next }
     }
@@ -123,130 +123,139 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Lack::Unread`] if nothing was read yet.
-    fn copy(&mut self, wanted: Wanted) -> Result<Copy, Lack> {
-        let as_of = self.as_of.ok_or(Lack::Unread)?;
-        let records = match self.given.get(&wanted) {
-            Some(given) => given.clone(),
+    /// Returns [`CopyError::NothingRead`] if nothing was read yet.
+    fn copy(&mut self, range: RecordRange) -> Result<RecordsCopy, CopyError> {
+        let as_of = self.as_of.ok_or(CopyError::NothingRead)?;
+        let records = match self.copies.get(&range) {
+            Some(cached) => cached.clone(),
             None => {
-                let packed = Packed::new(&self.records(wanted));
-                self.given.insert(wanted, packed.clone());
+                let packed = Packed::new(&self.records(range));
+                self.copies.insert(range, packed.clone());
                 packed
             }
         };
         let age = BootTime::now().since(as_of);
-        Ok(Copy { records, age })
+        Ok(RecordsCopy { records, age })
     }
 }
 
 #[derive(Debug, Default)]
-struct Shelf {
-    held: Mutex<Held>,
+struct TopicState {
+    records: Mutex<TopicRecords>,
     calls: Mutex<CallState>,
     end: watch::Sender<Offset>,
 }
 
-impl Shelf {
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+impl TopicState {
+    fn lock(&self) -> MutexGuard<'_, TopicRecords> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Why a mirror can't answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lack {
+pub(crate) enum CopyError {
     /// Nothing was read yet.
-    Unread,
+    NothingRead,
     /// Records before this place are not known one by one.
-    Before(Offset),
+    Expired(Offset),
 }
 
 /// What this process last read of the registry, kept for its neighbours.
 #[derive(Debug, Default)]
 pub struct Mirror {
-    settings: Shelf,
-    upstreams: Shelf,
-    asked: Mutex<Option<BootTime>>,
+    settings: TopicState,
+    upstreams: TopicState,
+    last_query: Mutex<Option<BootTime>>,
 }
 
 impl Mirror {
     /// Takes the newest record of each key.
-    pub fn take_snapshot(&self, topic: Topic, snapshot: &Snapshot) {
-        let shelf = self.shelf(topic);
+    pub fn store_snapshot(&self, topic: Topic, snapshot: &Snapshot) {
+        let state = self.state(topic);
         {
-            let mut held = shelf.lock();
-            held.newest.retain(|_, it| version_of(&it.change).is_some());
-            held.insert(&snapshot.items);
-            held.floor = snapshot.end;
-            held.advance(snapshot.end);
-            held.confirm(snapshot.as_of);
+            let mut records = state.lock();
+            records
+                .newest
+                .retain(|_, it| version_of(&it.change).is_some());
+            records.insert(&snapshot.items);
+            records.expired_before = snapshot.end;
+            records.advance(snapshot.end);
+            records.confirm(snapshot.as_of);
         }
-        shelf.end.send_replace(snapshot.end);
+        state.end.send_replace(snapshot.end);
     }
 
     /// Takes the records that stand at `from` and after it.
-    pub fn take_page(&self, topic: Topic, from: Offset, page: &Page) {
-        let shelf = self.shelf(topic);
+    pub fn store_page(&self, topic: Topic, from: Offset, page: &Page) {
+        let state = self.state(topic);
         {
-            let mut held = shelf.lock();
-            if from > held.end || page.next < held.end {
+            let mut records = state.lock();
+            if from > records.end || page.next < records.end {
                 // There would be a gap, or the page says nothing new.
                 return;
             }
-            if !page.items.is_empty() || page.next > held.end {
-                held.insert(&page.items);
-                held.advance(page.next);
+            if !page.items.is_empty() || page.next > records.end {
+                records.insert(&page.items);
+                records.advance(page.next);
             }
             if page.end <= page.next {
-                held.confirm(page.as_of);
+                records.confirm(page.as_of);
             }
         }
-        shelf.end.send_replace(page.next);
+        state.end.send_replace(page.next);
     }
 
     /// Says whether a neighbour asked within `span`.
-    pub fn was_asked_within(&self, span: Duration) -> bool {
-        let asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        asked.is_some_and(|at| BootTime::now().since(at) <= span)
+    pub fn was_queried_within(&self, span: Duration) -> bool {
+        let last_query = self
+            .last_query
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        last_query.is_some_and(|at| BootTime::now().since(at) <= span)
     }
 
     /// Returns the newest record of each key; waits up to `wait` for the first read to end.
-    pub(crate) async fn newest(&self, topic: Topic, wait: Duration) -> Result<Copy, Lack> {
-        self.note_asked();
-        self.until_read(topic, wait).await;
-        self.shelf(topic).lock().copy(Wanted::Newest)
+    pub(crate) async fn newest(
+        &self,
+        topic: Topic,
+        wait: Duration,
+    ) -> Result<RecordsCopy, CopyError> {
+        self.note_query();
+        self.wait_for_first_read(topic, wait).await;
+        self.state(topic).lock().copy(RecordRange::Newest)
     }
 
     /// Returns what stands at `from` and after it; waits up to `wait` for the first of it, unless what
-    /// is known is older than `oldest`.
+    /// is known is older than `age_limit`.
     pub(crate) async fn read(
         &self,
         topic: Topic,
         from: Offset,
         wait: Duration,
-        oldest: Duration,
-    ) -> Result<Copy, Lack> {
-        self.note_asked();
-        let shelf = self.shelf(topic);
+        age_limit: Duration,
+    ) -> Result<RecordsCopy, CopyError> {
+        self.note_query();
+        let state = self.state(topic);
         let now = BootTime::now();
-        let known_as_of = shelf.lock().as_of;
-        let is_behind = known_as_of.is_some_and(|as_of| now.since(as_of) > oldest);
+        let known_as_of = state.lock().as_of;
+        let is_behind = known_as_of.is_some_and(|as_of| now.since(as_of) > age_limit);
         let wait = if is_behind { Duration::ZERO } else { wait };
-        let mut end = shelf.end.subscribe();
+        let mut end = state.end.subscribe();
         // The sender lives as long as the mirror; without news the answer is empty.
         let _ = tokio::time::timeout(wait, end.wait_for(|end| *end > from)).await;
-        let mut held = shelf.lock();
-        if held.as_of.is_some() && from < held.floor {
-            return Err(Lack::Before(held.floor));
+        let mut records = state.lock();
+        if records.as_of.is_some() && from < records.expired_before {
+            return Err(CopyError::Expired(records.expired_before));
         }
-        held.copy(Wanted::Since(from))
+        records.copy(RecordRange::Since(from))
     }
 
     /// Processes that start together ask before there is anything to give.
-    async fn until_read(&self, topic: Topic, wait: Duration) {
-        let shelf = self.shelf(topic);
-        let mut end = shelf.end.subscribe();
-        let read = async { while shelf.lock().as_of.is_none() && end.changed().await.is_ok() {} };
+    async fn wait_for_first_read(&self, topic: Topic, wait: Duration) {
+        let state = self.state(topic);
+        let mut end = state.end.subscribe();
+        let read = async { while state.lock().as_of.is_none() && end.changed().await.is_ok() {} };
         // Without a read in time the answer says so.
         let _ = tokio::time::timeout(wait, read).await;
     }
@@ -257,26 +266,29 @@
     }
 
     /// Takes that a call to the registry begins.
-    pub(crate) fn call_begins(&self, topic: Topic) {
-        self.call_state(topic).begun();
+    pub(crate) fn call_started(&self, topic: Topic) {
+        self.call_state(topic).started();
     }
 
     /// Takes that a call to the registry is over.
-    pub(crate) fn call_ends(&self, topic: Topic, has_failed: bool) {
+    pub(crate) fn call_ended(&self, topic: Topic, has_failed: bool) {
         self.call_state(topic).ended(has_failed);
     }
 
     fn call_state(&self, topic: Topic) -> MutexGuard<'_, CallState> {
-        let calls = self.shelf(topic).calls.lock();
+        let calls = self.state(topic).calls.lock();
         calls.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_asked(&self) {
-        let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        *asked = Some(BootTime::now());
+    fn note_query(&self) {
+        let mut last_query = self
+            .last_query
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *last_query = Some(BootTime::now());
     }
 
-    fn shelf(&self, topic: Topic) -> &Shelf {
+    fn state(&self, topic: Topic) -> &TopicState {
         match topic {
             Topic::Settings => &self.settings,
             Topic::Upstreams => &self.upstreams,
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -241,7 +241,7 @@
         }
         self.note_reader(topic, None);
         if let Some(mirror) = &self.mirror {
-            mirror.call_begins(topic);
+            mirror.call_started(topic);
         }
         let answer = call.await;
         let now = BootTime::now();
@@ -256,7 +256,7 @@
             }
         };
         if let Some(mirror) = &self.mirror {
-            mirror.call_ends(topic, outcome == "failed");
+            mirror.call_ended(topic, outcome == "failed");
         }
         if let Some(counters) = &self.counters {
             counters.count(topic, cause, outcome);
@@ -290,7 +290,7 @@
     /// Returns how long the registry may hold a read.
     fn max_hold(&self, wait: Duration) -> Duration {
         let mirror = self.mirror.as_ref();
-        if mirror.is_some_and(|mirror| mirror.was_asked_within(QUERY_TTL)) {
+        if mirror.is_some_and(|mirror| mirror.was_queried_within(QUERY_TTL)) {
             wait.min(READER_WAIT)
         } else {
             wait
@@ -326,7 +326,7 @@
             }
         };
         if let Some(mirror) = &self.mirror {
-            mirror.take_snapshot(topic, &snapshot);
+            mirror.store_snapshot(topic, &snapshot);
         }
         Ok(snapshot)
     }
@@ -362,7 +362,7 @@
             }
         };
         if let Some(mirror) = &self.mirror {
-            mirror.take_page(topic, from, &page);
+            mirror.store_page(topic, from, &page);
         }
         Ok(page)
     }
--- a/crates/nearby/src/serve.rs
+++ b/crates/nearby/src/serve.rs
@@ -13,15 +13,15 @@
 use wagtailreel_fleet::Topic;
 
 use crate::Mirror;
-use crate::mirror::{Copy, Lack};
+use crate::mirror::{CopyError, RecordsCopy};
 use crate::wire::READING_HEADER;
 
 /// Longest wait for news that a neighbour may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// What a neighbour wants to read.
 #[derive(Debug, Deserialize)]
-struct Wanted {
+struct ReadParams {
     /// Place of the first record.
     #[serde(default)]
     from: Offset,
@@ -32,12 +32,12 @@
     oldest_ms: Option<u64>,
 }
 
-impl Wanted {
+impl ReadParams {
     fn wait(&self) -> Duration {
-        Duration::from_millis(self.wait_ms).min(LONGEST_WAIT)
+        Duration::from_millis(self.wait_ms).min(MAX_WAIT)
     }
 
-    fn oldest(&self) -> Duration {
+    fn age_limit(&self) -> Duration {
         self.oldest_ms.map_or(Duration::MAX, Duration::from_millis)
     }
 }
@@ -53,28 +53,28 @@
 async fn newest(
     State(mirror): State<Arc<Mirror>>,
     Path(topic): Path<Topic>,
-    Query(wanted): Query<Wanted>,
+    Query(params): Query<ReadParams>,
 ) -> Response {
-    let copy = mirror.newest(topic, wanted.wait()).await;
+    let copy = mirror.newest(topic, params.wait()).await;
     answer(copy, mirror.is_reading(topic))
 }
 
 async fn read(
     State(mirror): State<Arc<Mirror>>,
     Path(topic): Path<Topic>,
-    Query(wanted): Query<Wanted>,
+    Query(params): Query<ReadParams>,
 ) -> Response {
-    let read = mirror.read(topic, wanted.from, wanted.wait(), wanted.oldest());
+    let read = mirror.read(topic, params.from, params.wait(), params.age_limit());
     let copy = read.await;
     answer(copy, mirror.is_reading(topic))
 }
 
 /// Makes the answer, which says whether a read that will make what is known younger is under way.
-fn answer(copy: Result<Copy, Lack>, is_reading: bool) -> Response {
+fn answer(copy: Result<RecordsCopy, CopyError>, is_reading: bool) -> Response {
     let mut response = match copy {
         Ok(copy) => copy.records.answer(copy.age),
-        Err(Lack::Unread) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Err(Lack::Before(first)) => (StatusCode::GONE, Json(first)).into_response(),
+        Err(CopyError::NothingRead) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Err(CopyError::Expired(first)) => (StatusCode::GONE, Json(first)).into_response(),
     };
     if is_reading {
         let yes = HeaderValue::from_static("yes");
--- a/crates/nearby/tests/mirror.rs
+++ b/crates/nearby/tests/mirror.rs
@@ -45,14 +45,14 @@
     let second = Entry::beside(&first).await;
     first
         .mirror
-        .take_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
+        .store_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
     let items = vec![
         keyed(5, upstream("b")),
         keyed(6, Change::Gone("a".to_owned())),
     ];
-    first.mirror.take_page(TOPIC, 5, &page(items, 7));
+    first.mirror.store_page(TOPIC, 5, &page(items, 7));
     let again = vec![keyed(7, upstream("b"))];
-    first.mirror.take_page(TOPIC, 7, &page(again, 8));
+    first.mirror.store_page(TOPIC, 7, &page(again, 8));
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await.unwrap();
     assert!(read.is_relayed);
@@ -70,12 +70,12 @@
     let second = Entry::beside(&first).await;
     first
         .mirror
-        .take_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
+        .store_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
     let items = vec![
         keyed(5, upstream("b")),
         keyed(6, Change::Gone("a".to_owned())),
     ];
-    first.mirror.take_page(TOPIC, 5, &page(items, 7));
+    first.mirror.store_page(TOPIC, 5, &page(items, 7));
     let newest = second.registry.newest(TOPIC, TIMEOUT).await.unwrap();
     assert_eq!(newest.items, vec![keyed(5, upstream("b"))]);
     assert_eq!(newest.end, 7);
@@ -89,7 +89,7 @@
     let first = Entry::start().await;
     let second = Entry::beside(&first).await;
     let items = vec![keyed(3, upstream("a"))];
-    first.mirror.take_snapshot(TOPIC, &snapshot(items, 5));
+    first.mirror.store_snapshot(TOPIC, &snapshot(items, 5));
     let read = second.registry.read(TOPIC, 0, Duration::ZERO, TIMEOUT);
     let read = read.await;
     assert!(
@@ -107,10 +107,10 @@
 async fn gap_in_pages() {
     let first = Entry::start().await;
     let second = Entry::beside(&first).await;
-    first.mirror.take_snapshot(TOPIC, &snapshot(Vec::new(), 5));
+    first.mirror.store_snapshot(TOPIC, &snapshot(Vec::new(), 5));
     first
         .mirror
-        .take_page(TOPIC, 9, &page(vec![keyed(9, upstream("c"))], 10));
+        .store_page(TOPIC, 9, &page(vec![keyed(9, upstream("c"))], 10));
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await.unwrap();
     assert_eq!((read.items.len(), read.next), (0, 5));
@@ -125,10 +125,10 @@
     let old = BootTime::now().minus(Duration::from_secs(60));
     let mut snapshot = snapshot(Vec::new(), 5);
     snapshot.as_of = old;
-    first.mirror.take_snapshot(TOPIC, &snapshot);
+    first.mirror.store_snapshot(TOPIC, &snapshot);
     let mut partial = page(vec![keyed(5, upstream("c"))], 6);
     partial.end = 90;
-    first.mirror.take_page(TOPIC, 5, &partial);
+    first.mirror.store_page(TOPIC, 5, &partial);
     second.store.set_away(true);
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await;
@@ -152,12 +152,12 @@
     };
     let topic = Topic::Settings;
     let items = vec![keyed(3, named(3))];
-    first.mirror.take_snapshot(topic, &snapshot(items, 5));
+    first.mirror.store_snapshot(topic, &snapshot(items, 5));
     let late = vec![keyed(5, named(2))];
     if is_snapshot {
-        first.mirror.take_snapshot(topic, &snapshot(late, 6));
+        first.mirror.store_snapshot(topic, &snapshot(late, 6));
     } else {
-        first.mirror.take_page(topic, 5, &page(late, 6));
+        first.mirror.store_page(topic, 5, &page(late, 6));
     }
     let newest = second.registry.newest(topic, TIMEOUT).await.unwrap();
     assert_eq!(newest.items, vec![keyed(3, named(3))]);
--- a/crates/nearby/tests/seeds.rs
+++ b/crates/nearby/tests/seeds.rs
@@ -82,7 +82,7 @@
     entry.store.config(directory());
     let newcomer = Newcomer::new(&entry, &[entry.addr.ip()]);
     let read = async {
-        while !entry.mirror.was_asked_within(TIMEOUT) {
+        while !entry.mirror.was_queried_within(TIMEOUT) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         config_at(&entry.registry).await
@@ -100,7 +100,7 @@
     entry.store.upstream(upstream("u-1"));
     let newcomer = Newcomer::new(&entry, &[entry.addr.ip()]);
     let until_asked = async {
-        while !entry.mirror.was_asked_within(TIMEOUT) {
+        while !entry.mirror.was_queried_within(TIMEOUT) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
