--- a/crates/direct/src/far.rs
+++ b/crates/direct/src/far.rs
@@ -176,7 +176,7 @@
                 match giver.filter(|_| matches!(err, FarError::Silent { .. })) {
                     Some(entry) if is_reader => self.forget(data_centre, entry),
                     Some(neighbour) => {
-                        self.neighbours.avoid(neighbour, BootTime::now());
+                        self.neighbours.note_silent(neighbour, BootTime::now());
                     }
                     None => {}
                 }
--- a/crates/nearby/src/neighbours.rs
+++ b/crates/nearby/src/neighbours.rs
@@ -10,24 +10,24 @@
 use wagtailreel_fleet::BootTime;
 
 /// How long an entry counts as there after an agent named it. Agents are asked each 100 ms.
-const NAMED_FOR: Duration = Duration::from_millis(500);
+const ENTRY_TTL: Duration = Duration::from_millis(500);
 
 /// How long an entry that failed to answer is passed over.
-const AVOIDED_FOR: Duration = Duration::from_secs(3);
+const AVOID_DURATION: Duration = Duration::from_secs(3);
 
 /// How long an entry whose knowledge was too old counts as behind. Until then others are asked too.
-const BEHIND_FOR: Duration = Duration::from_secs(3);
+const BEHIND_DURATION: Duration = Duration::from_secs(3);
 
 /// How long agents take to name entries after they were asked first. Entries that start together ask 100 ms
 /// apart at most, and the answer to the second question names all of them.
-const ANSWERED_WITHIN: Duration = Duration::from_millis(250);
+const POLL_ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Neighbours that are asked, one after the other, before the registry is. Those that are behind say
 /// so at once; one in three reads the registry unless most are cut off from it.
-const MOST_ASKED: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 
 #[derive(Debug, Default)]
-struct Seen {
+struct KnownEntries {
     named: BTreeMap<SocketAddr, BootTime>,
     avoided: BTreeMap<SocketAddr, BootTime>,
     behind: BTreeMap<SocketAddr, BootTime>,
@@ -35,15 +35,15 @@
     seed: Option<SocketAddr>,
 }
 
-impl Seen {
-    fn forget(&mut self, now: BootTime) {
-        self.named.retain(|_, at| now.since(*at) <= NAMED_FOR);
+impl KnownEntries {
+    fn prune(&mut self, now: BootTime) {
+        self.named.retain(|_, at| now.since(*at) <= ENTRY_TTL);
         self.avoided.retain(|_, until| *until > now);
         self.behind.retain(|_, until| *until > now);
     }
 
     /// Returns the neighbours that come before `own` and answer, in order.
-    fn before(&self, own: SocketAddr) -> impl Iterator<Item = SocketAddr> {
+    fn preceding(&self, own: SocketAddr) -> impl Iterator<Item = SocketAddr> {
         let named = self.named.keys().copied().take_while(move |it| *it < own);
         named.filter(|it| !self.avoided.contains_key(it))
     }
@@ -54,10 +54,10 @@
 #[derive(Debug)]
 pub struct Neighbours {
     own: SocketAddr,
-    seen: Mutex<Seen>,
-    was_named: watch::Sender<bool>,
+    known: Mutex<KnownEntries>,
+    has_named_entries: watch::Sender<bool>,
     /// Agents were asked, which may name neighbours.
-    has_asked: watch::Sender<bool>,
+    has_polled: watch::Sender<bool>,
 }
 
 impl Neighbours {
@@ -65,9 +65,9 @@
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
-            seen: Mutex::default(),
-            was_named: watch::Sender::new(false),
-            has_asked: watch::Sender::new(false),
+            known: Mutex::default(),
+            has_named_entries: watch::Sender::new(false),
+            has_polled: watch::Sender::new(false),
         }
     }
 
@@ -82,42 +82,42 @@
         if entries.is_empty() || self.own.ip().is_unspecified() {
             return;
         }
-        let mut seen = self.lock();
-        seen.seed = None;
+        let mut known = self.lock();
+        known.seed = None;
         for entry in entries.iter().filter(|entry| **entry != self.own) {
-            seen.named.insert(*entry, now);
+            known.named.insert(*entry, now);
         }
-        self.was_named.send_replace(true);
+        self.has_named_entries.send_replace(true);
     }
 
     /// Takes a seed that has answered: it is read from until agents name the entries of the data centre.
     pub fn set_seed(&self, seed: SocketAddr) {
-        let mut seen = self.lock();
-        if !*self.was_named.borrow() {
-            seen.seed = Some(seed);
+        let mut known = self.lock();
+        if !*self.has_named_entries.borrow() {
+            known.seed = Some(seed);
         }
     }
 
     /// Takes that agents of the data centre are asked from now on.
     pub fn note_agents_polled(&self) {
-        self.has_asked
-            .send_if_modified(|has_asked| !std::mem::replace(has_asked, true));
+        self.has_polled
+            .send_if_modified(|has_polled| !std::mem::replace(has_polled, true));
     }
 
     /// Waits until an agent has named entries: for as long as agents take to answer, once they are asked,
     /// and for `limit` at most.
-    pub(crate) async fn until_named(&self, limit: Duration) {
-        let mut was_named = self.was_named.subscribe();
-        let mut has_asked = self.has_asked.subscribe();
-        let asked_in_vain = async {
+    pub(crate) async fn wait_for_entries(&self, limit: Duration) {
+        let mut has_named_entries = self.has_named_entries.subscribe();
+        let mut has_polled = self.has_polled.subscribe();
+        let unanswered_poll = async {
             // The sender lives as long as the neighbours.
-            let _ = has_asked.wait_for(|has_asked| *has_asked).await;
-            tokio::time::sleep(ANSWERED_WITHIN).await;
+            let _ = has_polled.wait_for(|has_polled| *has_polled).await;
+            tokio::time::sleep(POLL_ANSWER_TIMEOUT).await;
         };
         let named = async {
             tokio::select! {
-                _ = was_named.wait_for(|was_named| *was_named) => {}
-                () = asked_in_vain => {}
+                _ = has_named_entries.wait_for(|has_named_entries| *has_named_entries) => {}
+                () = unanswered_poll => {}
             }
         };
         // Without a word there may be no neighbours.
@@ -125,14 +125,20 @@
     }
 
     /// Passes over a neighbour for a while; returns whether it was not passed over before.
-    pub fn avoid(&self, neighbour: SocketAddr, now: BootTime) -> bool {
-        let before = self.lock().avoided.insert(neighbour, now.plus(AVOIDED_FOR));
+    pub fn note_silent(&self, neighbour: SocketAddr, now: BootTime) -> bool {
+        let before = self
+            .lock()
+            .avoided
+            .insert(neighbour, now.plus(AVOID_DURATION));
         before.is_none_or(|until| until < now)
     }
 
     /// Takes that what a neighbour knows is too old; returns whether it was not behind before.
-    pub fn behind(&self, neighbour: SocketAddr, now: BootTime) -> bool {
-        let before = self.lock().behind.insert(neighbour, now.plus(BEHIND_FOR));
+    pub fn note_behind(&self, neighbour: SocketAddr, now: BootTime) -> bool {
+        let before = self
+            .lock()
+            .behind
+            .insert(neighbour, now.plus(BEHIND_DURATION));
         before.is_none_or(|until| until < now)
     }
 
@@ -141,34 +147,34 @@
     ///
     /// The first is asked even if it was behind lately: it asks the registry most often.
     pub fn candidates(&self, now: BootTime) -> Vec<SocketAddr> {
-        let mut seen = self.lock();
-        seen.forget(now);
-        let mut before = seen.before(self.own);
-        let first = before.next();
-        let others = before.filter(|it| !seen.behind.contains_key(it));
-        let seed = seen.seed.filter(|it| !seen.avoided.contains_key(it));
+        let mut known = self.lock();
+        known.prune(now);
+        let mut preceding = known.preceding(self.own);
+        let first = preceding.next();
+        let others = preceding.filter(|it| !known.behind.contains_key(it));
+        let seed = known.seed.filter(|it| !known.avoided.contains_key(it));
         let named = first.into_iter().chain(others);
-        named.chain(seed).take(MOST_ASKED).collect()
+        named.chain(seed).take(MAX_CANDIDATES).collect()
     }
 
-    /// Returns the entry that reads `matter` for its data centre, which may be this one: the first by
+    /// Returns the entry that reads `key` for its data centre, which may be this one: the first by
     /// rendezvous rank of those that are there, so that several matters are shared among them.
-    pub fn reader_of(&self, matter: &str, now: BootTime) -> SocketAddr {
-        let mut seen = self.lock();
-        seen.forget(now);
-        let named = seen
+    pub fn reader_of(&self, key: &str, now: BootTime) -> SocketAddr {
+        let mut known = self.lock();
+        known.prune(now);
+        let named = known
             .named
             .keys()
-            .filter(|it| !seen.avoided.contains_key(it));
+            .filter(|it| !known.avoided.contains_key(it));
         let all = named.copied().chain([self.own]);
-        first_ranked(matter.as_bytes(), all).unwrap_or(self.own)
+        first_ranked(key.as_bytes(), all).unwrap_or(self.own)
     }
 
     /// Returns how many neighbours come before this entry.
     pub fn rank(&self, now: BootTime) -> usize {
-        let mut seen = self.lock();
-        seen.forget(now);
-        seen.before(self.own).count()
+        let mut known = self.lock();
+        known.prune(now);
+        known.preceding(self.own).count()
     }
 
     /// Returns the entry's own address.
@@ -176,7 +182,7 @@
         self.own
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, KnownEntries> {
+        self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/nearby/src/packing.rs
+++ b/crates/nearby/src/packing.rs
@@ -18,13 +18,13 @@
 const AGE_HEADER: &str = "wagtailreel-age-us";
 
 /// Name of the coding of bodies that are packed.
-const PACKED: &str = "gzip";
+const GZIP: &str = "gzip";
 
 /// Bodies that are shorter are not packed, in bytes: they fit into one packet.
-const WORTH_PACKING: usize = 1400;
+const MIN_PACKED_BYTES: usize = 1400;
 
 /// Longest body that is unpacked, in bytes. A configuration of 2,000 routes takes 0.6 MB.
-const LONGEST: u64 = 32 << 20;
+const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
 /// A body can't be read.
 #[derive(Debug, Snafu)]
@@ -37,13 +37,13 @@
     },
     /// It can't be unpacked.
     #[snafu(display("the answer can't be unpacked ({source}): run the same version everywhere"))]
-    Damaged {
+    Corrupt {
         /// What the library says.
         source: std::io::Error,
     },
     /// It doesn't say how old it is.
     #[snafu(display("the answer has no age: run the same version everywhere"))]
-    Ageless,
+    MissingAge,
 }
 
 /// A body as it is sent.
@@ -61,7 +61,7 @@
     {
         // Plain records of numbers and texts are always written.
         let json = serde_json::to_vec(value).unwrap_or_default();
-        if json.len() < WORTH_PACKING {
+        if json.len() < MIN_PACKED_BYTES {
             return Self {
                 body: json.into(),
                 is_packed: false,
@@ -89,7 +89,7 @@
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
         if self.is_packed {
-            let packed = HeaderValue::from_static(PACKED);
+            let packed = HeaderValue::from_static(GZIP);
             headers.insert(header::CONTENT_ENCODING, packed);
         }
         response
@@ -106,11 +106,11 @@
 ///
 /// # Errors
 ///
-/// Returns [`UnpackError::Ageless`] if it doesn't say so.
+/// Returns [`UnpackError::MissingAge`] if it doesn't say so.
 pub fn age_of(headers: &HeaderMap) -> Result<Duration, UnpackError> {
     let age = headers.get(AGE_HEADER).and_then(|age| age.to_str().ok());
     let micros = age.and_then(|age| age.parse().ok());
-    Ok(Duration::from_micros(micros.context(AgelessSnafu)?))
+    Ok(Duration::from_micros(micros.context(MissingAgeSnafu)?))
 }
 
 /// Decodes the body of an answer.
@@ -123,11 +123,11 @@
     T: DeserializeOwned,
 {
     let coding = headers.get(header::CONTENT_ENCODING);
-    if coding.is_none_or(|coding| coding != PACKED) {
+    if coding.is_none_or(|coding| coding != GZIP) {
         return serde_json::from_slice(body).context(UnreadableSnafu);
     }
     let mut json = Vec::new();
-    let mut decoder = GzDecoder::new(body).take(LONGEST);
-    decoder.read_to_end(&mut json).context(DamagedSnafu)?;
+    let mut decoder = GzDecoder::new(body).take(MAX_UNPACKED_BYTES);
+    decoder.read_to_end(&mut json).context(CorruptSnafu)?;
     serde_json::from_slice(&json).context(UnreadableSnafu)
 }
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -182,7 +182,7 @@
         let age_limit = self.cfg.max_age(topic);
         let first_known = self.seeds.first_known(&self.client, &query, age_limit);
         tokio::select! {
-            () = self.neighbours.until_named(limit) => None,
+            () = self.neighbours.wait_for_entries(limit) => None,
             (seed, answer) = first_known => {
                 self.neighbours.set_seed(seed);
                 self.note_reader(topic, Some(seed));
@@ -208,11 +208,12 @@
         let now = BootTime::now();
         let (is_new, cause) = match err {
             // One that has read nothing yet refuses.
-            NeighbourError::Stale { .. } | NeighbourError::Refused { .. } => {
-                (self.neighbours.behind(neighbour, now), Cause::NeighbourOld)
-            }
+            NeighbourError::Stale { .. } | NeighbourError::Refused { .. } => (
+                self.neighbours.note_behind(neighbour, now),
+                Cause::NeighbourOld,
+            ),
             NeighbourError::Silent { .. } | NeighbourError::Unreadable { .. } => (
-                self.neighbours.avoid(neighbour, now),
+                self.neighbours.note_silent(neighbour, now),
                 Cause::NeighbourSilent,
             ),
         };
--- a/crates/nearby/tests/neighbours.rs
+++ b/crates/nearby/tests/neighbours.rs
@@ -45,8 +45,8 @@
 fn avoided_neighbour() {
     let neighbours = Neighbours::new(addr(9));
     neighbours.note_entries(&[addr(1), addr(2)], at(0));
-    assert!(neighbours.avoid(addr(1), at(0)), "it is news");
-    assert!(!neighbours.avoid(addr(1), at(10)));
+    assert!(neighbours.note_silent(addr(1), at(0)), "it is news");
+    assert!(!neighbours.note_silent(addr(1), at(10)));
     assert_eq!(first(&neighbours, at(100)), Some(addr(2)));
     neighbours.note_entries(&[addr(1), addr(2)], at(3200));
     assert_eq!(
@@ -71,9 +71,9 @@
     neighbours.note_entries(&named, at(0));
     assert_eq!(neighbours.candidates(at(0)), [addr(1), addr(2), addr(3)]);
     for host in [1, 2, 3] {
-        assert!(neighbours.behind(addr(host), at(0)), "it is news");
+        assert!(neighbours.note_behind(addr(host), at(0)), "it is news");
     }
-    assert!(!neighbours.behind(addr(1), at(10)));
+    assert!(!neighbours.note_behind(addr(1), at(10)));
     assert_eq!(neighbours.candidates(at(20)), [addr(1), addr(4), addr(5)]);
     assert_eq!(neighbours.rank(at(20)), 8, "all of them answer");
     neighbours.note_entries(&named, at(3100));
