--- a/crates/nearby/src/backoff.rs
+++ b/crates/nearby/src/backoff.rs
@@ -1,18 +1,19 @@
-//! When a process asks the registry itself.
+//! Backoff of a process's own calls to the registry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use wagtailreel_fleet::{BootTime, Topic};
 
-/// When a process asks the registry itself though it did not answer before.
+/// Decides when a process calls the registry again after a failed call.
 ///
-/// Load pattern: the registry is away, and no neighbour knows anything newer. If each process asks it
-/// after each vain question to its neighbours, 219 processes make 700 calls a second to a registry
-/// that is in trouble, and its return is noticed no sooner than by the first of them.
+/// Load pattern: the registry is unreachable, and no neighbour has newer records. Without this, each
+/// process calls the registry after each unsuccessful query to its neighbours: 219 processes make 700 calls
+/// per second to a registry that has trouble answering, and notice its recovery no sooner than the readers
+/// alone.
 ///
-/// A call that failed holds back those of its own topic alone: a large configuration may not come over a link
-/// that brings the upstreams.
+/// A failed call delays only calls for the same topic: a link that is too slow for a large configuration may
+/// still carry the upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryBackoff {
     backoff: Duration,
@@ -20,7 +21,7 @@
 }
 
 impl RegistryBackoff {
-    /// Makes the turn of a process that waits for `backoff` after a call that failed.
+    /// Makes the state of a process that waits for `backoff` after a failed call.
     pub const fn new(backoff: Duration) -> Self {
         Self {
             backoff,
@@ -28,18 +29,19 @@
         }
     }
 
-    /// Says whether a call for `topic` is due at `now`; those that others hear through are always due.
+    /// Returns whether a call for `topic` may be made at `now`. Readers, which relay the records to others,
+    /// may always call.
     pub fn is_due(&self, topic: Topic, is_reader: bool, now: BootTime) -> bool {
         let has_passed = |failed_at: &BootTime| now.since(*failed_at) >= self.backoff;
         is_reader || self.failed_at.get(&topic).is_none_or(has_passed)
     }
 
-    /// Takes that the registry did not answer a call for `topic`.
+    /// Records that the registry did not answer a call for `topic`.
     pub fn note_failure(&mut self, topic: Topic, now: BootTime) {
         self.failed_at.insert(topic, now);
     }
 
-    /// Takes that the registry answered: it is there for the other topic too.
+    /// Records that the registry answered, which ends the backoff of both topics.
     pub fn note_answer(&mut self) {
         self.failed_at.clear();
     }
--- a/crates/nearby/src/delays.rs
+++ b/crates/nearby/src/delays.rs
@@ -1,4 +1,4 @@
-//! How long a process waits before it reads the registry itself.
+//! Delays before a process reads the registry itself, spread by the address of the process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::SharedRegistryConfig;
 
-/// How long a process waits before it reads the registry itself.
+/// Delays before a process reads the registry itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Delays {
-    /// After the registry did not answer.
+    /// Delay after the registry did not answer.
     pub(crate) backoff: Duration,
-    /// For neighbours that are reading.
+    /// Delay while neighbours are reading.
     pub(crate) fallback: Duration,
 }
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// Returns a share from 0 to 1 that is a process's own, by its address, so that processes which wait for
-/// the same don't call together.
+/// Returns a fraction from 0 to 1, derived from the address of the process, so that processes that wait for
+/// the same event don't call the registry at the same time.
 fn share_of(own: SocketAddr) -> f64 {
     let share = rank_score(&[], &own.to_string()) % 1000;
-    // Below 1,000, so that nothing is lost.
+    // The value is below 1,000 and fits.
     f64::from(u16::try_from(share).unwrap_or_default()) / 1000.0
 }
--- a/crates/nearby/src/neighbour.rs
+++ b/crates/nearby/src/neighbour.rs
@@ -1,4 +1,4 @@
-//! What a neighbour answers to a question for what it last read.
+//! HTTP client for the records that a neighbour has read.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use crate::packing::{UnpackError, age_of, unpack};
 use crate::wire::{KnownRecords, READING_HEADER};
 
-/// How much longer than its wait a neighbour's answer may take. In one data centre it takes a few
-/// milliseconds; a large configuration to a dozen neighbours takes 0.1 s.
+/// How long a neighbour's answer may take in addition to its wait. Within a data centre an answer takes a
+/// few milliseconds, and a large configuration for a dozen neighbours 0.1 s.
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a connection to a neighbour may take to be made.
+/// Time-out for connecting to a neighbour.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a copy may take in all, once it has begun. A configuration of 2,000 routes to 14
-/// neighbours takes 1.5 s over a link of 60 Mbit/s.
+/// Time-out for the body of an answer. A configuration of 2,000 routes takes 1.5 s to reach 14 neighbours
+/// over a link of 60 Mbit/s.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Longest copy that is taken, in bytes. A configuration of 270 routes takes about 150 KB.
+/// Maximum size of a copy, in bytes. A configuration of 270 routes takes about 150 KB.
 const MAX_COPY_BYTES: usize = 32 << 20;
 
-/// A neighbour can't be read from.
+/// Error of a read from a neighbour.
 #[derive(Debug, Snafu)]
 pub(crate) enum NeighbourError {
-    #[snafu(display("no answer ({reason}): look at the neighbour"))]
+    #[snafu(display("no answer ({reason}): check the neighbour"))]
     Silent { reason: String },
-    #[snafu(display("refused with {status}: look at the neighbour"))]
+    #[snafu(display("refused with {status}: check the neighbour"))]
     Refused { status: u16, is_reading: bool },
-    #[snafu(display("what it knows is {age:?} old: look at its link to the registry"))]
+    #[snafu(display("the neighbour's records are {age:?} old: check its link to the registry"))]
     Stale {
         age: Duration,
         is_reading: bool,
-        /// What it knows all the same.
+        /// The records, which may be used if there are none that are more recent.
         known: Box<RelayedRecords>,
     },
     #[snafu(transparent)]
@@ -45,7 +45,7 @@
 }
 
 impl NeighbourError {
-    /// Says whether the neighbour is about to know more.
+    /// Returns whether the neighbour has a read in progress that will bring newer records.
     pub(crate) const fn is_reading(&self) -> bool {
         match self {
             Self::Refused { is_reading, .. } | Self::Stale { is_reading, .. } => *is_reading,
@@ -54,34 +54,34 @@
     }
 }
 
-/// What a neighbour is asked.
+/// A query to a neighbour.
 #[derive(Debug)]
 pub(crate) struct NeighbourQuery {
     pub(crate) topic: Topic,
     pub(crate) path: String,
     pub(crate) wait: Duration,
-    /// An empty answer comes at the end of the wait.
+    /// Whether the neighbour waits for new records, so that an empty answer comes at the end of the wait.
     pub(crate) waits_for_records: bool,
 }
 
-/// What a neighbour knows.
+/// Records read from a neighbour.
 #[derive(Debug)]
 pub(crate) struct RelayedRecords {
     pub(crate) records: KnownRecords,
-    /// The moment of which it speaks.
+    /// Time as of which the records are known to be complete.
     pub(crate) as_of: BootTime,
 }
 
-/// What a neighbour answers.
+/// A neighbour's answer.
 #[derive(Debug)]
 pub(crate) enum NeighbourAnswer {
-    /// What it knows.
+    /// The records.
     Known(RelayedRecords),
-    /// It knows only the newest of what stood before this place.
+    /// The neighbour holds only the newest record of each key before this offset.
     Expired(Offset),
 }
 
-/// Asks neighbours.
+/// HTTP client for reads from neighbours.
 #[derive(Clone, Debug)]
 pub(crate) struct NeighbourClient(HttpClient);
 
@@ -90,11 +90,12 @@
         Self(HttpClient::with_connect_timeout(CONNECT_TIMEOUT))
     }
 
-    /// Asks one neighbour.
+    /// Queries one neighbour.
     ///
     /// # Errors
     ///
-    /// Returns a [`NeighbourError`] if it is no use, or what it knows is older than `age_limit`.
+    /// Returns a [`NeighbourError`] if the neighbour gives no valid answer, or if its records are older than
+    /// `age_limit`.
     pub(crate) async fn ask(
         &self,
         neighbour: SocketAddr,
@@ -130,7 +131,7 @@
         let age = age_of(&head.headers)?;
         let records: KnownRecords = unpack(&head.headers, &body)?;
         let is_stale = age > age_limit;
-        // Who is behind answers at once.
+        // A neighbour that is behind answers without waiting.
         let has_waited = query.waits_for_records && records.items.is_empty() && !is_stale;
         let holds_as_of = Page::answer_as_of(has_waited, sent, wait, BootTime::now());
         let as_of = holds_as_of.minus(age);
--- a/crates/nearby/src/neighbours.rs
+++ b/crates/nearby/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! Which entry of the data centre reads the registry for the others.
+//! Selects the entry of the data centre that reads the registry for the others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,29 +9,35 @@
 use wagtailreel_core::first_ranked;
 use wagtailreel_fleet::BootTime;
 
-/// How long an entry counts as there after an agent named it. Agents are asked each 100 ms.
+/// How long an entry counts as running after an agent named it. Agents are polled every 100 ms.
 const ENTRY_TTL: Duration = Duration::from_millis(500);
 
-/// How long an entry that failed to answer is passed over.
+/// How long an entry that failed to answer is avoided.
 const AVOID_DURATION: Duration = Duration::from_secs(3);
 
-/// How long an entry whose knowledge was too old counts as behind. Until then others are asked too.
+/// How long an entry whose records were too old counts as behind. During that time other entries are
+/// queried too.
 const BEHIND_DURATION: Duration = Duration::from_secs(3);
 
-/// How long agents take to name entries after they were asked first. Entries that start together ask 100 ms
-/// apart at most, and the answer to the second question names all of them.
+/// How long agents take to name entries after the first poll. Entries that start together poll at most
+/// 100 ms apart, and the answer to the second poll names all of them.
 const POLL_ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Neighbours that are asked, one after the other, before the registry is. Those that are behind say
-/// so at once; one in three reads the registry unless most are cut off from it.
+/// Maximum number of neighbours that are queried, one after the other, before the registry is called.
+/// Neighbours that are behind answer so at once. Unless most neighbours are cut off from the registry, one of
+/// three can read it.
 const MAX_CANDIDATES: usize = 3;
 
+/// Known entries of the data centre and how they answered.
 #[derive(Debug, Default)]
 struct KnownEntries {
+    /// Entries that agents named, with the time of the last report.
     named: BTreeMap<SocketAddr, BootTime>,
+    /// Entries that did not answer, with the time until which they are avoided.
     avoided: BTreeMap<SocketAddr, BootTime>,
+    /// Entries whose records were too old, with the time until which they count as behind.
     behind: BTreeMap<SocketAddr, BootTime>,
-    /// The seed that is read from until agents name the entries of the data centre.
+    /// The seed to read from until agents name the entries of the data centre.
     seed: Option<SocketAddr>,
 }
 
@@ -42,26 +48,26 @@
         self.behind.retain(|_, until| *until > now);
     }
 
-    /// Returns the neighbours that come before `own` and answer, in order.
+    /// Returns the neighbours with an address below `own` that are not avoided, in order of address.
     fn preceding(&self, own: SocketAddr) -> impl Iterator<Item = SocketAddr> {
         let named = self.named.keys().copied().take_while(move |it| *it < own);
         named.filter(|it| !self.avoided.contains_key(it))
     }
 }
 
-/// Which entry of the data centre reads the registry for the others: the one whose address comes
-/// first among those that agents name.
+/// The entries of the data centre, of which one reads the registry for the others: the one with the lowest
+/// address among those that agents name.
 #[derive(Debug)]
 pub struct Neighbours {
     own: SocketAddr,
     known: Mutex<KnownEntries>,
     has_named_entries: watch::Sender<bool>,
-    /// Agents were asked, which may name neighbours.
+    /// Whether agents have been polled, whose answers may name neighbours.
     has_polled: watch::Sender<bool>,
 }
 
 impl Neighbours {
-    /// Makes the neighbours of the entry at `own`, which knows of no other yet.
+    /// Makes the neighbours of the entry at `own`, which knows no other entry yet.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
@@ -71,14 +77,14 @@
         }
     }
 
-    /// Makes the neighbours of a process that never reads for others, and so always comes last.
+    /// Makes the neighbours of a process that never reads the registry for others. The process ranks last.
     pub fn for_non_reader() -> Self {
         Self::new(SocketAddr::from(([255, 255, 255, 255], u16::MAX)))
     }
 
-    /// Takes the entries that an agent was asked by lately.
+    /// Records the entries that recently polled an agent, as the agent named them.
     pub fn note_entries(&self, entries: &[SocketAddr], now: BootTime) {
-        // An entry that doesn't know its own address can't tell itself from the others.
+        // An entry that doesn't know its own address can't distinguish itself from the others.
         if entries.is_empty() || self.own.ip().is_unspecified() {
             return;
         }
@@ -90,7 +96,7 @@
         self.has_named_entries.send_replace(true);
     }
 
-    /// Takes a seed that has answered: it is read from until agents name the entries of the data centre.
+    /// Records a seed that has answered. The seed is used until agents name the entries of the data centre.
     pub fn set_seed(&self, seed: SocketAddr) {
         let mut known = self.lock();
         if !*self.has_named_entries.borrow() {
@@ -98,19 +104,19 @@
         }
     }
 
-    /// Takes that agents of the data centre are asked from now on.
+    /// Records that agents of the data centre are polled from now on.
     pub fn note_agents_polled(&self) {
         self.has_polled
             .send_if_modified(|has_polled| !std::mem::replace(has_polled, true));
     }
 
-    /// Waits until an agent has named entries: for as long as agents take to answer, once they are asked,
-    /// and for `limit` at most.
+    /// Waits until an agent has named entries. The wait ends when agents have had time to answer the first
+    /// poll, and after `limit` at the latest.
     pub(crate) async fn wait_for_entries(&self, limit: Duration) {
         let mut has_named_entries = self.has_named_entries.subscribe();
         let mut has_polled = self.has_polled.subscribe();
         let unanswered_poll = async {
-            // The sender lives as long as the neighbours.
+            // Can't fail: the sender lives as long as the neighbours.
             let _ = has_polled.wait_for(|has_polled| *has_polled).await;
             tokio::time::sleep(POLL_ANSWER_TIMEOUT).await;
         };
@@ -120,11 +126,12 @@
                 () = unanswered_poll => {}
             }
         };
-        // Without a word there may be no neighbours.
+        // On a time-out there may be no neighbours.
         let _ = tokio::time::timeout(limit, named).await;
     }
 
-    /// Passes over a neighbour for a while; returns whether it was not passed over before.
+    /// Records that a neighbour did not answer, so that it is avoided for a while; returns whether it was not
+    /// avoided before.
     pub fn note_silent(&self, neighbour: SocketAddr, now: BootTime) -> bool {
         let before = self
             .lock()
@@ -133,7 +140,7 @@
         before.is_none_or(|until| until < now)
     }
 
-    /// Takes that what a neighbour knows is too old; returns whether it was not behind before.
+    /// Records that a neighbour's records are too old; returns whether it was not behind before.
     pub fn note_behind(&self, neighbour: SocketAddr, now: BootTime) -> bool {
         let before = self
             .lock()
@@ -142,10 +149,10 @@
         before.is_none_or(|until| until < now)
     }
 
-    /// Returns the neighbours to read from, in the order in which they are to be asked; none if this
-    /// entry reads the registry itself.
+    /// Returns the neighbours to read from, in the order in which to query them; empty if this entry reads
+    /// the registry itself.
     ///
-    /// The first is asked even if it was behind lately: it asks the registry most often.
+    /// The first is included even if it was behind recently, since it calls the registry most often.
     pub fn candidates(&self, now: BootTime) -> Vec<SocketAddr> {
         let mut known = self.lock();
         known.prune(now);
@@ -157,8 +164,8 @@
         named.chain(seed).take(MAX_CANDIDATES).collect()
     }
 
-    /// Returns the entry that reads `key` for its data centre, which may be this one: the first by
-    /// rendezvous rank of those that are there, so that several matters are shared among them.
+    /// Returns the entry that reads `key` for its data centre, which may be this one: the first of the known
+    /// entries by rendezvous rank, so that different keys are spread over the entries.
     pub fn reader_of(&self, key: &str, now: BootTime) -> SocketAddr {
         let mut known = self.lock();
         known.prune(now);
@@ -170,7 +177,7 @@
         first_ranked(key.as_bytes(), all).unwrap_or(self.own)
     }
 
-    /// Returns how many neighbours come before this entry.
+    /// Returns the number of neighbours that precede this entry.
     pub fn rank(&self, now: BootTime) -> usize {
         let mut known = self.lock();
         known.prune(now);
--- a/crates/nearby/src/seeds.rs
+++ b/crates/nearby/src/seeds.rs
@@ -1,4 +1,4 @@
-//! Entries that the settings name, from which a process that starts reads.
+//! Seeds: entries from the settings file, from which a starting process reads.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -9,38 +9,41 @@
 
 use crate::neighbour::{NeighbourAnswer, NeighbourClient, NeighbourQuery};
 
-/// How long a seed may take to accept a connection: some round trips between regions. Longer ones are left
-/// to those that are nearer.
+/// Time-out for connecting to a seed, a few round trips between regions. Seeds that take longer are left to
+/// nearer processes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause before seeds that know nothing yet are asked again. Of processes that start together all seeds do.
+/// Pause before the seeds are queried again. When all processes start together, no seed has read anything at
+/// first.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long only the nearest seed is asked, whose process may start a little later than this one.
+/// How long only the nearest seed is queried, whose process may start a little later than this one.
 ///
-/// Load pattern: 50 entries of a data centre start together, and the seed of another one, beside the registry,
-/// knows all upstreams first. The copies for half of them fill the link over which the own seed reads.
+/// Load pattern: 50 entries of a data centre start together, and the seed of another data centre, next to the
+/// registry, knows all upstreams first. Without this, copies for half of the entries saturate the link over
+/// which the local seed reads the registry.
 const NEAREST_ONLY: Duration = Duration::from_millis(450);
 
 /// A seed whose VM answered.
 #[derive(Clone, Copy, Debug)]
 struct Reached {
     seed: SocketAddr,
-    /// Its process listens.
+    /// Whether its process accepts connections.
     accepts: bool,
 }
 
-/// Entries that the settings name, some of which may be gone.
+/// Entries from the settings file, some of which may no longer exist.
 ///
-/// Load pattern: engines that are added under load, and processes that come back after a loss of power. Until
-/// entries hear of a new engine in the registry nobody asks its agent, which brought weights 1.4 s late.
+/// Load pattern: engines that are added under load, and processes that restart after a power failure. An
+/// agent is first polled after entries have read its engine's registration. If the agent learned of its
+/// neighbours only from these polls, its engine would get the weights 1.4 s late.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seeds(Vec<SocketAddr>);
 
 impl Seeds {
-    /// Makes the seeds of a process at `own`, which is none to itself; all listen on its port.
+    /// Makes the seeds of the process at `own`. All seeds listen on the same port as the process.
     ///
-    /// A process that is a seed has none: two that start together would wait for each other.
+    /// A process that is a seed itself has no seeds: two that start together would wait for each other.
     pub fn new(own: SocketAddr, seeds: &[IpAddr]) -> Self {
         if seeds.contains(&own.ip()) {
             return Self::default();
@@ -49,13 +52,13 @@
         Self(addrs.collect())
     }
 
-    /// Says whether there are none.
+    /// Returns whether there are no seeds.
     pub(crate) const fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns what the nearest seed that knows anything answers to `query`, and which that is; never
-    /// returns while none does.
+    /// Returns the nearest seed that has read the topic, and its answer to `query`. Does not return before a
+    /// seed answers.
     pub(crate) async fn first_known(
         &self,
         client: &NeighbourClient,
@@ -67,15 +70,15 @@
         }
         let started = Instant::now();
         loop {
-            // The quickest to accept comes first: one in the own data centre takes a tenth of the time of
-            // others, and its bytes cross no narrow link.
+            // The first seed to accept is the nearest: one in the local data centre takes a tenth of the time
+            // of others, and its answer crosses no narrow link.
             let mut connects = self.connect();
             while let Some(reached) = connects.join_next().await {
-                // A seed that is gone is no news: the settings are as old as the process.
+                // A seed that no longer exists is expected: the settings are as old as the process.
                 let Ok(Some(Reached { seed, accepts })) = reached else {
                     continue;
                 };
-                // One that knows nothing yet is asked again after the pause.
+                // A seed that has read nothing yet is queried again after the pause.
                 if accepts && let Ok(answer) = client.ask(seed, query, age_limit).await {
                     return (seed, answer);
                 }
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Connects to all seeds; each whose VM answers is returned as it does.
+    /// Connects to all seeds; yields those whose VMs answer, in the order of their answers.
     fn connect(&self) -> JoinSet<Option<Reached>> {
         let connect = |seed| async move {
             let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(seed));
