--- a/crates/nearby/src/calls.rs
+++ b/crates/nearby/src/calls.rs
@@ -1,4 +1,4 @@
-//! The account of calls to the registry.
+//! State and metrics of calls to the registry.
 
 use prometheus::{IntCounterVec, Opts, Registry as Prometheus};
 use wagtailreel_fleet::Topic;
@@ -6,22 +6,22 @@
 /// Why a process calls the registry itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub(crate) enum Cause {
-    /// It comes first among its neighbours, or knows of none.
+    /// The process ranks first among its neighbours, or knows none.
     #[display("first")]
     First,
-    /// The neighbours that it asked know only old things, and one of them is reading: the call is left to
-    /// it.
+    /// The queried neighbours have only old records, and one of them has a read in progress: the call is
+    /// left to that neighbour.
     #[display("neighbour-reads")]
     NeighbourReads,
-    /// The neighbours that it asked know only old things.
+    /// The queried neighbours have only old records.
     #[display("neighbour-old")]
     NeighbourOld,
-    /// The neighbour that it asked did not answer as it should.
+    /// The queried neighbour gave no valid answer.
     #[display("neighbour-silent")]
     NeighbourSilent,
 }
 
-/// Calls of one topic that are under way, and how the last one ended.
+/// Number of calls in progress for one topic, and how the last one ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CallState {
     in_flight: u32,
@@ -38,9 +38,9 @@
         self.has_failed = has_failed;
     }
 
-    /// Says whether a read is under way at a process whose last one did not fail: over a link that is
-    /// full it takes long, and reads by others would only make it longer. At a process that is cut off
-    /// the last one has failed before what it knows is too old.
+    /// Returns whether a read is in progress that is expected to succeed: the last one did not fail. Over a
+    /// saturated link a read takes long, and reads by others would only make it longer. At a process that is
+    /// cut off, a read fails before its records become too old.
     pub(crate) const fn is_reading(self) -> bool {
         self.in_flight > 0 && !self.has_failed
     }
--- a/crates/nearby/src/config.rs
+++ b/crates/nearby/src/config.rs
@@ -1,77 +1,79 @@
-//! Limits of reading through neighbours.
+//! Time limits for reading the registry through neighbours.
 
 use std::time::Duration;
 
 use wagtailreel_fleet::Topic;
 
-/// How long a neighbour may wait for news. With the time-out it stays well below the 2 s in which a
-/// change of the registry has to be in force.
+/// How long a neighbour may wait for new records before it answers. Together with the time-out this stays
+/// well below the 2 s in which a change of the registry has to be in force.
 const NEIGHBOUR_WAIT: Duration = Duration::from_millis(400);
 
-/// How long the registry may hold a read whose answer is passed on: neighbours measure its age.
+/// How long the registry may hold a read whose answer is relayed: until the answer, the age of the relayed
+/// records grows.
 pub(crate) const READER_WAIT: Duration = Duration::from_millis(600);
 
-/// How late a neighbour's read of the registry may come.
+/// How late a neighbour's read of the registry may be.
 const MAX_READ_DELAY: Duration = Duration::from_millis(300);
 
-/// Time for the neighbour's answer that is too old, and for the own call in its place.
+/// Time for a neighbour's stale answer and for the call to the registry that replaces it.
 const STALE_ANSWER_AND_READ: Duration = Duration::from_millis(1100);
 
-/// How long an entry that starts waits at most to hear of its neighbours: a read of the upstreams over a link
-/// that is half full (0.35 s), and two questions to their agents. With 0.3 s, ten entries that lost power together
-/// read 1,500 routes each for themselves and had them after 1.3 to 2.2 s, where the others of their data
-/// centre had them from a neighbour after 0.2 s.
+/// How long a starting entry waits at most to learn its neighbours: a read of the upstreams over a link that
+/// is half used (0.35 s), and two polls of their agents. With 0.3 s, ten entries that restart together after
+/// a power failure each read 1,500 routes from the registry, which takes 1.3 to 2.2 s; from a neighbour the
+/// routes come after 0.2 s.
 const ENTRY_START_WAIT: Duration = Duration::from_millis(700);
 
-/// How long another process that starts waits to be asked by an entry that has started too.
+/// How long another starting process waits to be polled by an entry that is starting too.
 const NON_READER_START_WAIT: Duration = Duration::from_secs(2);
 
-/// Entries of a data centre that go on asking a registry which does not answer: the first, and one
-/// that stands in where the first is cut off.
+/// Number of entries of a data centre that keep calling a registry that does not answer: the first, and one
+/// more in case the first is cut off.
 const READERS: usize = 2;
 
-/// Pause of the other entries. A change has to be in force 3 s after an entry reaches the registry
-/// again at the earliest, since it has to have been in touch for as long.
+/// Backoff of the other entries. A change has to be in force 3 s after an entry reaches the registry again
+/// at the earliest: the bound applies only after the entry has been connected for that long.
 const ENTRY_BACKOFF: Duration = Duration::from_millis(1600);
 
-/// How long an entry waits for readers that are slow, and tell of nothing later: longer than a read of
-/// the upstreams over a link that is half full.
+/// How long an entry waits for slow readers whose records get no newer: longer than a read of the upstreams
+/// over a link that is half used.
 const ENTRY_FALLBACK_AFTER: Duration = Duration::from_millis(350);
 
-/// How far apart entries begin to read beside such readers: 14 of them one each 75 ms, about as long as one
-/// packed configuration of 1,500 routes takes over a link of 26 Mbit/s.
+/// Time over which the fallback reads of the entries are spread. Of 14 entries one starts every 75 ms, about
+/// the time that one compressed configuration of 1,500 routes takes over a link of 26 Mbit/s.
 const ENTRY_FALLBACK_SPREAD: Duration = Duration::from_millis(1050);
 
-/// Pause of processes that ask now and then. Entries tell them of what is urgent.
+/// Backoff of processes that read the registry only occasionally. Entries report urgent changes to them.
 const NON_READER_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How old a neighbour's knowledge may be.
+/// Time limits for reading the registry through neighbours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedRegistryConfig {
-    /// Of the settings.
+    /// Age limit for a neighbour's records of the settings.
     pub settings_age: Duration,
-    /// Of the upstreams.
+    /// Age limit for a neighbour's records of the upstreams.
     pub upstreams_age: Duration,
-    /// How long a neighbour may wait for news.
+    /// How long a neighbour may wait for new records before it answers.
     pub wait: Duration,
-    /// Entries, first in order, that go on asking a registry which does not answer. The others hear
-    /// of its return from them.
+    /// Number of entries, first in order, that keep calling a registry that does not answer. The others
+    /// notice its recovery through them.
     pub readers: usize,
-    /// How long the others wait after the registry did not answer them before they ask it again; half
-    /// as long again at most.
+    /// Minimum time after a failed call before the others call the registry again; each process waits up to
+    /// half as long in addition.
     pub backoff: Duration,
-    /// How long a process at least waits for neighbours that are still reading before it reads beside them.
+    /// Minimum time that a process waits for neighbours that are still reading before it reads the registry
+    /// itself.
     pub fallback_after: Duration,
-    /// How much longer it may wait: each process a share of its own.
+    /// Upper bound of the additional wait, of which each process has its own fraction.
     pub fallback_spread: Duration,
-    /// How long the first read of the settings waits to hear of neighbours. Of processes that start
-    /// together each would read all of a large configuration over its region's link.
+    /// How long the first read waits to learn of neighbours. Without this, each of the processes that start
+    /// together reads a large configuration over its region's link.
     pub start_wait: Duration,
 }
 
 impl SharedRegistryConfig {
-    /// Makes the limits under which a change of the settings is in force within `settings`, and one
-    /// of the upstreams, which readers read each `read_interval`, 1.3 s after that time.
+    /// Makes the limits under which a change of the settings is in force within `settings`, and a change of
+    /// the upstreams within `read_interval`, at which readers read them, plus 1.3 s.
     pub fn new(settings: Duration, read_interval: Duration) -> Self {
         Self {
             settings_age: settings
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Makes the limits of a process that asks now and then, and does not wait for news.
+    /// Makes the limits of a process that reads the registry occasionally, never for others, and does not
+    /// wait for new records.
     pub const fn for_non_reader(age: Duration) -> Self {
         Self {
             settings_age: age,
--- a/crates/nearby/src/lib.rs
+++ b/crates/nearby/src/lib.rs
@@ -1,14 +1,14 @@
-//! One reader of the registry in each data centre, and copies for its neighbours.
+//! Reads the registry once per data centre: one entry reads, and its neighbours read copies from it.
 //!
-//! Each entry keeps a [`Mirror`] of what it last read and gives it to others. [`SharedRegistry`] is a
-//! [`Registry`](wagtailreel_fleet::Registry) that reads from the first entry of the data centre and
-//! goes to the registry itself if that entry is silent, behind, or itself. Which entry is first
-//! follows from what agents say they are asked by ([`Neighbours`]): there is no election, and two
-//! readers at once cost calls, nothing else. A process that starts reads from the nearest of its [`Seeds`]
-//! until it is told of its neighbours. While the registry does not answer, only the first ones
-//! go on asking it ([`RegistryBackoff`]), and the others hear of its return from them. While it answers slowly,
-//! others read beside those one after the other ([`FallbackRead`]). A copy always carries the age of what
-//! it says, so that a bound on a belief's age holds however many hands the belief went through.
+//! Each entry keeps a [`Mirror`] of the records that it last read and serves copies to others.
+//! [`SharedRegistry`] is a [`Registry`](wagtailreel_fleet::Registry) that reads from the first entry of the
+//! data centre, and from the registry if that entry does not answer, is behind, or is this process. The first
+//! entry follows from the entries that agents report ([`Neighbours`]). There is no election: two readers at
+//! once only cost additional calls. A starting process reads from the nearest of its [`Seeds`] until it knows
+//! its neighbours. While the registry does not answer, only the first entries keep calling it
+//! ([`RegistryBackoff`]), and the others notice its recovery through them. While it answers slowly, others
+//! start to read it too, one after the other ([`FallbackRead`]). A copy always carries the age of its data,
+//! so that a bound on the age holds no matter how many processes relayed the data.
 
 mod backoff;
 mod calls;
--- a/crates/nearby/src/mirror.rs
+++ b/crates/nearby/src/mirror.rs
@@ -1,4 +1,4 @@
-//! What this process last read of the registry, kept for its neighbours.
+//! The records that this process last read from the registry, stored for its neighbours.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,13 +12,13 @@
 use crate::packing::Packed;
 use crate::wire::KnownRecords;
 
-/// What a record is about; a later record of the same key replaces it.
+/// Key of a record; a later record of the same key replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Config,
     Weights(ModelName),
     Upstream(UpstreamId),
-    /// Kept apart, so that the last good record of the same key is still handed on.
+    /// A key of its own, so that the last valid record of the same key is still relayed.
     Unreadable(String),
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the version that a record of settings names.
+/// Returns the version in a record of the settings.
 fn version_of(change: &Change) -> Option<u64> {
     match change {
         Change::Config(directory) => Some(directory.version()),
@@ -43,36 +43,36 @@
     }
 }
 
-/// One topic.
+/// Records of one topic.
 ///
-/// Invariant: `newest` holds, of each key, the newest record with a place below `end`, or of settings
-/// the one with the highest version: a write whose answer was lost may be done after a later one, and
-/// a process that starts then would take the older version for the newest. Who has read all before
-/// `expired_before` misses only records that stand here.
+/// Invariant: `newest` holds the newest record of each key with an offset below `end`; for settings it holds
+/// the record with the highest version. A write whose answer was lost may be applied after a later write, and
+/// a process that starts then would take the older version for the newest. A process that has read all
+/// records before `expired_before` lacks only records that are in `newest`.
 #[derive(Debug, Default)]
 struct TopicRecords {
     expired_before: Offset,
     end: Offset,
     as_of: Option<BootTime>,
     newest: BTreeMap<Key, Keyed>,
-    /// What was given since the last read that brought anything, for neighbours that ask for the same.
+    /// Encoded copies since the last new record, for neighbours that query the same range.
     copies: BTreeMap<RecordRange, Packed>,
 }
 
-/// Which records a neighbour asks for.
+/// The records that a neighbour queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum RecordRange {
-    /// All that still hold.
+    /// The newest record of each key, without removed keys.
     Newest,
-    /// Those that stand at this place and after it.
+    /// The records from this offset on.
     Since(Offset),
 }
 
-/// A copy of what is known, as it is sent to a neighbour.
+/// A copy of records, as sent to a neighbour.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordsCopy {
     pub(crate) records: Packed,
-    /// How old the knowledge was when it was given.
+    /// Age of the records when the copy was made.
     pub(crate) age: Duration,
 }
 
@@ -92,13 +92,13 @@
         self.as_of = Some(self.as_of.map_or(as_of, |known| known.max(as_of)));
     }
 
-    /// Takes that all before `end` was read.
+    /// Records that all records before `end` were read.
     fn advance(&mut self, end: Offset) {
         self.end = end;
         self.copies.clear();
     }
 
-    /// Returns what a neighbour asks for, in the order of the log.
+    /// Returns the records of `range` in the order of the log.
     fn records(&self, range: RecordRange) -> KnownRecords {
         let is_wanted = |item: &&Keyed| match range {
             RecordRange::Newest => !matches!(item.change, Change::Gone(_)),
@@ -113,13 +113,12 @@
         KnownRecords { items, next }
     }
 
-    /// Returns a copy of what a neighbour asks for.
+    /// Returns a copy of the records of `range`.
     ///
-    /// Neighbours that ask for the same get the same bytes, packed to a tenth.
+    /// Neighbours that query the same range get the same bytes, compressed to a tenth.
     ///
-    /// Load pattern: a configuration of 1,500 routes that changes several times a second, or all processes
-    /// that start together, and 14 entries and 30 agents that take each over the link of the one that
-    /// reads it.
+    /// Load pattern: a configuration of 1,500 routes changes several times per second, or all processes start
+    /// together. 14 entries and 30 agents then load each version over the link of the entry that reads it.
     ///
     /// # Errors
     ///
@@ -139,6 +138,7 @@
     }
 }
 
+/// A topic with its calls to the registry; waiting readers watch `end`.
 #[derive(Debug, Default)]
 struct TopicState {
     records: Mutex<TopicRecords>,
@@ -152,16 +152,16 @@
     }
 }
 
-/// Why a mirror can't answer.
+/// Error for records that the mirror can't copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CopyError {
     /// Nothing was read yet.
     NothingRead,
-    /// Records before this place are not known one by one.
+    /// Of the records before this offset the mirror holds only the newest of each key.
     Expired(Offset),
 }
 
-/// What this process last read of the registry, kept for its neighbours.
+/// The records that this process last read from the registry, stored for its neighbours.
 #[derive(Debug, Default)]
 pub struct Mirror {
     settings: TopicState,
@@ -170,7 +170,7 @@
 }
 
 impl Mirror {
-    /// Takes the newest record of each key.
+    /// Stores the newest record of each key.
     pub fn store_snapshot(&self, topic: Topic, snapshot: &Snapshot) {
         let state = self.state(topic);
         {
@@ -186,13 +186,13 @@
         state.end.send_replace(snapshot.end);
     }
 
-    /// Takes the records that stand at `from` and after it.
+    /// Stores the records from offset `from` on.
     pub fn store_page(&self, topic: Topic, from: Offset, page: &Page) {
         let state = self.state(topic);
         {
             let mut records = state.lock();
             if from > records.end || page.next < records.end {
-                // There would be a gap, or the page says nothing new.
+                // The page would leave a gap, or contains nothing new.
                 return;
             }
             if !page.items.is_empty() || page.next > records.end {
@@ -206,7 +206,7 @@
         state.end.send_replace(page.next);
     }
 
-    /// Says whether a neighbour asked within `span`.
+    /// Returns whether a neighbour sent a query within the last `span`.
     pub fn was_queried_within(&self, span: Duration) -> bool {
         let last_query = self
             .last_query
@@ -226,8 +226,8 @@
         self.state(topic).lock().copy(RecordRange::Newest)
     }
 
-    /// Returns what stands at `from` and after it; waits up to `wait` for the first of it, unless what
-    /// is known is older than `age_limit`.
+    /// Returns the records from offset `from` on; waits up to `wait` for the first, unless the records of the
+    /// mirror are older than `age_limit`.
     pub(crate) async fn read(
         &self,
         topic: Topic,
@@ -242,7 +242,7 @@
         let is_behind = known_as_of.is_some_and(|as_of| now.since(as_of) > age_limit);
         let wait = if is_behind { Duration::ZERO } else { wait };
         let mut end = state.end.subscribe();
-        // The sender lives as long as the mirror; without news the answer is empty.
+        // The sender lives as long as the mirror; on a time-out the answer is empty.
         let _ = tokio::time::timeout(wait, end.wait_for(|end| *end > from)).await;
         let mut records = state.lock();
         if records.as_of.is_some() && from < records.expired_before {
@@ -251,26 +251,26 @@
         records.copy(RecordRange::Since(from))
     }
 
-    /// Processes that start together ask before there is anything to give.
+    /// Waits for the first read of a topic: processes that start together send queries before it has ended.
     async fn wait_for_first_read(&self, topic: Topic, wait: Duration) {
         let state = self.state(topic);
         let mut end = state.end.subscribe();
         let read = async { while state.lock().as_of.is_none() && end.changed().await.is_ok() {} };
-        // Without a read in time the answer says so.
+        // On a time-out the answer is `CopyError::NothingRead`.
         let _ = tokio::time::timeout(wait, read).await;
     }
 
-    /// Says whether a read that will make what is known younger is under way.
+    /// Returns whether a read that is expected to bring newer records is in progress.
     pub(crate) fn is_reading(&self, topic: Topic) -> bool {
         self.call_state(topic).is_reading()
     }
 
-    /// Takes that a call to the registry begins.
+    /// Records that a call to the registry has started.
     pub(crate) fn call_started(&self, topic: Topic) {
         self.call_state(topic).started();
     }
 
-    /// Takes that a call to the registry is over.
+    /// Records that a call to the registry has ended.
     pub(crate) fn call_ended(&self, topic: Topic, has_failed: bool) {
         self.call_state(topic).ended(has_failed);
     }
--- a/crates/nearby/src/packing.rs
+++ b/crates/nearby/src/packing.rs
@@ -1,4 +1,4 @@
-//! Bodies for other processes: JSON, packed where it is long.
+//! Bodies of answers to other processes: JSON, compressed if long.
 
 use std::io::{Read as _, Write as _};
 use std::time::Duration;
@@ -13,40 +13,42 @@
 use serde::de::DeserializeOwned;
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
 
-/// Name of the header with the age of what is known, in microseconds. It stands apart from the body, so
-/// that this is encoded once for all that ask.
+/// Header with the age of the data, in microseconds. The age is not part of the body, so that the body is
+/// encoded once for all readers.
 const AGE_HEADER: &str = "wagtailreel-age-us";
 
-/// Name of the coding of bodies that are packed.
+/// Content coding of compressed bodies.
 const GZIP: &str = "gzip";
 
-/// Bodies that are shorter are not packed, in bytes: they fit into one packet.
+/// Minimum size of a body to be compressed, in bytes. Shorter bodies fit into one packet.
 const MIN_PACKED_BYTES: usize = 1400;
 
-/// Longest body that is unpacked, in bytes. A configuration of 2,000 routes takes 0.6 MB.
+/// Maximum size of a decompressed body, in bytes. A configuration of 2,000 routes takes 0.6 MB.
 const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
-/// A body can't be read.
+/// Error of decoding a body.
 #[derive(Debug, Snafu)]
 pub enum UnpackError {
-    /// It is no JSON of the wanted form.
-    #[snafu(display("the answer can't be read ({source}): run the same version everywhere"))]
+    /// The body is no JSON of the expected form.
+    #[snafu(display("the answer can't be parsed ({source}): run the same version everywhere"))]
     Unreadable {
-        /// What the library says.
+        /// Error of the JSON library.
         source: serde_json::Error,
     },
-    /// It can't be unpacked.
-    #[snafu(display("the answer can't be unpacked ({source}): run the same version everywhere"))]
+    /// The body can't be decompressed.
+    #[snafu(display(
+        "the answer can't be decompressed ({source}): run the same version everywhere"
+    ))]
     Corrupt {
-        /// What the library says.
+        /// Error of the decompression.
         source: std::io::Error,
     },
-    /// It doesn't say how old it is.
+    /// The answer has no header with its age.
     #[snafu(display("the answer has no age: run the same version everywhere"))]
     MissingAge,
 }
 
-/// A body as it is sent.
+/// An encoded body.
 #[derive(Clone, Debug)]
 pub struct Packed {
     body: Bytes,
@@ -54,12 +56,12 @@
 }
 
 impl Packed {
-    /// Encodes `value`; a long one is packed with the least effort.
+    /// Encodes `value`; long JSON is compressed at the fastest level.
     pub fn new<T>(value: &T) -> Self
     where
         T: Serialize,
     {
-        // Plain records of numbers and texts are always written.
+        // Serialising plain numbers and strings can't fail.
         let json = serde_json::to_vec(value).unwrap_or_default();
         if json.len() < MIN_PACKED_BYTES {
             return Self {
@@ -72,7 +74,7 @@
                 body: packed.into(),
                 is_packed: true,
             },
-            // A buffer in memory takes all that is written to it.
+            // Can't happen: a write to a buffer in memory does not fail.
             Err(_) => Self {
                 body: json.into(),
                 is_packed: false,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Makes the answer, with how old what it says is.
+    /// Makes the HTTP response; `age` is the age of the data.
     pub fn answer(self, age: Duration) -> Response {
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         let mut response = Response::new(Body::from(self.body));
@@ -102,11 +104,11 @@
     encoder.finish()
 }
 
-/// Returns how old an answer says that it is.
+/// Returns the age of an answer's data.
 ///
 /// # Errors
 ///
-/// Returns [`UnpackError::MissingAge`] if it doesn't say so.
+/// Returns [`UnpackError::MissingAge`] if the header is missing or invalid.
 pub fn age_of(headers: &HeaderMap) -> Result<Duration, UnpackError> {
     let age = headers.get(AGE_HEADER).and_then(|age| age.to_str().ok());
     let micros = age.and_then(|age| age.parse().ok());
@@ -117,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// Returns an [`UnpackError`] if it is damaged or of another form.
+/// Returns an [`UnpackError`] if the body is corrupt or of another form.
 pub fn unpack<T>(headers: &HeaderMap, body: &[u8]) -> Result<T, UnpackError>
 where
     T: DeserializeOwned,
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry, read through a neighbour where there is one.
+//! Registry client that reads through a neighbour if there is one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,36 +19,38 @@
     events,
 };
 
-/// How long after a neighbour's question this entry reads for it.
+/// How long after a neighbour's query this entry counts as a reader for others.
 const QUERY_TTL: Duration = Duration::from_secs(2);
 
-/// How long a neighbour that starts may take to read the registry.
+/// How long a query for a snapshot waits for a starting neighbour to read the registry.
 const FIRST_READ_WAIT: Duration = Duration::from_millis(1500);
 
-/// Pause after an answer that is old from a neighbour that is reading.
+/// Pause after a stale answer from a neighbour that has a read in progress.
 const READING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a process has asked for since it started.
+/// Reads of a process since its start.
 #[derive(Debug, Default)]
 struct Start {
+    /// Time of the first read.
     since: Option<BootTime>,
+    /// Topics that have been read at least once.
     asked: BTreeSet<Topic>,
 }
 
-/// The registry, read through a neighbour where there is one.
+/// Registry client of a data centre in which one entry reads the registry for all.
 #[derive(Clone, Debug)]
 pub struct SharedRegistry<R> {
     registry: R,
     client: NeighbourClient,
     cfg: SharedRegistryConfig,
-    /// Where what was read is kept for others.
+    /// Copies of the records for neighbours; `None` for a process that relays nothing.
     mirror: Option<Arc<Mirror>>,
     neighbours: Arc<Neighbours>,
     seeds: Seeds,
-    /// Whom the last answer came from, for the event of a change.
+    /// Source of the last answer, `None` for the registry; a change emits an event.
     reader: Arc<Mutex<Option<SocketAddr>>>,
     start: Arc<Mutex<Start>>,
-    /// Processes that start together read from this one, which waits for none of them.
+    /// Whether other starting processes read from this one. A seed does not wait for others.
     is_seed: bool,
     backoff: Arc<Mutex<RegistryBackoff>>,
     fallback: Arc<Mutex<FallbackRead>>,
@@ -59,7 +61,7 @@
 where
     R: Registry,
 {
-    /// Makes a view of `registry` for a process that gives nothing to others.
+    /// Makes a client of `registry` for a process that relays nothing to others.
     pub fn new(registry: R, cfg: SharedRegistryConfig, neighbours: Arc<Neighbours>) -> Self {
         let delays = Delays::new(&cfg, neighbours.own());
         Self {
@@ -78,22 +80,22 @@
         }
     }
 
-    /// Keeps what is read in `mirror`, for neighbours.
+    /// Stores the records in `mirror`, for neighbours.
     #[must_use]
     pub fn with_mirror(mut self, mirror: Arc<Mirror>) -> Self {
         self.mirror = Some(mirror);
         self
     }
 
-    /// Reads each topic first from the nearest of `seeds` that knows it.
+    /// Reads each topic for the first time from the nearest of `seeds` that has read it.
     #[must_use]
     pub fn with_seeds(mut self, seeds: Seeds) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// Says whether this process is a seed of others: they wait for it, so that it waits for nobody before it
-    /// first reads the registry.
+    /// Sets whether this process is a seed. Other processes wait for a seed, so it reads the registry without
+    /// waiting for neighbours.
     #[must_use]
     pub const fn with_is_seed(mut self, is_seed: bool) -> Self {
         self.is_seed = is_seed;
@@ -107,11 +109,11 @@
         self
     }
 
-    /// Asks the neighbour that reads for this entry, and a few others if it is behind.
+    /// Queries the neighbour that reads for this entry, and a few others if that one is behind.
     ///
     /// # Errors
     ///
-    /// Returns the [`Cause`] for asking the registry itself.
+    /// Returns the [`Cause`] for calling the registry itself.
     async fn ask(&self, query: &NeighbourQuery) -> Result<NeighbourAnswer, Cause> {
         let topic = query.topic;
         if let Some(limit) = self.start_wait_left(topic)
@@ -134,7 +136,7 @@
                 Err(err) => {
                     is_reading |= err.is_reading();
                     cause = self.note_useless(*candidate, topic, &err);
-                    // Another wait would take the rest of the time that a change has.
+                    // A second time-out would use up the time in which a change has to be in force.
                     let NeighbourError::Stale { known, .. } = err else {
                         break;
                     };
@@ -146,17 +148,18 @@
         if !is_reading || !self.waits_for_reader(topic, as_of) {
             return Err(cause);
         }
-        // The answer to the next question is old too for a while.
+        // The next answer is stale too until the neighbour's read ends.
         tokio::time::sleep(READING_POLL_INTERVAL).await;
         stale
             .map(NeighbourAnswer::Known)
             .ok_or(Cause::NeighbourReads)
     }
 
-    /// Returns how long the first read of `topic` waits for seeds and neighbours; none if there is nothing to
-    /// wait for, or it was read before.
+    /// Returns how long the first read of `topic` waits for seeds and neighbours; `None` if there is nothing
+    /// to wait for, or the topic was read before.
     ///
-    /// Upstreams have to be known before their agents can name neighbours, so that only seeds are waited for.
+    /// Agents can name neighbours only after the upstreams have been read, so the first read of the upstreams
+    /// waits only if there are seeds.
     fn start_wait_left(&self, topic: Topic) -> Option<Duration> {
         let mut start = self.start.lock().unwrap_or_else(PoisonError::into_inner);
         let now = BootTime::now();
@@ -167,11 +170,12 @@
         waits.then(|| self.cfg.start_wait.saturating_sub(now.since(since)))
     }
 
-    /// Asks the seeds for `topic` for up to `limit`, until agents have named neighbours or it is no use to wait
-    /// for them; returns what a seed knows.
+    /// Queries the seeds for `topic` for up to `limit`, until agents have named neighbours or have had time
+    /// to do so. Returns the answer of a seed.
     ///
-    /// Load pattern: 50 entries of a data centre that start together, each of which would read thousands of
-    /// upstreams over its region's link. None of the reads ends in its time, and each begins from nothing.
+    /// Load pattern: 50 entries of a data centre start together. Without this, each of them reads thousands
+    /// of upstreams over its region's link, no read ends before its time-out, and each begins again from the
+    /// start.
     async fn ask_seeds(&self, topic: Topic, limit: Duration) -> Option<NeighbourAnswer> {
         let query = NeighbourQuery {
             topic,
@@ -191,8 +195,8 @@
         }
     }
 
-    /// Says whether to leave the read to neighbours that are reading, though what they know is as old as
-    /// `as_of`.
+    /// Returns whether to leave the read to neighbours with a read in progress, although their records hold
+    /// only as of `as_of`.
     fn waits_for_reader(&self, topic: Topic, as_of: Option<BootTime>) -> bool {
         let now = BootTime::now();
         let is_reader = self.neighbours.rank(now) < self.cfg.readers;
@@ -203,11 +207,11 @@
         self.fallback.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes that a neighbour was no use.
+    /// Records that a neighbour gave no usable answer; returns the cause for a call to the registry.
     fn note_useless(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
         let now = BootTime::now();
         let (is_new, cause) = match err {
-            // One that has read nothing yet refuses.
+            // A neighbour that has read nothing yet refuses.
             NeighbourError::Stale { .. } | NeighbourError::Refused { .. } => (
                 self.neighbours.note_behind(neighbour, now),
                 Cause::NeighbourOld,
@@ -227,7 +231,7 @@
         cause
     }
 
-    /// Makes a call to the registry itself, if one is due and no neighbour makes it.
+    /// Calls the registry, unless a neighbour is reading it or the backoff has not passed.
     async fn call<F, T>(&self, topic: Topic, cause: Cause, call: F) -> Result<T, RegistryError>
     where
         F: Future<Output = Result<T, RegistryError>>,
@@ -275,7 +279,7 @@
         self.backoff.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells once that a topic comes from somewhere else than before.
+    /// Emits an event if the settings come from a different source than before.
     fn note_reader(&self, topic: Topic, reader: Option<SocketAddr>) {
         if topic != Topic::Settings {
             return;
@@ -288,7 +292,7 @@
         }
     }
 
-    /// Returns how long the registry may hold a read.
+    /// Returns how long the registry may hold a read: less while neighbours read from this process.
     fn max_hold(&self, wait: Duration) -> Duration {
         let mirror = self.mirror.as_ref();
         if mirror.is_some_and(|mirror| mirror.was_queried_within(QUERY_TTL)) {
@@ -353,8 +357,8 @@
                 as_of,
                 is_relayed: true,
             },
-            // In a burst the neighbour reads the newest of each key, time and again; all that follow
-            // it would read the registry themselves.
+            // In a burst the neighbour reads snapshots, so its single records expire again and again. A call
+            // to the registry here would make all its followers read the registry themselves.
             Ok(NeighbourAnswer::Expired(first)) => return Err(RegistryError::Expired { first }),
             Err(cause) => {
                 let wait = self.max_hold(wait);
--- a/crates/nearby/src/serve.rs
+++ b/crates/nearby/src/serve.rs
@@ -1,4 +1,4 @@
-//! Gives neighbours copies of what was read.
+//! HTTP routes on which neighbours read copies of the mirror's records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use crate::mirror::{CopyError, RecordsCopy};
 use crate::wire::READING_HEADER;
 
-/// Longest wait for news that a neighbour may ask for.
+/// Longest wait for new records that a neighbour may request.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// What a neighbour wants to read.
+/// Query parameters of a read.
 #[derive(Debug, Deserialize)]
 struct ReadParams {
-    /// Place of the first record.
+    /// Offset of the first record.
     #[serde(default)]
     from: Offset,
-    /// How long to wait for it, in milliseconds.
+    /// How long to wait for the first record, in milliseconds.
     #[serde(default)]
     wait_ms: u64,
-    /// Oldest knowledge that is of use, in milliseconds; who is behind says so without waiting.
+    /// Age limit of the records, in milliseconds; if they are older, the answer comes without waiting.
     oldest_ms: Option<u64>,
 }
 
@@ -69,7 +69,7 @@
     answer(copy, mirror.is_reading(topic))
 }
 
-/// Makes the answer, which says whether a read that will make what is known younger is under way.
+/// Makes the answer, with a header if a read that is expected to bring newer records is in progress.
 fn answer(copy: Result<RecordsCopy, CopyError>, is_reading: bool) -> Response {
     let mut response = match copy {
         Ok(copy) => copy.records.answer(copy.age),
--- a/crates/nearby/src/wire.rs
+++ b/crates/nearby/src/wire.rs
@@ -1,17 +1,17 @@
-//! What a neighbour answers, as JSON.
+//! Format of a neighbour's answer.
 
 use serde::{Deserialize, Serialize};
 use wagtailreel_core::Offset;
 use wagtailreel_fleet::Keyed;
 
-/// Name of the header that says that a read which will make the records younger is under way.
+/// Header of an answer while a read that is expected to bring newer records is in progress.
 pub(crate) const READING_HEADER: &str = "wagtailreel-reading";
 
-/// Records that a neighbour knows.
+/// Records from a neighbour's mirror, as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct KnownRecords {
     /// The records, the newest of each key, in the order of the log.
     pub(crate) items: Vec<Keyed>,
-    /// Place of the next record to be read.
+    /// Offset of the next record to read.
     pub(crate) next: Offset,
 }
