--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which route and customer a request belongs to.
+//! Look-up of a request's route and customer.
 
 use std::time::Duration;
 
@@ -73,6 +73,9 @@
 #[rstest]
 fn replaced_customers() {
     let directory = directory().with_customers(vec![]);
-    assert!(directory.customer("k1").is_none(), "old keys are forgotten");
+    assert!(
+        directory.customer("k1").is_none(),
+        "keys of removed customers are rejected"
+    );
     assert!(!directory.needs_keys());
 }
--- a/crates/fleet/tests/follow.rs
+++ b/crates/fleet/tests/follow.rs
@@ -12,15 +12,15 @@
 };
 use wagtailreel_standins::{RegistryStandin, ready_upstream as upstream};
 
-/// What was applied and confirmed.
+/// Records the changes that were applied.
 #[derive(Debug, Default)]
-struct Told {
+struct RecordingSink {
     gone: watch::Sender<Vec<String>>,
     known: watch::Sender<u32>,
     last: watch::Sender<String>,
 }
 
-impl Sink for Told {
+impl Sink for RecordingSink {
     fn apply(&self, change: Change) {
         match change {
             Change::Gone(id) => self.gone.send_modify(|gone| gone.push(id)),
@@ -35,11 +35,11 @@
     fn confirmed(&self, _topic: Topic, _as_of: BootTime) {}
 }
 
-/// A removal whose time to be doubted is over is applied then, however long the pace is.
+/// A held-back removal is applied when it is due, even if the next read comes later.
 #[tokio::test]
-async fn doubted_removal() {
+async fn held_back_removal() {
     let registry = RegistryStandin::default();
-    let told = Arc::new(Told::default());
+    let sink = Arc::new(RecordingSink::default());
     let cfg = FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
@@ -51,31 +51,31 @@
         lapse_after: Duration::ZERO,
     };
     registry.upstream(upstream("a"));
-    let mut known = told.known.subscribe();
-    let mut gone = told.gone.subscribe();
-    let following = tokio::spawn(follow(registry.clone(), Arc::clone(&told), cfg));
+    let mut known = sink.known.subscribe();
+    let mut gone = sink.gone.subscribe();
+    let following = tokio::spawn(follow(registry.clone(), Arc::clone(&sink), cfg));
     known.wait_for(|known| *known == 1).await.unwrap();
     registry.set_away(true);
-    // The task has to see the outage before it is over.
+    // The task has to notice the outage before the registry recovers.
     registry.until_refused(Topic::Upstreams).await;
     registry.upstream(Change::Gone("a".to_owned()));
     registry.upstream(upstream("b"));
     registry.set_away(false);
     known.wait_for(|known| *known == 2).await.unwrap();
-    let back = std::time::Instant::now();
+    let recovered_at = std::time::Instant::now();
     gone.wait_for(|gone| !gone.is_empty()).await.unwrap();
-    let took = back.elapsed();
-    assert!(took < Duration::from_millis(800), "{took:?}");
+    let delay = recovered_at.elapsed();
+    assert!(delay < Duration::from_millis(800), "{delay:?}");
     following.abort();
 }
 
-/// Of a burst of records a reader takes the newest, not all of them: on a narrow link each reader
-/// that takes all keeps the others from reading anything.
+/// A reader skips to the newest record of each key in a burst. On a narrow link a reader that loads all
+/// records blocks the reads of others.
 #[tokio::test]
 async fn record_burst() {
     let registry = RegistryStandin::default();
     registry.set_page_len(2);
-    let told = Arc::new(Told::default());
+    let sink = Arc::new(RecordingSink::default());
     let cfg = FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
@@ -87,27 +87,27 @@
         lapse_after: Duration::ZERO,
     };
     registry.upstream(upstream("a"));
-    let mut known = told.known.subscribe();
-    let following = tokio::spawn(follow(registry.clone(), Arc::clone(&told), cfg));
+    let mut known = sink.known.subscribe();
+    let following = tokio::spawn(follow(registry.clone(), Arc::clone(&sink), cfg));
     known.wait_for(|known| *known == 1).await.unwrap();
     for _ in 0..100 {
         registry.upstream(upstream("a"));
     }
     registry.upstream(upstream("last"));
-    let mut last = told.last.subscribe();
+    let mut last = sink.last.subscribe();
     last.wait_for(|last| last == "last").await.unwrap();
     assert!(registry.handed() < 10, "{} handed out", registry.handed());
     following.abort();
 }
 
-/// Wishes for one read as soon as it has read for the first time.
+/// Requests a read when it is notified.
 #[derive(Debug, Default)]
-struct Wishing {
+struct RequestingSink {
     confirmed: watch::Sender<Vec<BootTime>>,
-    wish: Notify,
+    request: Notify,
 }
 
-impl Sink for Wishing {
+impl Sink for RequestingSink {
     fn apply(&self, _change: Change) {}
 
     fn confirmed(&self, _topic: Topic, as_of: BootTime) {
@@ -116,18 +116,19 @@
     }
 
     async fn read_now_requested(&self, _topic: Topic) {
-        self.wish.notified().await;
+        self.request.notified().await;
     }
 }
 
-/// A read that is wished for waits neither for the pace nor for news; nor does the next, if it fails.
+/// A requested read waits neither for the read interval nor for new records. If it fails, the next read does
+/// not wait either.
 #[rstest]
 #[case::answered(false)]
 #[case::failed(true)]
 #[tokio::test]
-async fn wished_read(#[case] fails: bool) {
+async fn requested_read(#[case] fails: bool) {
     let registry = RegistryStandin::default();
-    let sink = Arc::new(Wishing::default());
+    let sink = Arc::new(RequestingSink::default());
     let cfg = FollowConfig {
         topic: Topic::Settings,
         wait: Duration::from_secs(3),
@@ -142,27 +143,27 @@
     let following = tokio::spawn(follow(registry.clone(), Arc::clone(&sink), cfg));
     confirmed.wait_for(|all| all.len() == 1).await.unwrap();
     registry.set_away(fails);
-    let wished = BootTime::now();
-    sink.wish.notify_one();
+    let requested = BootTime::now();
+    sink.request.notify_one();
     if fails {
         registry.until_refused(Topic::Settings).await;
         registry.set_away(false);
     }
     let again = confirmed.wait_for(|all| all.len() == 2);
     let again = tokio::time::timeout(Duration::from_millis(2500), again).await;
-    let as_of = again.expect("held").unwrap()[1];
-    assert!(as_of >= wished, "of before the wish");
+    let as_of = again.expect("a read without a wait").unwrap()[1];
+    assert!(as_of >= requested, "the answer is older than the request");
     following.abort();
 }
 
-/// Takes note of how long each read may be held, and how long it may take in all.
+/// Records the wait and the total time-out of each read.
 #[derive(Clone, Debug)]
-struct Patient {
+struct TimingRegistry {
     inner: RegistryStandin,
     reads: watch::Sender<Vec<(Duration, Duration)>>,
 }
 
-impl Registry for Patient {
+impl Registry for TimingRegistry {
     async fn newest(&self, topic: Topic, timeout: Duration) -> Result<Snapshot, RegistryError> {
         self.inner.newest(topic, timeout).await
     }
@@ -180,16 +181,16 @@
     }
 }
 
-/// A read that is wished for may take as long as one that is held: a registry that answers late would be read
-/// no more.
+/// The total time-out of a requested read is that of a read that waits. Otherwise reads from a slow registry
+/// would always time out.
 #[tokio::test]
-async fn patience_of_wished_read() {
+async fn timeout_of_requested_read() {
     let reads = watch::Sender::default();
-    let registry = Patient {
+    let registry = TimingRegistry {
         inner: RegistryStandin::default(),
         reads: reads.clone(),
     };
-    let sink = Arc::new(Wishing::default());
+    let sink = Arc::new(RequestingSink::default());
     let (wait, timeout) = (Duration::from_millis(1800), Duration::from_millis(700));
     let cfg = FollowConfig {
         topic: Topic::Settings,
@@ -201,7 +202,7 @@
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     };
-    sink.wish.notify_one();
+    sink.request.notify_one();
     let following = tokio::spawn(follow(registry, sink, cfg));
     let mut reads = reads.subscribe();
     let reads = reads.wait_for(|reads| !reads.is_empty()).await.unwrap();
--- a/crates/fleet/tests/follower.rs
+++ b/crates/fleet/tests/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower believes of the answers of a registry.
+//! Changes that a follower derives from the answers of a registry.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const HOLD: Duration = Duration::from_millis(2300);
 
-/// Shortest outage in which an upstream that lives lapses.
+/// Shortest outage in which the registration of a running upstream can lapse.
 const LAPSE: Duration = Duration::from_millis(1500);
 
 fn at(ms: u64) -> BootTime {
@@ -64,16 +64,20 @@
 fn empty_page() {
     let wait = Duration::from_millis(1500);
     let as_of = Page::answer_as_of(true, at(1000), wait, at(2504));
-    assert_eq!(as_of, at(2500), "it speaks of the end of the wait");
+    assert_eq!(
+        as_of,
+        at(2500),
+        "the answer holds as of the end of the wait"
+    );
     let early = Page::answer_as_of(true, at(3000), wait, at(3100));
-    assert_eq!(early, at(3100), "but never of the future");
+    assert_eq!(early, at(3100), "never as of the future");
 }
 
 #[rstest]
 fn full_page() {
     let wait = Duration::from_millis(1500);
     let as_of = Page::answer_as_of(false, at(1000), wait, at(1400));
-    assert_eq!(as_of, at(1000), "it may have been made at once");
+    assert_eq!(as_of, at(1000), "the answer may have been made at once");
     let mut follower = knows(&["a"]);
     let mut full = page(vec![keyed(10, upstream("b"))], 11);
     full.as_of = as_of;
@@ -88,11 +92,11 @@
     full.end = 40;
     let applied = follower.apply_page(full, at(1400));
     assert_eq!(applied.changes.len(), 1);
-    assert_eq!(applied.as_of, None, "it does not know all yet");
+    assert_eq!(applied.as_of, None, "there is more to read");
     assert_eq!(
         follower.step(),
         Step::Newest,
-        "only the newest still matter"
+        "only the newest record of each key matters"
     );
 }
 
@@ -109,13 +113,13 @@
     let mut follower = knows(&["a", "b"]);
     assert!(
         follower.note_failure(&unreachable_error()),
-        "the first failure is news"
+        "the first failure is reported"
     );
     assert!(!follower.note_failure(&unreachable_error()));
     let items = vec![keyed(10, gone("a")), keyed(11, gone("b"))];
     let applied = follower.apply_page(page(items, 12), at(5000));
     assert!(applied.has_recovered);
-    assert_eq!(applied.changes, vec![], "they may be back in a moment");
+    assert_eq!(applied.changes, vec![], "they may register again");
     let items = vec![keyed(12, upstream("a"))];
     let applied = follower.apply_page(page(items, 13), at(6000));
     assert_eq!(applied.changes.len(), 1);
@@ -124,7 +128,8 @@
     assert_eq!(follower.due_removals(at(9000)), vec![]);
 }
 
-/// A read that failed in between is no outage: nothing that lives can have lapsed meanwhile.
+/// After an outage shorter than `LAPSE` removals are applied at once: no registration of a running upstream
+/// can have lapsed in that time.
 #[rstest]
 #[case::short(1400, vec![gone("a")])]
 #[case::long(1600, vec![])]
@@ -148,13 +153,13 @@
     assert_eq!(
         follower.due_removals(at(9000)),
         vec![],
-        "nothing is judged while away"
+        "no removal is applied while the registry is unreachable"
     );
     follower.apply_page(page(vec![], 11), at(9500));
     assert_eq!(
         follower.due_removals(at(11_000)),
         vec![],
-        "the time begins anew"
+        "the hold restarts"
     );
     assert_eq!(follower.due_removals(at(11_800)), vec![gone("a")]);
 }
@@ -172,7 +177,7 @@
         is_relayed: false,
     };
     let applied = follower.apply_snapshot(snapshot, at(101));
-    assert!(applied.changes.contains(&gone("a")), "it is missing");
+    assert!(applied.changes.contains(&gone("a")), "the snapshot lacks a");
     assert_eq!(follower.step(), Step::Read(50));
 }
 
@@ -188,9 +193,5 @@
     follower.apply_snapshot(snapshot, at(1));
     let items = vec![keyed(15, upstream("a"))];
     let applied = follower.apply_page(page(items, 16), at(3));
-    assert_eq!(
-        applied.changes,
-        vec![],
-        "a later page of the snapshot had a newer one"
-    );
+    assert_eq!(applied.changes, vec![], "the snapshot has a newer record");
 }
--- a/crates/fleet/tests/namings.rs
+++ b/crates/fleet/tests/namings.rs
@@ -1,4 +1,4 @@
-//! What reads of the registry prove of namings.
+//! Times at which reads of the registry prove that a version was not named yet.
 
 use std::time::Duration;
 
@@ -18,11 +18,15 @@
 #[test]
 fn first_read() {
     let mut read = NamingTimes::default();
-    assert_eq!(read.record(&weights(2), None), None, "before the start");
+    assert_eq!(
+        read.record(&weights(2), None),
+        None,
+        "named before the first read"
+    );
     assert_eq!(read.record(&weights(3), at(400)), at(400));
 }
 
-/// Only the read that brings a version first proves that it was not there before.
+/// Only the first read that returns a version proves that the version was not named at the read before.
 #[test]
 fn read_again() {
     let mut read = NamingTimes::default();
