--- a/crates/nearby/tests/backoff.rs
+++ b/crates/nearby/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! When a process asks the registry itself.
+//! Backoff of a process's own calls to the registry.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     let mut backoff = RegistryBackoff::new(Duration::from_secs(1));
     assert!(
         backoff.is_due(Topic::Settings, false, at(500)),
-        "nothing failed yet"
+        "no call has failed yet"
     );
     backoff.note_failure(Topic::Settings, at(500));
     assert_eq!(
@@ -28,6 +28,6 @@
     backoff.note_answer();
     assert!(
         backoff.is_due(Topic::Settings, false, at(501)),
-        "it answers again"
+        "the registry has answered"
     );
 }
--- a/crates/nearby/tests/common/mod.rs
+++ b/crates/nearby/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Entries that read through each other, without anything else of an entry.
+//! Entries reduced to their registry client and mirror, which read through each other.
 #![allow(dead_code, reason = "each test program uses a part")]
 
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 /// Time between two reads of the upstreams.
 pub(crate) const READ_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What one entry believes.
+/// Records the upstreams that one entry has read.
 #[derive(Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct RecordingSink {
     known: watch::Sender<Vec<String>>,
     as_of: watch::Sender<Option<BootTime>>,
 }
 
-impl Told {
+impl RecordingSink {
     /// Waits until the upstream `id` is known.
     pub(crate) async fn until_known(&self, id: &str) {
         let mut known = self.known.subscribe();
@@ -37,7 +37,7 @@
     }
 }
 
-impl Sink for Told {
+impl Sink for RecordingSink {
     fn apply(&self, change: Change) {
         if let Change::Upstream(upstream) = change {
             self.known.send_modify(|known| known.push(upstream.id));
@@ -50,8 +50,8 @@
 }
 
 /// Follows the upstreams as `entry` does.
-pub(crate) fn following(entry: &Entry) -> (Arc<Told>, JoinHandle<()>) {
-    let told = Arc::new(Told::default());
+pub(crate) fn following(entry: &Entry) -> (Arc<RecordingSink>, JoinHandle<()>) {
+    let sink = Arc::new(RecordingSink::default());
     let cfg = FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
@@ -62,12 +62,12 @@
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     };
-    let task = tokio::spawn(follow(entry.registry.clone(), Arc::clone(&told), cfg));
-    (told, task)
+    let task = tokio::spawn(follow(entry.registry.clone(), Arc::clone(&sink), cfg));
+    (sink, task)
 }
 
-/// Keeps `entry` told of `others`, as agents do.
-pub(crate) fn keep_told(entry: &Entry, others: Vec<SocketAddr>) -> JoinHandle<()> {
+/// Reports `others` to `entry` every 100 ms, as agents do.
+pub(crate) fn report_regularly(entry: &Entry, others: Vec<SocketAddr>) -> JoinHandle<()> {
     let neighbours = Arc::clone(&entry.neighbours);
     tokio::spawn(async move {
         loop {
@@ -77,7 +77,7 @@
     })
 }
 
-/// An entry's view of the registry, and what it gives to neighbours.
+/// An entry's registry client, and the mirror that it serves to neighbours.
 pub(crate) struct Entry {
     pub(crate) addr: SocketAddr,
     pub(crate) store: RegistryStandin,
@@ -88,15 +88,15 @@
 }
 
 impl Entry {
-    /// Starts an entry that knows of no other.
+    /// Starts an entry that knows no other.
     pub(crate) async fn start() -> Self {
         Self::at("127.0.0.1:0", RegistryStandin::default()).await
     }
 
-    /// Starts an entry that stands after `first` and has been told of it.
-    pub(crate) async fn beside(first: &Self) -> Self {
+    /// Starts an entry that ranks after `first` and knows it.
+    pub(crate) async fn with_neighbour(first: &Self) -> Self {
         let second = Self::at("127.0.0.2:0", RegistryStandin::default()).await;
-        second.note_entries(first);
+        second.note_entry(first);
         second
     }
 
@@ -126,13 +126,13 @@
         }
     }
 
-    /// Tells this entry that `other` is there.
-    pub(crate) fn note_entries(&self, other: &Self) {
+    /// Reports `other` to this entry once.
+    pub(crate) fn note_entry(&self, other: &Self) {
         self.neighbours.note_entries(&[other.addr], BootTime::now());
     }
 
-    /// Stops giving copies, without a word.
-    pub(crate) async fn fall_silent(&mut self) {
+    /// Stops serving copies.
+    pub(crate) async fn stop_serving(&mut self) {
         self.serving.abort();
         let _ = (&mut self.serving).await;
     }
--- a/crates/nearby/tests/copies.rs
+++ b/crates/nearby/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of long configurations for neighbours.
+//! Copies of large configurations for neighbours.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -13,10 +13,10 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Routes of a long configuration.
+/// Number of routes of a large configuration.
 const ROUTES: u32 = 1_500;
 
-fn long_directory(version: u64) -> Directory {
+fn large_directory(version: u64) -> Directory {
     let limits = ClientLimits {
         header_bytes: 16_384,
         body_bytes: 1 << 20,
@@ -43,8 +43,8 @@
     newest.unwrap().items.into_iter().next().unwrap().change
 }
 
-/// Returns the bytes that `entry` gives to a neighbour that has read nothing.
-async fn bytes_given(entry: &Entry) -> usize {
+/// Returns the size of the copy that `entry` serves to a neighbour that has read nothing.
+async fn copy_size(entry: &Entry) -> usize {
     let url = format!(
         "http://{}/v1/registry/settings/newest?wait_ms=0",
         entry.addr
@@ -55,49 +55,49 @@
     body.unwrap().len()
 }
 
-/// A neighbour gets the same configuration in a tenth of the bytes.
+/// A neighbour gets the same configuration, compressed to less than a tenth.
 #[rstest]
 #[tokio::test]
 async fn packed_copy() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
-    let directory = long_directory(7);
+    let second = Entry::with_neighbour(&first).await;
+    let directory = large_directory(7);
     let plain = serde_json::to_vec(&directory).unwrap().len();
     first.store.config(directory.clone());
     let expected = Change::Config(Box::new(directory));
     assert_eq!(config_at(&first).await, expected);
-    second.note_entries(&first);
+    second.note_entry(&first);
     assert_eq!(config_at(&second).await, expected);
     assert_eq!(second.store.calls(), 0, "by the neighbour");
-    let packed = bytes_given(&first).await;
+    let packed = copy_size(&first).await;
     assert!(packed * 10 < plain, "{packed} of {plain} bytes");
 }
 
-/// The newest of each key is given as it is by now, however often it was given before.
+/// A snapshot for a neighbour has the newest records, even if older copies were cached.
 #[rstest]
 #[tokio::test]
 async fn newest_after_change() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     for version in [7, 8] {
-        let directory = long_directory(version);
+        let directory = large_directory(version);
         first.store.config(directory.clone());
         let expected = Change::Config(Box::new(directory));
         assert_eq!(config_at(&first).await, expected);
         for _ in 0..2 {
-            second.note_entries(&first);
+            second.note_entry(&first);
             assert_eq!(config_at(&second).await, expected);
         }
     }
     assert_eq!(second.store.calls(), 0, "by the neighbour");
 }
 
-/// What was given before a change is not given after it.
+/// A page for a neighbour has the newest records, even if an older copy was cached.
 #[rstest]
 #[tokio::test]
 async fn changed_copy() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let read = |entry: &Entry, from| {
         let registry = entry.registry.clone();
         async move {
@@ -106,10 +106,10 @@
         }
     };
     for version in [7, 8] {
-        let directory = long_directory(version);
+        let directory = large_directory(version);
         first.store.config(directory.clone());
         read(&first, version - 7).await;
-        second.note_entries(&first);
+        second.note_entry(&first);
         let page = read(&second, 0).await;
         let newest = page.items.last().map(|item| item.change.clone());
         assert_eq!(newest, Some(Change::Config(Box::new(directory))));
--- a/crates/nearby/tests/fallback.rs
+++ b/crates/nearby/tests/fallback.rs
@@ -1,11 +1,11 @@
-//! Who reads beside neighbours that are slow to read.
+//! Fallback reads beside neighbours that are slow to read.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Entry, following, keep_told, upstream};
+use common::{Entry, following, report_regularly, upstream};
 use rstest::rstest;
 use wagtailreel_fleet::{BootTime, Topic};
 use wagtailreel_nearby::FallbackRead;
@@ -26,9 +26,9 @@
     assert_eq!(fallback.is_due(Topic::Settings, None, at(now)), is_due);
 }
 
-/// Who heard what is young enough begins to wait anew.
+/// A sufficiently recent answer ends the wait; the next one starts from zero.
 #[rstest]
-fn heard_again() {
+fn fresh_answer_restarts_wait() {
     let mut fallback = FallbackRead::new(AFTER);
     assert!(!fallback.is_due(Topic::Settings, None, at(1_000)));
     fallback.note_fresh_answer(Topic::Settings);
@@ -36,9 +36,9 @@
     assert!(!fallback.is_due(Topic::Upstreams, None, at(9_000)));
 }
 
-/// A reader that tells of later moments is waited for, however old they are.
+/// Newer records from a reader restart the wait, however old the records are.
 #[rstest]
-fn progress() {
+fn newer_records_restart_wait() {
     let mut fallback = FallbackRead::new(AFTER);
     for read in 0..20 {
         let now = 2_000 + 300 * read;
@@ -48,8 +48,8 @@
     assert!(fallback.is_due(Topic::Settings, last, at(2_000 + 300 * 19 + 350)));
 }
 
-/// Of eight entries whose reader's read takes 0.9 s a few read beside it, and what it brings is taken by
-/// the others though it is old.
+/// When the reader of eight entries needs 0.9 s per read, only a few others read beside it. The rest use the
+/// relayed records although these are old.
 #[rstest]
 #[tokio::test]
 async fn slow_reader() {
@@ -60,18 +60,18 @@
     }
     let addrs: Vec<_> = entries.iter().map(|entry| entry.addr).collect();
     let mut tasks = Vec::new();
-    let mut told = Vec::new();
+    let mut sink = Vec::new();
     for entry in &entries {
-        tasks.push(keep_told(entry, addrs.clone()));
+        tasks.push(report_regularly(entry, addrs.clone()));
         let (one, task) = following(entry);
         tasks.push(task);
-        told.push(one);
+        sink.push(one);
     }
     store.upstream(upstream("a"));
-    for one in &told {
+    for one in &sink {
         one.until_known("a").await;
     }
-    // What a reader knows counts as too old 0.6 s after its read began.
+    // A reader's records count as too old 0.6 s after its read started.
     store.set_delay(Duration::from_millis(900));
     let before = store.calls();
     while store.calls() < before + 4 {
@@ -80,7 +80,7 @@
     let (before, slow) = (store.calls(), std::time::Instant::now());
     for name in ["b", "c", "d"] {
         store.upstream(upstream(name));
-        for one in &told {
+        for one in &sink {
             one.until_known(name).await;
         }
     }
--- a/crates/nearby/tests/mirror.rs
+++ b/crates/nearby/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What neighbours are told.
+//! Records that the mirror serves to neighbours.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -37,12 +37,12 @@
     }
 }
 
-/// A neighbour gets what it has not read, the newest of each key, in order.
+/// A neighbour gets the newest records that it has not read, one of each key, in order.
 #[rstest]
 #[tokio::test]
 async fn missing_records() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     first
         .mirror
         .store_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
@@ -67,7 +67,7 @@
 #[tokio::test]
 async fn newest_records() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     first
         .mirror
         .store_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
@@ -81,13 +81,13 @@
     assert_eq!(newest.end, 7);
 }
 
-/// Who lacks records that a neighbour does not know one by one reads its newest, and not the
-/// registry.
+/// If a neighbour no longer holds the single records that an entry lacks, the entry reads the neighbour's
+/// snapshot and not the registry.
 #[rstest]
 #[tokio::test]
 async fn unknown_records() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let items = vec![keyed(3, upstream("a"))];
     first.mirror.store_snapshot(TOPIC, &snapshot(items, 5));
     let read = second.registry.read(TOPIC, 0, Duration::ZERO, TIMEOUT);
@@ -101,12 +101,12 @@
     assert_eq!(second.store.calls(), 0);
 }
 
-/// A page that would leave a gap is not handed on.
+/// A page that would leave a gap is not relayed.
 #[rstest]
 #[tokio::test]
 async fn gap_in_pages() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     first.mirror.store_snapshot(TOPIC, &snapshot(Vec::new(), 5));
     first
         .mirror
@@ -116,12 +116,12 @@
     assert_eq!((read.items.len(), read.next), (0, 5));
 }
 
-/// A page that has not all that there is does not make the mirror look fresh.
+/// A page with more records to follow does not make the mirror look fresh.
 #[rstest]
 #[tokio::test]
 async fn partial_page() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let old = BootTime::now().minus(Duration::from_secs(60));
     let mut snapshot = snapshot(Vec::new(), 5);
     snapshot.as_of = old;
@@ -138,14 +138,14 @@
     );
 }
 
-/// A late record of an older version doesn't take the place of a newer one, in pages and snapshots.
+/// A late record of an older version doesn't replace a newer one, in pages and snapshots.
 #[rstest]
 #[case::page(false)]
 #[case::snapshot(true)]
 #[tokio::test]
 async fn older_version(#[case] is_snapshot: bool) {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let named = |version| {
         let model = "epitaph".to_owned();
         Change::Weights(NamedWeights { model, version })
--- a/crates/nearby/tests/neighbours.rs
+++ b/crates/nearby/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! Which entry reads for the others.
+//! Selection of the entry that reads for the others.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     SocketAddr::from(([10, 0, 0, host], 7700))
 }
 
-/// Returns who is asked first.
+/// Returns the neighbour that is queried first.
 fn first(neighbours: &Neighbours, now: BootTime) -> Option<SocketAddr> {
     neighbours.candidates(now).first().copied()
 }
@@ -25,7 +25,7 @@
 #[case::first_itself(1, &[2, 3], None)]
 #[case::another_first(3, &[1, 2], Some(1))]
 #[case::only_itself(2, &[2], None)]
-#[case::nobody(2, &[], None)]
+#[case::no_neighbours(2, &[], None)]
 fn first_address(#[case] own: u8, #[case] named: &[u8], #[case] reader: Option<u8>) {
     let neighbours = Neighbours::new(addr(own));
     let named: Vec<SocketAddr> = named.iter().map(|host| addr(*host)).collect();
@@ -45,14 +45,17 @@
 fn avoided_neighbour() {
     let neighbours = Neighbours::new(addr(9));
     neighbours.note_entries(&[addr(1), addr(2)], at(0));
-    assert!(neighbours.note_silent(addr(1), at(0)), "it is news");
+    assert!(
+        neighbours.note_silent(addr(1), at(0)),
+        "the first report is new"
+    );
     assert!(!neighbours.note_silent(addr(1), at(10)));
     assert_eq!(first(&neighbours, at(100)), Some(addr(2)));
     neighbours.note_entries(&[addr(1), addr(2)], at(3200));
     assert_eq!(
         first(&neighbours, at(3200)),
         Some(addr(1)),
-        "it is tried anew"
+        "the neighbour is queried again"
     );
 }
 
@@ -63,7 +66,7 @@
     assert_eq!(first(&neighbours, at(0)), None);
 }
 
-/// A neighbour that is behind is asked only as the first, and others after it.
+/// A neighbour that is behind is queried only if it ranks first, and others are queried after it.
 #[rstest]
 fn behind_neighbour() {
     let neighbours = Neighbours::new(addr(9));
@@ -71,11 +74,18 @@
     neighbours.note_entries(&named, at(0));
     assert_eq!(neighbours.candidates(at(0)), [addr(1), addr(2), addr(3)]);
     for host in [1, 2, 3] {
-        assert!(neighbours.note_behind(addr(host), at(0)), "it is news");
+        assert!(
+            neighbours.note_behind(addr(host), at(0)),
+            "the first report is new"
+        );
     }
     assert!(!neighbours.note_behind(addr(1), at(10)));
     assert_eq!(neighbours.candidates(at(20)), [addr(1), addr(4), addr(5)]);
-    assert_eq!(neighbours.rank(at(20)), 8, "all of them answer");
+    assert_eq!(
+        neighbours.rank(at(20)),
+        8,
+        "neighbours that are behind still count"
+    );
     neighbours.note_entries(&named, at(3100));
     assert_eq!(neighbours.candidates(at(3100)), [addr(1), addr(2), addr(3)]);
 }
--- a/crates/nearby/tests/outage.rs
+++ b/crates/nearby/tests/outage.rs
@@ -1,4 +1,4 @@
-//! A registry that is away, or that serves some processes only.
+//! A registry that is unreachable, for all processes or for some.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use common::{Entry, Told, following, keep_told, upstream};
+use common::{Entry, RecordingSink, following, report_regularly, upstream};
 use rstest::rstest;
 use tokio::task::JoinHandle;
 use wagtailreel_fleet::{Registry as _, Topic};
@@ -15,27 +15,27 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Entries of one data centre that know of each other, and what they believe.
+/// Entries of one data centre that know each other, and the sinks with what they read.
 struct DataCentre {
-    followed: Vec<Arc<Told>>,
+    sinks: Vec<Arc<RecordingSink>>,
     tasks: Vec<JoinHandle<()>>,
     _entries: Vec<Entry>,
 }
 
 impl DataCentre {
-    /// Starts an entry before each of `stores`.
+    /// Starts one entry for each of `stores`.
     async fn start(stores: Vec<RegistryStandin>) -> Self {
         let mut entries = Vec::new();
         for (store, host) in stores.into_iter().zip(1_u8..) {
             entries.push(Entry::at(&format!("127.0.0.{host}:0"), store).await);
         }
         let all: Vec<SocketAddr> = entries.iter().map(|entry| entry.addr).collect();
-        let keeping = entries.iter().map(|it| keep_told(it, all.clone()));
-        let mut tasks: Vec<JoinHandle<()>> = keeping.collect();
-        let (followed, following): (Vec<_>, Vec<_>) = entries.iter().map(following).unzip();
+        let reporting = entries.iter().map(|it| report_regularly(it, all.clone()));
+        let mut tasks: Vec<JoinHandle<()>> = reporting.collect();
+        let (sinks, following): (Vec<_>, Vec<_>) = entries.iter().map(following).unzip();
         tasks.extend(following);
         Self {
-            followed,
+            sinks,
             tasks,
             _entries: entries,
         }
@@ -50,30 +50,31 @@
     }
 }
 
-async fn until_known(followed: &[Arc<Told>], id: &str) {
-    for told in followed {
-        told.until_known(id).await;
+async fn until_known(sinks: &[Arc<RecordingSink>], id: &str) {
+    for sink in sinks {
+        sink.until_known(id).await;
     }
 }
 
-/// Of many entries only the first ones go on asking a registry that is away; all hear of its return.
+/// Of many entries only the first keep calling an unreachable registry; all notice its recovery.
 #[rstest]
 #[tokio::test]
 async fn registry_away() {
     let store = RegistryStandin::default();
     let entries = DataCentre::start(vec![store.clone(); 12]).await;
     store.upstream(upstream("a"));
-    until_known(&entries.followed, "a").await;
+    until_known(&entries.sinks, "a").await;
     store.set_away(true);
     let before = store.calls();
     tokio::time::sleep(Duration::from_secs(4)).await;
     let calls = store.calls() - before;
     store.upstream(upstream("b"));
     store.set_away(false);
-    let back = Instant::now();
-    until_known(&entries.followed, "b").await;
-    let took = back.elapsed();
-    // Two entries ask each 50 ms, with their questions 70 times; the others once each 2 to 3 s.
+    let recovered_at = Instant::now();
+    until_known(&entries.sinks, "b").await;
+    let took = recovered_at.elapsed();
+    // Two entries call every 50 ms, which makes 70 calls with their queries to neighbours in between. The
+    // others call once every 2 to 3 s.
     assert!(calls < 12 * 2 + 2 * 80, "{calls} calls");
     assert!(took < Duration::from_millis(1500), "{took:?}");
 }
@@ -88,19 +89,19 @@
     let entries = DataCentre::start(stores).await;
     cut.upstream(upstream("a"));
     store.upstream(upstream("a"));
-    until_known(&entries.followed, "a").await;
+    until_known(&entries.sinks, "a").await;
     cut.set_away(true);
     store.upstream(upstream("b"));
-    let fell = Instant::now();
-    until_known(&entries.followed[6..], "b").await;
-    let took = fell.elapsed();
+    let stopped_at = Instant::now();
+    until_known(&entries.sinks[6..], "b").await;
+    let took = stopped_at.elapsed();
     assert!(took < Duration::from_millis(1800), "{took:?}");
 }
 
-/// An entry that hears only old things from the two neighbours before it.
+/// An entry whose two preceding neighbours have only old records.
 struct BehindOthers {
     third: Entry,
-    keeping: JoinHandle<()>,
+    reporting: JoinHandle<()>,
     _others: [Entry; 2],
 }
 
@@ -114,18 +115,18 @@
                 entry.registry.newest(topic, TIMEOUT).await.unwrap();
             }
         }
-        // Until what they know is old.
+        // Wait until their records are old.
         tokio::time::sleep(Duration::from_millis(1200)).await;
         let third = Entry::at("127.0.0.3:0", RegistryStandin::default()).await;
-        let keeping = keep_told(&third, vec![first.addr, second.addr]);
+        let reporting = report_regularly(&third, vec![first.addr, second.addr]);
         Self {
             third,
-            keeping,
+            reporting,
             _others: [first, second],
         }
     }
 
-    /// Has the entry's own read of the settings fail.
+    /// Makes a read of the settings by the entry fail.
     async fn fail_settings(&self) {
         let Entry {
             registry, store, ..
@@ -139,12 +140,12 @@
 
 impl Drop for BehindOthers {
     fn drop(&mut self) {
-        self.keeping.abort();
+        self.reporting.abort();
     }
 }
 
-/// A read of the settings that failed does not keep back a read of the upstreams, whose follower would
-/// take the registry for away and doubt what vanished.
+/// A failed read of the settings does not delay a read of the upstreams. Otherwise the follower of the
+/// upstreams would treat the registry as unreachable and hold removals back.
 #[rstest]
 #[tokio::test]
 async fn settings_failed() {
@@ -155,7 +156,7 @@
     assert!(upstreams.is_ok(), "{upstreams:?}");
 }
 
-/// Once the registry has answered for one topic the other is read at once.
+/// After the registry has answered for one topic, the other is read at once.
 #[rstest]
 #[tokio::test]
 async fn other_topic_answered() {
--- a/crates/nearby/tests/reading.rs
+++ b/crates/nearby/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Reading the registry through a neighbour, and without it.
+//! Reads of the registry through a neighbour, and without one.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Entry, following, keep_told, upstream};
+use common::{Entry, following, report_regularly, upstream};
 use rstest::rstest;
 use wagtailreel_fleet::{BootTime, Change, ClientLimits, Directory, Registry as _, Topic};
 use wagtailreel_standins::RegistryStandin;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Two entries learn of a change by the calls of one.
+/// Two entries learn of a change by the calls of one of them.
 #[rstest]
 #[tokio::test]
 async fn one_reader() {
     let store = RegistryStandin::default();
     let first = Entry::at("127.0.0.1:0", store.clone()).await;
     let second = Entry::at("127.0.0.2:0", RegistryStandin::default()).await;
-    let keeping = keep_told(&second, vec![first.addr]);
+    let reporting = report_regularly(&second, vec![first.addr]);
     let (one, a) = following(&first);
     store.upstream(upstream("a"));
     one.until_known("a").await;
@@ -30,31 +30,31 @@
     one.until_known("b").await;
     two.until_known("b").await;
     assert_eq!(second.store.calls(), 0);
-    for task in [keeping, a, b] {
+    for task in [reporting, a, b] {
         task.abort();
     }
 }
 
-/// An entry whose neighbour dies reads the registry itself, at once.
+/// An entry whose neighbour stops answering reads the registry itself at once.
 #[rstest]
 #[tokio::test]
 async fn silent_neighbour() {
     let store = RegistryStandin::default();
     let mut first = Entry::at("127.0.0.1:0", store.clone()).await;
     let second = Entry::at("127.0.0.2:0", store.clone()).await;
-    let keeping = keep_told(&second, vec![first.addr]);
+    let reporting = report_regularly(&second, vec![first.addr]);
     let (one, a) = following(&first);
     let (two, b) = following(&second);
     store.upstream(upstream("a"));
     one.until_known("a").await;
     two.until_known("a").await;
-    first.fall_silent().await;
-    let fell = std::time::Instant::now();
+    first.stop_serving().await;
+    let stopped_at = std::time::Instant::now();
     store.upstream(upstream("b"));
     two.until_known("b").await;
-    let took = fell.elapsed();
+    let took = stopped_at.elapsed();
     assert!(took < Duration::from_millis(1500), "{took:?}");
-    for task in [keeping, a, b] {
+    for task in [reporting, a, b] {
         task.abort();
     }
 }
@@ -67,7 +67,7 @@
     let cut = RegistryStandin::default();
     let first = Entry::at("127.0.0.1:0", cut.clone()).await;
     let second = Entry::at("127.0.0.2:0", store.clone()).await;
-    let keeping = keep_told(&second, vec![first.addr]);
+    let reporting = report_regularly(&second, vec![first.addr]);
     let (one, a) = following(&first);
     let (two, b) = following(&second);
     cut.upstream(upstream("a"));
@@ -75,23 +75,23 @@
     one.until_known("a").await;
     two.until_known("a").await;
     cut.set_away(true);
-    let fell = std::time::Instant::now();
+    let stopped_at = std::time::Instant::now();
     store.upstream(upstream("b"));
     two.until_known("b").await;
-    let took = fell.elapsed();
+    let took = stopped_at.elapsed();
     assert!(took < Duration::from_millis(1800), "{took:?}");
-    for task in [keeping, a, b] {
+    for task in [reporting, a, b] {
         task.abort();
     }
 }
 
-/// What comes through a neighbour is never taken for newer than the neighbour's own knowledge.
+/// Records from a neighbour never count as newer than the neighbour's own read of them.
 #[rstest]
 #[tokio::test]
-async fn told_age() {
+async fn relayed_age() {
     let store = RegistryStandin::default();
     let first = Entry::at("127.0.0.1:0", store.clone()).await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let read_by = BootTime::now();
     first
         .registry
@@ -100,22 +100,22 @@
         .unwrap();
     let read_at = BootTime::now();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    second.note_entries(&first);
+    second.note_entry(&first);
     let newest = second.registry.newest(Topic::Settings, TIMEOUT);
     let newest = newest.await.unwrap();
     assert!(newest.is_relayed);
     assert!(newest.as_of <= read_at, "{:?} {read_at:?}", newest.as_of);
     let slack = Duration::from_millis(200);
-    assert!(newest.as_of.plus(slack) >= read_by, "nor for much older");
+    assert!(newest.as_of.plus(slack) >= read_by, "not much older either");
 }
 
-/// A configuration is the same after it went through a neighbour.
+/// A configuration that a neighbour relayed is unchanged.
 #[rstest]
 #[tokio::test]
 async fn whole_configuration() {
     let store = RegistryStandin::default();
     let first = Entry::at("127.0.0.1:0", store.clone()).await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let limits = ClientLimits {
         header_bytes: 8192,
         body_bytes: 100_000,
@@ -129,7 +129,7 @@
         .newest(Topic::Settings, TIMEOUT)
         .await
         .unwrap();
-    second.note_entries(&first);
+    second.note_entry(&first);
     let newest = second.registry.newest(Topic::Settings, TIMEOUT);
     let newest = newest.await.unwrap();
     assert!(newest.is_relayed);
@@ -137,8 +137,7 @@
     assert_eq!(change, Change::Config(Box::new(directory)));
 }
 
-/// Entries that start together, with nothing known yet, take a configuration over their region's
-/// link once.
+/// Of entries that start together, only one loads the configuration over their region's link.
 #[rstest]
 #[tokio::test]
 async fn start_together() {
--- a/crates/nearby/tests/seeds.rs
+++ b/crates/nearby/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Processes that start read from entries that their settings name.
+//! Starting processes read from the seeds in their settings.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -25,14 +25,14 @@
     Directory::new(7, limits)
 }
 
-/// A process that nobody has asked yet.
-struct Newcomer {
+/// A process that has just started and knows no neighbours.
+struct StartingProcess {
     store: RegistryStandin,
     registry: SharedRegistry<RegistryStandin>,
 }
 
-impl Newcomer {
-    /// Makes one whose settings name `seeds`, on the port of `entry`.
+impl StartingProcess {
+    /// Makes a process whose settings name `seeds`, on the port of `entry`.
     fn new(entry: &Entry, seeds: &[IpAddr]) -> Self {
         let own = SocketAddr::from(([127, 0, 0, 9], entry.addr.port()));
         let store = RegistryStandin::default();
@@ -58,7 +58,7 @@
     Change::Config(Box::new(directory()))
 }
 
-/// A seed that knows the settings is read from at once, though nobody named it, and so are the upstreams.
+/// Settings and upstreams are read at once from a seed that has read them, although no agent has named it.
 #[rstest]
 #[tokio::test]
 async fn known_seed() {
@@ -67,29 +67,32 @@
     config_at(&entry.registry).await;
     let upstreams = entry.registry.newest(Topic::Upstreams, TIMEOUT).await;
     let gone = IpAddr::from([127, 0, 0, 8]);
-    let newcomer = Newcomer::new(&entry, &[gone, entry.addr.ip()]);
-    assert_eq!(newcomer.config().await, expected());
-    let read = newcomer.registry.newest(Topic::Upstreams, TIMEOUT).await;
+    let starting_process = StartingProcess::new(&entry, &[gone, entry.addr.ip()]);
+    assert_eq!(starting_process.config().await, expected());
+    let read = starting_process
+        .registry
+        .newest(Topic::Upstreams, TIMEOUT)
+        .await;
     assert_eq!(read.unwrap().items.len(), upstreams.unwrap().items.len());
-    assert_eq!(newcomer.store.calls(), 0, "by the seed");
+    assert_eq!(starting_process.store.calls(), 0, "by the seed");
 }
 
-/// A seed that starts too is asked until it knows the settings.
+/// A seed that starts at the same time is queried until it has read the settings.
 #[rstest]
 #[tokio::test]
 async fn late_seed() {
     let entry = Entry::start().await;
     entry.store.config(directory());
-    let newcomer = Newcomer::new(&entry, &[entry.addr.ip()]);
+    let starting_process = StartingProcess::new(&entry, &[entry.addr.ip()]);
     let read = async {
         while !entry.mirror.was_queried_within(TIMEOUT) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         config_at(&entry.registry).await
     };
-    let (config, _) = tokio::join!(newcomer.config(), read);
+    let (config, _) = tokio::join!(starting_process.config(), read);
     assert_eq!(config, expected());
-    assert_eq!(newcomer.store.calls(), 0, "by the seed");
+    assert_eq!(starting_process.store.calls(), 0, "by the seed");
 }
 
 /// Guards against processes that start together and each read all upstreams for themselves.
@@ -98,7 +101,7 @@
 async fn upstreams_of_late_seed() {
     let entry = Entry::start().await;
     entry.store.upstream(upstream("u-1"));
-    let newcomer = Newcomer::new(&entry, &[entry.addr.ip()]);
+    let starting_process = StartingProcess::new(&entry, &[entry.addr.ip()]);
     let until_asked = async {
         while !entry.mirror.was_queried_within(TIMEOUT) {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -106,13 +109,13 @@
     };
     let read = async {
         let was_asked = tokio::time::timeout(TIMEOUT, until_asked).await;
-        was_asked.expect("the seed is asked");
+        was_asked.expect("the seed is queried");
         entry.registry.newest(Topic::Upstreams, TIMEOUT).await
     };
-    let asked = newcomer.registry.newest(Topic::Upstreams, TIMEOUT);
+    let asked = starting_process.registry.newest(Topic::Upstreams, TIMEOUT);
     let (asked, read) = tokio::join!(asked, read);
     assert_eq!(asked.unwrap().items, read.unwrap().items);
-    assert_eq!(newcomer.store.calls(), 0, "by the seed");
+    assert_eq!(starting_process.store.calls(), 0, "by the seed");
 }
 
 /// Guards against a seed that waits for others while they wait for it.
@@ -127,45 +130,46 @@
         SharedRegistry::new(store, cfg, Arc::new(Neighbours::for_non_reader())).with_is_seed(true);
     let began = Instant::now();
     registry.newest(topic, TIMEOUT).await.unwrap();
-    assert!(began.elapsed() < cfg.start_wait / 2, "it waits for nobody");
+    assert!(began.elapsed() < cfg.start_wait / 2, "a seed does not wait");
 }
 
-/// Guards against copies for a whole data centre that cross a narrow link, since a seed of another one knew
-/// everything first. Of two on the loopback the first that is asked answers first.
+/// Guards against copies for a whole data centre that cross a narrow link because a remote seed has read the
+/// topic first. On the loopback the seed that is connected to first answers first and counts as the nearest.
 #[rstest]
 #[tokio::test]
 async fn nearest_seed_starts_later() {
-    let far = Entry::start().await;
-    let near = SocketAddr::from(([127, 0, 0, 2], far.addr.port()));
-    far.store.upstream(upstream("u-far"));
-    far.registry
+    let remote = Entry::start().await;
+    let local = SocketAddr::from(([127, 0, 0, 2], remote.addr.port()));
+    remote.store.upstream(upstream("u-far"));
+    remote
+        .registry
         .newest(Topic::Upstreams, TIMEOUT)
         .await
         .unwrap();
-    let newcomer = Newcomer::new(&far, &[near.ip(), far.addr.ip()]);
+    let starting_process = StartingProcess::new(&remote, &[local.ip(), remote.addr.ip()]);
     let starting = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let entry = Entry::at(&near.to_string(), RegistryStandin::default()).await;
+        let entry = Entry::at(&local.to_string(), RegistryStandin::default()).await;
         entry.store.upstream(upstream("u-near"));
         let read = entry.registry.newest(Topic::Upstreams, TIMEOUT).await;
         (entry, read.unwrap().items)
     };
-    let asking = newcomer.registry.newest(Topic::Upstreams, TIMEOUT);
-    let (asked, (_entry, near_items)) = tokio::join!(asking, starting);
-    assert_eq!(asked.unwrap().items, near_items);
+    let asking = starting_process.registry.newest(Topic::Upstreams, TIMEOUT);
+    let (asked, (_entry, local_items)) = tokio::join!(asking, starting);
+    assert_eq!(asked.unwrap().items, local_items);
 }
 
-/// Without a seed that lives the newcomer reads for itself.
+/// Without a running seed the starting process reads the registry itself.
 #[rstest]
 #[tokio::test]
 async fn gone_seeds() {
     let entry = Entry::start().await;
-    let newcomer = Newcomer::new(&entry, &[IpAddr::from([127, 0, 0, 8])]);
-    assert_eq!(newcomer.config().await, expected());
-    assert_eq!(newcomer.store.calls(), 1);
+    let starting_process = StartingProcess::new(&entry, &[IpAddr::from([127, 0, 0, 8])]);
+    assert_eq!(starting_process.config().await, expected());
+    assert_eq!(starting_process.store.calls(), 1);
 }
 
-/// Entries that agents name take the place of the seed.
+/// Entries that agents name replace the seed.
 #[rstest]
 fn seed_until_named() {
     let now = BootTime::now();
@@ -176,10 +180,14 @@
     neighbours.note_entries(&[addr(2)], now);
     assert_eq!(neighbours.candidates(now), [addr(2)]);
     neighbours.set_seed(addr(1));
-    assert_eq!(neighbours.candidates(now), [addr(2)], "it comes too late");
+    assert_eq!(
+        neighbours.candidates(now),
+        [addr(2)],
+        "a seed is ignored after entries are named"
+    );
 }
 
-/// A process that is a seed asks none: two that start together would wait for each other.
+/// A process that is a seed has no seeds: two that start together would wait for each other.
 #[rstest]
 fn own_seed() {
     let own = SocketAddr::from(([10, 0, 0, 1], 7700));
