--- a/crates/fleet/src/follow.rs
+++ b/crates/fleet/src/follow.rs
@@ -14,7 +14,7 @@
 
 /// Time-out of a snapshot, as a multiple of the time-out of a read. A snapshot holds the whole topic, and
 /// processes that start together read it at the same time: 6 MB over 30 Mbit/s take 1.6 s. A call that times
-/// out earlier has to begin again from the start.
+/// out earlier has to start over.
 const SNAPSHOT_TIMEOUT_FACTOR: u32 = 3;
 
 /// Settings for following a topic.
--- a/crates/nearby/src/neighbours.rs
+++ b/crates/nearby/src/neighbours.rs
@@ -130,8 +130,8 @@
         let _ = tokio::time::timeout(limit, named).await;
     }
 
-    /// Records that a neighbour did not answer, so that it is avoided for a while; returns whether it was not
-    /// avoided before.
+    /// Records that a neighbour gave no valid answer, so that it is avoided for a while; returns whether it
+    /// was not avoided before.
     pub fn note_silent(&self, neighbour: SocketAddr, now: BootTime) -> bool {
         let before = self
             .lock()
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -34,7 +34,7 @@
     /// Time of the first read.
     since: Option<BootTime>,
     /// Topics that have been read at least once.
-    asked: BTreeSet<Topic>,
+    topics_read: BTreeSet<Topic>,
 }
 
 /// Registry client of a data centre in which one entry reads the registry for all.
@@ -114,7 +114,7 @@
     /// # Errors
     ///
     /// Returns the [`Cause`] for calling the registry itself.
-    async fn ask(&self, query: &NeighbourQuery) -> Result<NeighbourAnswer, Cause> {
+    async fn ask_neighbours(&self, query: &NeighbourQuery) -> Result<NeighbourAnswer, Cause> {
         let topic = query.topic;
         if let Some(limit) = self.start_wait_left(topic)
             && let Some(answer) = self.ask_seeds(topic, limit).await
@@ -135,7 +135,7 @@
                 }
                 Err(err) => {
                     is_reading |= err.is_reading();
-                    cause = self.note_useless(*candidate, topic, &err);
+                    cause = self.note_unusable(*candidate, topic, &err);
                     // A second time-out would use up the time in which a change has to be in force.
                     let NeighbourError::Stale { known, .. } = err else {
                         break;
@@ -164,7 +164,7 @@
         let mut start = self.start.lock().unwrap_or_else(PoisonError::into_inner);
         let now = BootTime::now();
         let since = *start.since.get_or_insert(now);
-        let is_first = start.asked.insert(topic);
+        let is_first = start.topics_read.insert(topic);
         let may_be_named = topic == Topic::Settings || !self.seeds.is_empty();
         let waits = is_first && may_be_named && !self.is_seed;
         waits.then(|| self.cfg.start_wait.saturating_sub(now.since(since)))
@@ -208,7 +208,7 @@
     }
 
     /// Records that a neighbour gave no usable answer; returns the cause for a call to the registry.
-    fn note_useless(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
+    fn note_unusable(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
         let now = BootTime::now();
         let (is_new, cause) = match err {
             // A neighbour that has read nothing yet refuses.
@@ -314,7 +314,7 @@
             wait: FIRST_READ_WAIT,
             waits_for_records: false,
         };
-        let snapshot = match self.ask(&query).await {
+        let snapshot = match self.ask_neighbours(&query).await {
             Ok(NeighbourAnswer::Known(RelayedRecords { records, as_of })) => Snapshot {
                 items: records.items,
                 end: records.next,
@@ -349,7 +349,7 @@
             wait: self.cfg.wait,
             waits_for_records: true,
         };
-        let page = match self.ask(&query).await {
+        let page = match self.ask_neighbours(&query).await {
             Ok(NeighbourAnswer::Known(RelayedRecords { records, as_of })) => Page {
                 items: records.items,
                 next: records.next,
