--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -7,7 +7,9 @@
 
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
-use wagtailreel_fleet::{AskPermit, Datagram, ENDED_A_DATAGRAM, EndedUnder, Permit, Query};
+use wagtailreel_fleet::{
+    CRASH_REPORTS_PER_DATAGRAM, CrashReport, Datagram, Permit, PermitRequest, Query,
+};
 
 use wagtailreel_route::direct::{Limit, Permits};
 
@@ -69,7 +71,7 @@
 
     /// Requests a permit from the agent on the VM `ip` to send one request to an upstream that has a rate
     /// limit. Returns the time until a permit is due, or `None` if the agent does not answer.
-    pub(crate) async fn request_permit(&self, ip: IpAddr, req: AskPermit) -> Option<Duration> {
+    pub(crate) async fn request_permit(&self, ip: IpAddr, req: PermitRequest) -> Option<Duration> {
         let (tx, rx) = oneshot::channel();
         let nonce = {
             let mut permits = lock(&self.permits);
@@ -78,7 +80,7 @@
             permits.waiting.insert(nonce, tx);
             nonce
         };
-        self.send_datagram(ip, &Datagram::AskPermit(AskPermit { nonce, ..req }));
+        self.send_datagram(ip, &Datagram::PermitRequest(PermitRequest { nonce, ..req }));
         let answer = tokio::time::timeout(PERMIT_TIMEOUT, rx).await;
         let mut permits = lock(&self.permits);
         permits.waiting.remove(&nonce);
@@ -89,8 +91,8 @@
     }
 
     /// Notifies the agent on the VM `ip` that an upstream no longer has a limit.
-    pub(crate) fn send_withdrawal(&self, ip: IpAddr, withdrawn: AskPermit) {
-        self.send_datagram(ip, &Datagram::AskPermit(withdrawn));
+    pub(crate) fn send_withdrawal(&self, ip: IpAddr, withdrawn: PermitRequest) {
+        self.send_datagram(ip, &Datagram::PermitRequest(withdrawn));
     }
 
     /// Takes a permit out of the entry's own share, if no agent issues permits. Returns the time until one
@@ -130,7 +132,7 @@
         self.send(
             ip,
             Query {
-                sends_us: Some(u32::try_from(prefill.as_micros()).unwrap_or(u32::MAX)),
+                prefill_us: Some(u32::try_from(prefill.as_micros()).unwrap_or(u32::MAX)),
                 ..Query::default()
             },
         );
@@ -148,16 +150,16 @@
     }
 
     /// Sends crash reports to the agents on the VMs `ips`.
-    pub(crate) fn send_reports(&self, ips: &[IpAddr], reports: &[EndedUnder]) {
+    pub(crate) fn send_reports(&self, ips: &[IpAddr], reports: &[CrashReport]) {
         for ip in ips {
             self.send_reports_to(self.addr_of(*ip), reports);
         }
     }
 
     /// Sends crash reports to the process at `addr`.
-    pub(crate) fn send_reports_to(&self, addr: SocketAddr, reports: &[EndedUnder]) {
-        for reports in reports.chunks(ENDED_A_DATAGRAM) {
-            self.send_to(addr, &Datagram::Ended(reports.to_vec()));
+    pub(crate) fn send_reports_to(&self, addr: SocketAddr, reports: &[CrashReport]) {
+        for reports in reports.chunks(CRASH_REPORTS_PER_DATAGRAM) {
+            self.send_to(addr, &Datagram::CrashReports(reports.to_vec()));
         }
     }
 
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-use wagtailreel_fleet::AskPermit;
+use wagtailreel_fleet::PermitRequest;
 use wagtailreel_route::direct::{GIVER_SHARES, Limit, NamedLimit, Pick};
 
 use crate::attempt::Call;
@@ -51,8 +51,8 @@
             return Some(agents.permit_uncoordinated(&pick.id, limit, named_at));
         }
         let (position, (ip, share)) = first?;
-        let req = AskPermit {
-            is_stand_in: position > 0,
+        let req = PermitRequest {
+            is_fallback: position > 0,
             ..permit_request(&pick.id, limit.per_second() * share, named_at)
         };
         agents.request_permit(ip, req).await
@@ -63,7 +63,7 @@
         let Some(pick) = &self.last_pick else {
             return;
         };
-        let withdrawn = AskPermit {
+        let withdrawn = PermitRequest {
             is_withdrawn: true,
             ..permit_request(&pick.id, limit.per_second(), self.sent_at)
         };
@@ -106,14 +106,14 @@
     }
 }
 
-fn permit_request(id: &str, per_second: f64, at: Instant) -> AskPermit {
+fn permit_request(id: &str, per_second: f64, at: Instant) -> PermitRequest {
     let age = at.elapsed().as_millis();
-    AskPermit {
+    PermitRequest {
         nonce: 0,
         upstream: id.to_owned(),
         per_second,
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         is_withdrawn: false,
-        is_stand_in: false,
+        is_fallback: false,
     }
 }
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -78,8 +78,8 @@
                 }
                 let remote = is_remote_round.then_some(remote_load.as_ref());
                 let engines = engine_agents(&view, &home, remote);
-                if engines.values().any(|agent| agent.is_near) {
-                    neighbours.agents_asked();
+                if engines.values().any(|agent| agent.is_local) {
+                    neighbours.note_agents_polled();
                 }
                 for (ip, agent) in engines {
                     if agent.is_due {
@@ -93,7 +93,7 @@
                 let Ok((len, from)) = received else { continue };
                 let status = match Datagram::from_bytes(&buf[..len]) {
                     Ok(Datagram::Status(status)) => status,
-                    Ok(Datagram::Ended(reports)) => {
+                    Ok(Datagram::CrashReports(reports)) => {
                         seed.handle_crash_reports(&reports, from);
                         continue;
                     }
@@ -101,7 +101,7 @@
                         seed.handle_query(from);
                         continue;
                     }
-                    Ok(Datagram::AskPermit(req)) => {
+                    Ok(Datagram::PermitRequest(req)) => {
                         seed.issue_permit(&req, from);
                         continue;
                     }
@@ -114,7 +114,7 @@
                 let agent = known.get(&from.ip());
                 match agent {
                     // Only entries of the local data centre are neighbours.
-                    Some(agent) if agent.is_near => neighbours.hear(&status.entries, BootTime::now()),
+                    Some(agent) if agent.is_local => neighbours.note_entries(&status.entries, BootTime::now()),
                     Some(agent) => remote_load.add_entries(&agent.data_centre, &status.entries),
                     None => {}
                 }
@@ -215,7 +215,7 @@
     naming: Option<Naming>,
     data_centre: DataCentre,
     /// Whether the agent is in the entry's data centre.
-    is_near: bool,
+    is_local: bool,
     /// Whether the agent is queried in this round. Datagrams of the other agents are accepted as well.
     is_due: bool,
 }
@@ -235,7 +235,7 @@
             weights_after_ms: clock
                 .zip(after)
                 .map(|(clock, after)| clock.translate(after).as_millis()),
-            is_near: self.is_near,
+            is_local: self.is_local,
             ..Query::default()
         }
     }
@@ -258,7 +258,7 @@
             naming: view.newest_weights(&model),
             model: Some(model),
             data_centre: home.to_owned(),
-            is_near: true,
+            is_local: true,
             is_due: true,
         };
         add_local(&mut agents, &agent);
@@ -281,7 +281,7 @@
             model: None,
             naming: None,
             data_centre: home.to_owned(),
-            is_near: true,
+            is_local: true,
             is_due: true,
         };
         add_local(&mut agents, &agent);
@@ -326,7 +326,7 @@
         for member in members {
             let agent = QueriedAgent {
                 data_centre: data_centre.clone(),
-                is_near: false,
+                is_local: false,
                 is_due: member.needs_own_word(now) || rand::rng().random_bool(share),
                 ..local.clone()
             };
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -13,7 +13,9 @@
 use tokio_util::sync::CancellationToken;
 use wagtailreel_adapters::bind;
 use wagtailreel_fleet::{FollowConfig, Registry, Topic, follow};
-use wagtailreel_nearby::{CallCounters, Mirror, Nearby, NearbyConfig, Neighbours, Seeds};
+use wagtailreel_nearby::{
+    CallCounters, Mirror, Neighbours, Seeds, SharedRegistry, SharedRegistryConfig,
+};
 use wagtailreel_route::direct::NamingBounds;
 use wagtailreel_serve::{ConnectionCounters, LONGEST_UNUSED, Phase, Routes, Server};
 use wagtailreel_settings::DirectEntrySettings;
@@ -155,7 +157,7 @@
         let view = View::new(home.clone(), regions, bounds).with_seeds(settings.seeds.clone());
         let view = Arc::new(view);
         let agent_port = settings.agent_port;
-        let pace = settings.bounds.upstreams_pace;
+        let read_interval = settings.bounds.upstreams_pace;
         let lapse_after = settings.bounds.lapse_after;
         let agents = Agents::new(socket, own_addr, agent_port, &settings.seeds);
         let quarantine = Arc::new(QuarantineSync::new(Arc::clone(&view), agents.clone()));
@@ -175,9 +177,9 @@
         let neighbours = Arc::new(Neighbours::new(own_addr));
         let remote_load = RemoteLoad::new(Arc::clone(&view), Arc::clone(&neighbours), home.clone());
         let remote_load = Arc::new(remote_load);
-        let registry = Nearby::new(
+        let registry = SharedRegistry::new(
             registry,
-            NearbyConfig::new(cx.settings.bounds.denial, pace),
+            SharedRegistryConfig::new(cx.settings.bounds.denial, read_interval),
             Arc::clone(&neighbours),
         )
         .with_mirror(Arc::clone(&mirror))
@@ -198,7 +200,7 @@
             Arc::clone(&view),
             settings_follow_config(),
         ));
-        let upstreams = upstreams_follow_config(pace, lapse_after);
+        let upstreams = upstreams_follow_config(read_interval, lapse_after);
         tasks.spawn(follow(registry, Arc::clone(&view), upstreams));
         tasks.spawn(load::query_agents(
             Arc::clone(&view),
@@ -320,10 +322,10 @@
     FollowConfig {
         topic: Topic::Settings,
         wait: SETTINGS_LONG_POLL,
-        pace: SETTINGS_READ_INTERVAL,
-        second_hand_pace: Duration::ZERO,
+        read_interval: SETTINGS_READ_INTERVAL,
+        relayed_read_interval: Duration::ZERO,
         timeout: SETTINGS_TIMEOUT_MARGIN,
-        longest_pause: SETTINGS_MAX_BACKOFF,
+        max_backoff: SETTINGS_MAX_BACKOFF,
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     }
@@ -331,14 +333,14 @@
 
 /// Returns how the upstreams are followed: by reads at an interval. They change several times a second, so
 /// that a long poll would return at every heartbeat.
-fn upstreams_follow_config(pace: Duration, lapse_after: Duration) -> FollowConfig {
+fn upstreams_follow_config(read_interval: Duration, lapse_after: Duration) -> FollowConfig {
     FollowConfig {
         topic: Topic::Upstreams,
         wait: Duration::ZERO,
-        pace,
-        second_hand_pace: Duration::ZERO,
+        read_interval,
+        relayed_read_interval: Duration::ZERO,
         timeout: UPSTREAMS_TIMEOUT,
-        longest_pause: UPSTREAMS_MAX_BACKOFF,
+        max_backoff: UPSTREAMS_MAX_BACKOFF,
         lapse_hold: LAPSE_HOLD,
         lapse_after,
     }
--- a/crates/direct/src/quarantine_sync.rs
+++ b/crates/direct/src/quarantine_sync.rs
@@ -11,7 +11,7 @@
 
 use rand::RngExt as _;
 use tokio::sync::watch;
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint};
 use wagtailreel_route::direct::{Pick, Quarantine, Suspicion};
 
 use crate::agents::Agents;
@@ -86,7 +86,7 @@
 
     /// Merges crash reports of another process, or of this one if `is_own`. Returns the requests whose
     /// reports are to be passed on.
-    pub(crate) fn merge(&self, reports: &[EndedUnder], is_own: bool) -> BTreeSet<Fingerprint> {
+    pub(crate) fn merge(&self, reports: &[CrashReport], is_own: bool) -> BTreeSet<Fingerprint> {
         let mut updated = BTreeSet::new();
         for report in reports {
             let mut is_new = false;
@@ -101,12 +101,12 @@
     }
 
     /// Returns all crash reports.
-    pub(crate) fn all(&self) -> Vec<EndedUnder> {
+    pub(crate) fn all(&self) -> Vec<CrashReport> {
         lock(&self.known).told_of(Duration::MAX, BootTime::now())
     }
 
     /// Returns the crash reports that changed lately and are relayed again.
-    pub(crate) fn recent_reports(&self) -> Vec<EndedUnder> {
+    pub(crate) fn recent_reports(&self) -> Vec<CrashReport> {
         lock(&self.known).told_of(RECENT_REPORT_TTL, BootTime::now())
     }
 
@@ -139,7 +139,7 @@
         let before = known.suspicion(fingerprint, now);
         change(&mut known);
         let after = known.suspicion(fingerprint, now);
-        let report = known.account(fingerprint, now);
+        let report = known.crash_report(fingerprint, now);
         drop(known);
         let (Suspicion::Quarantined(left), Some(report)) = (after, report) else {
             return;
@@ -160,7 +160,7 @@
     /// Sends this entry's crash report of the request to the agents that collect reports on it, at once and
     /// again after each of `delays`.
     fn report(&self, fingerprint: Fingerprint, delays: &'static [Duration]) {
-        let Some(report) = lock(&self.known).account(fingerprint, BootTime::now()) else {
+        let Some(report) = lock(&self.known).crash_report(fingerprint, BootTime::now()) else {
             return;
         };
         let ips = self.view.rendezvous_agents(fingerprint.as_bytes());
@@ -173,7 +173,7 @@
     }
 }
 
-async fn repeat(agents: Agents, ips: Vec<IpAddr>, reports: Vec<EndedUnder>, delays: &[Duration]) {
+async fn repeat(agents: Agents, ips: Vec<IpAddr>, reports: Vec<CrashReport>, delays: &[Duration]) {
     let first_sent = BootTime::now();
     for delay in delays {
         tokio::time::sleep(*delay).await;
@@ -182,7 +182,7 @@
 }
 
 /// Returns the reports with `age` added to the age of each event in them.
-fn aged(reports: &[EndedUnder], age: Duration) -> Vec<EndedUnder> {
+fn aged(reports: &[CrashReport], age: Duration) -> Vec<CrashReport> {
     let age = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
     let mut reports = reports.to_vec();
     for report in &mut reports {
--- a/crates/direct/src/remote.rs
+++ b/crates/direct/src/remote.rs
@@ -162,7 +162,7 @@
 
     async fn read(&self, data_centre: &str) {
         let own = self.neighbours.own();
-        let reader = self.neighbours.first_for(data_centre, BootTime::now());
+        let reader = self.neighbours.reader_of(data_centre, BootTime::now());
         let is_reader = reader == own;
         let source = if is_reader {
             self.entry_in(data_centre)
@@ -178,7 +178,7 @@
                 match source.filter(|_| matches!(err, RemoteLoadError::NoAnswer { .. })) {
                     Some(entry) if is_reader => self.remove_entry(data_centre, entry),
                     Some(neighbour) => {
-                        self.neighbours.avoid(neighbour, BootTime::now());
+                        self.neighbours.note_silent(neighbour, BootTime::now());
                     }
                     None => {}
                 }
--- a/crates/direct/src/seed.rs
+++ b/crates/direct/src/seed.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wagtailreel_fleet::{AskPermit, Datagram, EndedUnder, Query};
+use wagtailreel_fleet::{CrashReport, Datagram, PermitRequest, Query};
 use wagtailreel_route::direct::Permits;
 
 use crate::agents::Agents;
@@ -64,7 +64,7 @@
     }
 
     /// Handles crash reports of a process, which may be this one, and relays those that are new.
-    pub(crate) fn handle_crash_reports(&self, reports: &[EndedUnder], from: SocketAddr) {
+    pub(crate) fn handle_crash_reports(&self, reports: &[CrashReport], from: SocketAddr) {
         let is_own = self.agents.is_own(from);
         let new = self.quarantine.merge(reports, is_own);
         if new.is_empty() || self.subscribers.is_empty() {
@@ -76,7 +76,7 @@
     }
 
     /// Answers a request for a permit to send to an upstream with a rate limit.
-    pub(crate) fn issue_permit(&mut self, ask: &AskPermit, from: SocketAddr) {
+    pub(crate) fn issue_permit(&mut self, ask: &PermitRequest, from: SocketAddr) {
         if let Some(permit) = self.permits.answer(ask, Instant::now()) {
             self.agents.send_to(from, &Datagram::Permit(permit));
         }
@@ -92,7 +92,7 @@
         }
     }
 
-    fn relay(&self, reports: &[EndedUnder], from: Option<SocketAddr>) {
+    fn relay(&self, reports: &[CrashReport], from: Option<SocketAddr>) {
         for subscriber in self
             .subscribers
             .keys()
--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, HeardNaming, NamedWeights, Topic, WeightsVersion};
+use wagtailreel_fleet::{BootTime, NamedWeights, NamingReport, Topic, WeightsVersion};
 use wagtailreel_route::direct::{Namings, Told};
 
 use super::{View, lock};
@@ -16,7 +16,7 @@
     ///
     /// The agent computed the age after the query was sent. Counted back from the sending, the age never
     /// makes the naming younger than it is, however long the answer took.
-    pub(crate) fn merge_naming(&self, naming: &HeardNaming, asked_at: BootTime, from: IpAddr) {
+    pub(crate) fn merge_naming(&self, naming: &NamingReport, asked_at: BootTime, from: IpAddr) {
         let now = BootTime::now();
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
--- a/crates/direct/tests/announcements.rs
+++ b/crates/direct/tests/announcements.rs
@@ -42,7 +42,7 @@
     let load = LoadStatus {
         version: Some(1),
         running,
-        pace: 1.0,
+        slowdown: 1.0,
         ..LoadStatus::default()
     };
     let status = Status {
@@ -64,7 +64,7 @@
     registry.upstream(engine_record_in("hall", &upstream));
     let entry = entry_with_agents(&registry, Duration::from_secs(4), port).await;
     until_status(entry.callers(), WRITTEN, 200).await;
-    until_query(&socket, |query| query.sends_us.is_some()).await;
+    until_query(&socket, |query| query.prefill_us.is_some()).await;
 }
 
 /// Guards against requests to a remote engine that was free at its last load report and is full now: the
--- a/crates/direct/tests/remote.rs
+++ b/crates/direct/tests/remote.rs
@@ -45,7 +45,7 @@
     let port = socket.local_addr().unwrap().port();
     answer_queries(socket, move |_| Status {
         load: Some(LoadStatus {
-            pace: 1.0,
+            slowdown: 1.0,
             ..load_status(1, 3)
         }),
         entries: vec![entry],
--- a/crates/fleet/tests/follower.rs
+++ b/crates/fleet/tests/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower believes of the answers of a registry.
+//! Changes that a follower derives from the answers of a registry.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const HOLD: Duration = Duration::from_millis(2300);
 
-/// Shortest outage in which an upstream that lives lapses.
+/// Shortest outage in which the registration of a running upstream can lapse.
 const LAPSE: Duration = Duration::from_millis(1500);
 
 fn at(ms: u64) -> BootTime {
@@ -24,8 +24,8 @@
     Change::Gone(id.to_owned())
 }
 
-fn away() -> RegistryError {
-    RegistryError::Away {
+fn unreachable_error() -> RegistryError {
+    RegistryError::Unreachable {
         reason: "no answer".to_owned(),
     }
 }
@@ -38,9 +38,9 @@
         items: items.collect(),
         end: 10,
         as_of: at(0),
-        is_second_hand: false,
+        is_relayed: false,
     };
-    follower.newest(snapshot, at(1));
+    follower.apply_snapshot(snapshot, at(1));
     follower
 }
 
@@ -50,7 +50,7 @@
         next,
         end: next,
         as_of: at(0),
-        is_second_hand: false,
+        is_relayed: false,
     }
 }
 
@@ -64,20 +64,24 @@
 fn empty_page() {
     let wait = Duration::from_millis(1500);
     let as_of = Page::answer_as_of(true, at(1000), wait, at(2504));
-    assert_eq!(as_of, at(2500), "it speaks of the end of the wait");
+    assert_eq!(
+        as_of,
+        at(2500),
+        "the answer holds as of the end of the wait"
+    );
     let early = Page::answer_as_of(true, at(3000), wait, at(3100));
-    assert_eq!(early, at(3100), "but never of the future");
+    assert_eq!(early, at(3100), "never as of the future");
 }
 
 #[rstest]
 fn full_page() {
     let wait = Duration::from_millis(1500);
     let as_of = Page::answer_as_of(false, at(1000), wait, at(1400));
-    assert_eq!(as_of, at(1000), "it may have been made at once");
+    assert_eq!(as_of, at(1000), "the answer may have been made at once");
     let mut follower = knows(&["a"]);
     let mut full = page(vec![keyed(10, upstream("b"))], 11);
     full.as_of = as_of;
-    assert_eq!(follower.page(full, at(1400)).as_of, Some(at(1000)));
+    assert_eq!(follower.apply_page(full, at(1400)).as_of, Some(at(1000)));
     assert_eq!(follower.step(), Step::Read(11));
 }
 
@@ -86,13 +90,13 @@
     let mut follower = knows(&["a"]);
     let mut full = page(vec![keyed(10, upstream("b"))], 11);
     full.end = 40;
-    let applied = follower.page(full, at(1400));
+    let applied = follower.apply_page(full, at(1400));
     assert_eq!(applied.changes.len(), 1);
-    assert_eq!(applied.as_of, None, "it does not know all yet");
+    assert_eq!(applied.as_of, None, "there is more to read");
     assert_eq!(
         follower.step(),
         Step::Newest,
-        "only the newest still matter"
+        "only the newest record of each key matters"
     );
 }
 
@@ -100,72 +104,80 @@
 fn plain_removal() {
     let mut follower = knows(&["a"]);
     let items = vec![keyed(10, gone("a"))];
-    let applied = follower.page(page(items, 11), at(11));
+    let applied = follower.apply_page(page(items, 11), at(11));
     assert_eq!(applied.changes, vec![gone("a")]);
 }
 
 #[rstest]
 fn removal_after_outage() {
     let mut follower = knows(&["a", "b"]);
-    assert!(follower.failed(&away()), "the first failure is news");
-    assert!(!follower.failed(&away()));
+    assert!(
+        follower.note_failure(&unreachable_error()),
+        "the first failure is reported"
+    );
+    assert!(!follower.note_failure(&unreachable_error()));
     let items = vec![keyed(10, gone("a")), keyed(11, gone("b"))];
-    let applied = follower.page(page(items, 12), at(5000));
-    assert!(applied.is_back);
-    assert_eq!(applied.changes, vec![], "they may be back in a moment");
+    let applied = follower.apply_page(page(items, 12), at(5000));
+    assert!(applied.has_recovered);
+    assert_eq!(applied.changes, vec![], "they may register again");
     let items = vec![keyed(12, upstream("a"))];
-    let applied = follower.page(page(items, 13), at(6000));
+    let applied = follower.apply_page(page(items, 13), at(6000));
     assert_eq!(applied.changes.len(), 1);
-    assert_eq!(follower.due(at(7000)), vec![]);
-    assert_eq!(follower.due(at(7300)), vec![gone("b")]);
-    assert_eq!(follower.due(at(9000)), vec![]);
+    assert_eq!(follower.due_removals(at(7000)), vec![]);
+    assert_eq!(follower.due_removals(at(7300)), vec![gone("b")]);
+    assert_eq!(follower.due_removals(at(9000)), vec![]);
 }
 
-/// A read that failed in between is no outage: nothing that lives can have lapsed meanwhile.
+/// After an outage shorter than `LAPSE` removals are applied at once: no registration of a running upstream
+/// can have lapsed in that time.
 #[rstest]
 #[case::short(1400, vec![gone("a")])]
 #[case::long(1600, vec![])]
 fn short_outage(#[case] back_at: u64, #[case] changes: Vec<Change>) {
     let mut follower = knows(&["a"]);
-    follower.failed(&away());
+    follower.note_failure(&unreachable_error());
     let mut page = page(vec![keyed(10, gone("a"))], 11);
     page.as_of = at(back_at);
-    let applied = follower.page(page, at(back_at));
-    assert!(applied.is_back);
+    let applied = follower.apply_page(page, at(back_at));
+    assert!(applied.has_recovered);
     assert_eq!(applied.changes, changes);
 }
 
 #[rstest]
 fn second_outage() {
     let mut follower = knows(&["a"]);
-    follower.failed(&away());
+    follower.note_failure(&unreachable_error());
     let items = vec![keyed(10, gone("a"))];
-    follower.page(page(items, 11), at(5000));
-    follower.failed(&away());
+    follower.apply_page(page(items, 11), at(5000));
+    follower.note_failure(&unreachable_error());
     assert_eq!(
-        follower.due(at(9000)),
+        follower.due_removals(at(9000)),
         vec![],
-        "nothing is judged while away"
+        "no removal is applied while the registry is unreachable"
     );
-    follower.page(page(vec![], 11), at(9500));
-    assert_eq!(follower.due(at(11_000)), vec![], "the time begins anew");
-    assert_eq!(follower.due(at(11_800)), vec![gone("a")]);
+    follower.apply_page(page(vec![], 11), at(9500));
+    assert_eq!(
+        follower.due_removals(at(11_000)),
+        vec![],
+        "the hold restarts"
+    );
+    assert_eq!(follower.due_removals(at(11_800)), vec![gone("a")]);
 }
 
 #[rstest]
 fn deleted_records() {
     let mut follower = knows(&["a", "b"]);
-    assert!(!follower.failed(&RegistryError::Expired { first: 40 }));
-    assert!(!follower.is_away(), "the registry did answer");
+    assert!(!follower.note_failure(&RegistryError::Expired { first: 40 }));
+    assert!(!follower.is_unreachable(), "the registry did answer");
     assert_eq!(follower.step(), Step::Newest);
     let snapshot = Snapshot {
         items: vec![keyed(45, upstream("b"))],
         end: 50,
         as_of: at(100),
-        is_second_hand: false,
+        is_relayed: false,
     };
-    let applied = follower.newest(snapshot, at(101));
-    assert!(applied.changes.contains(&gone("a")), "it is missing");
+    let applied = follower.apply_snapshot(snapshot, at(101));
+    assert!(applied.changes.contains(&gone("a")), "the snapshot lacks a");
     assert_eq!(follower.step(), Step::Read(50));
 }
 
@@ -176,14 +188,10 @@
         items: vec![keyed(20, upstream("a"))],
         end: 15,
         as_of: at(0),
-        is_second_hand: false,
+        is_relayed: false,
     };
-    follower.newest(snapshot, at(1));
+    follower.apply_snapshot(snapshot, at(1));
     let items = vec![keyed(15, upstream("a"))];
-    let applied = follower.page(page(items, 16), at(3));
-    assert_eq!(
-        applied.changes,
-        vec![],
-        "a later page of the snapshot had a newer one"
-    );
+    let applied = follower.apply_page(page(items, 16), at(3));
+    assert_eq!(applied.changes, vec![], "the snapshot has a newer record");
 }
--- a/crates/fleet/tests/namings.rs
+++ b/crates/fleet/tests/namings.rs
@@ -1,8 +1,8 @@
-//! What reads of the registry prove of namings.
+//! Times at which reads of the registry prove that a version was not named yet.
 
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, NamedWeights, ReadNamings};
+use wagtailreel_fleet::{BootTime, NamedWeights, NamingTimes};
 
 fn weights(version: u64) -> NamedWeights {
     NamedWeights {
@@ -17,18 +17,22 @@
 
 #[test]
 fn first_read() {
-    let mut read = ReadNamings::default();
-    assert_eq!(read.take(&weights(2), None), None, "before the start");
-    assert_eq!(read.take(&weights(3), at(400)), at(400));
+    let mut read = NamingTimes::default();
+    assert_eq!(
+        read.record(&weights(2), None),
+        None,
+        "named before the first read"
+    );
+    assert_eq!(read.record(&weights(3), at(400)), at(400));
 }
 
-/// Only the read that brings a version first proves that it was not there before.
+/// Only the first read that returns a version proves that the version was not named at the read before.
 #[test]
 fn read_again() {
-    let mut read = ReadNamings::default();
-    assert_eq!(read.take(&weights(3), at(400)), at(400));
-    assert_eq!(read.take(&weights(3), at(900)), None);
-    assert_eq!(read.take(&weights(2), at(1_300)), None, "a late record");
-    assert_eq!(read.take(&weights(3), at(1_700)), None);
-    assert_eq!(read.take(&weights(4), at(2_000)), at(2_000));
+    let mut read = NamingTimes::default();
+    assert_eq!(read.record(&weights(3), at(400)), at(400));
+    assert_eq!(read.record(&weights(3), at(900)), None);
+    assert_eq!(read.record(&weights(2), at(1_300)), None, "a late record");
+    assert_eq!(read.record(&weights(3), at(1_700)), None);
+    assert_eq!(read.record(&weights(4), at(2_000)), at(2_000));
 }
--- a/crates/nearby/src/mirror.rs
+++ b/crates/nearby/src/mirror.rs
@@ -1,4 +1,4 @@
-//! What this process last read of the registry, kept for its neighbours.
+//! The records that this process last read from the registry, stored for its neighbours.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,13 +12,13 @@
 use crate::packing::Packed;
 use crate::wire::KnownRecords;
 
-/// What a record is about; a later record of the same key replaces it.
+/// Key of a record; a later record of the same key replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Config,
     Weights(ModelName),
     Upstream(UpstreamId),
-    /// Kept apart, so that the last good record of the same key is still handed on.
+    /// A key of its own, so that the last valid record of the same key is still relayed.
     Unreadable(String),
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the version that a record of settings names.
+/// Returns the version in a record of the settings.
 fn version_of(change: &Change) -> Option<u64> {
     match change {
         Change::Config(directory) => Some(directory.version()),
@@ -43,40 +43,40 @@
     }
 }
 
-/// One topic.
+/// Records of one topic.
 ///
-/// Invariant: `newest` holds, of each key, the newest record with a place below `end`, or of settings
-/// the one with the highest version: a write whose answer was lost may be done after a later one, and
-/// a process that starts then would take the older version for the newest. Who has read all before
-/// `floor` misses only records that stand here.
+/// Invariant: `newest` holds the newest record of each key with an offset below `end`; for settings it holds
+/// the record with the highest version. A write whose answer was lost may be applied after a later write, and
+/// a process that starts then would take the older version for the newest. A process that has read all
+/// records before `expired_before` lacks only records that are in `newest`.
 #[derive(Debug, Default)]
-struct Held {
-    floor: Offset,
+struct TopicRecords {
+    expired_before: Offset,
     end: Offset,
     as_of: Option<BootTime>,
     newest: BTreeMap<Key, Keyed>,
-    /// What was given since the last read that brought anything, for neighbours that ask for the same.
-    given: BTreeMap<Wanted, Packed>,
+    /// Encoded copies since the last new record, for neighbours that query the same range.
+    copies: BTreeMap<RecordRange, Packed>,
 }
 
-/// Which records a neighbour asks for.
+/// The records that a neighbour queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wanted {
-    /// All that still hold.
+enum RecordRange {
+    /// The newest record of each key, without removed keys.
     Newest,
-    /// Those that stand at this place and after it.
+    /// The records from this offset on.
     Since(Offset),
 }
 
-/// A copy of what is known, as it is sent to a neighbour.
+/// A copy of records, as sent to a neighbour.
 #[derive(Clone, Debug)]
-pub(crate) struct Copy {
+pub(crate) struct RecordsCopy {
     pub(crate) records: Packed,
-    /// How old the knowledge was when it was given.
+    /// Age of the records when the copy was made.
     pub(crate) age: Duration,
 }
 
-impl Held {
+impl TopicRecords {
     fn insert(&mut self, items: &[Keyed]) {
         for item in items {
             let known = self.newest.entry(Key::of(&item.change));
@@ -92,191 +92,203 @@
         self.as_of = Some(self.as_of.map_or(as_of, |known| known.max(as_of)));
     }
 
-    /// Takes that all before `end` was read.
+    /// Records that all records before `end` were read.
     fn advance(&mut self, end: Offset) {
         self.end = end;
-        self.given.clear();
+        self.copies.clear();
     }
 
-    /// Returns what a neighbour asks for, in the order of the log.
-    fn records(&self, wanted: Wanted) -> KnownRecords {
-        let is_wanted = |item: &&Keyed| match wanted {
-            Wanted::Newest => !matches!(item.change, Change::Gone(_)),
-            Wanted::Since(from) => item.offset >= from,
+    /// Returns the records of `range` in the order of the log.
+    fn records(&self, range: RecordRange) -> KnownRecords {
+        let is_wanted = |item: &&Keyed| match range {
+            RecordRange::Newest => !matches!(item.change, Change::Gone(_)),
+            RecordRange::Since(from) => item.offset >= from,
         };
         let mut items: Vec<Keyed> = self.newest.values().filter(is_wanted).cloned().collect();
         items.sort_by_key(|item| item.offset);
-        let next = match wanted {
-            Wanted::Newest => self.end,
-            Wanted::Since(from) => self.end.max(from),
+        let next = match range {
+            RecordRange::Newest => self.end,
+            RecordRange::Since(from) => self.end.max(from),
         };
         KnownRecords { items, next }
     }
 
-    /// Returns a copy of what a neighbour asks for.
+    /// Returns a copy of the records of `range`.
     ///
-    /// Neighbours that ask for the same get the same bytes, packed to a tenth.
+    /// Neighbours that query the same range get the same bytes, compressed to a tenth.
     ///
-    /// Load pattern: a configuration of 1,500 routes that changes several times a second, or all processes
-    /// that start together, and 14 entries and 30 agents that take each over the link of the one that
-    /// reads it.
+    /// Load pattern: a configuration of 1,500 routes changes several times per second, or all processes start
+    /// together. 14 entries and 30 agents then load each version over the link of the entry that reads it.
     ///
     /// # Errors
     ///
-    /// Returns [`Lack::Unread`] if nothing was read yet.
-    fn copy(&mut self, wanted: Wanted) -> Result<Copy, Lack> {
-        let as_of = self.as_of.ok_or(Lack::Unread)?;
-        let records = match self.given.get(&wanted) {
-            Some(given) => given.clone(),
+    /// Returns [`CopyError::NothingRead`] if nothing was read yet.
+    fn copy(&mut self, range: RecordRange) -> Result<RecordsCopy, CopyError> {
+        let as_of = self.as_of.ok_or(CopyError::NothingRead)?;
+        let records = match self.copies.get(&range) {
+            Some(cached) => cached.clone(),
             None => {
-                let packed = Packed::new(&self.records(wanted));
-                self.given.insert(wanted, packed.clone());
+                let packed = Packed::new(&self.records(range));
+                self.copies.insert(range, packed.clone());
                 packed
             }
         };
         let age = BootTime::now().since(as_of);
-        Ok(Copy { records, age })
+        Ok(RecordsCopy { records, age })
     }
 }
 
+/// A topic with its calls to the registry; waiting readers watch `end`.
 #[derive(Debug, Default)]
-struct Shelf {
-    held: Mutex<Held>,
+struct TopicState {
+    records: Mutex<TopicRecords>,
     calls: Mutex<CallState>,
     end: watch::Sender<Offset>,
 }
 
-impl Shelf {
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+impl TopicState {
+    fn lock(&self) -> MutexGuard<'_, TopicRecords> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Why a mirror can't answer.
+/// Error for records that the mirror can't copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lack {
+pub(crate) enum CopyError {
     /// Nothing was read yet.
-    Unread,
-    /// Records before this place are not known one by one.
-    Before(Offset),
+    NothingRead,
+    /// Of the records before this offset the mirror holds only the newest of each key.
+    Expired(Offset),
 }
 
-/// What this process last read of the registry, kept for its neighbours.
+/// The records that this process last read from the registry, stored for its neighbours.
 #[derive(Debug, Default)]
 pub struct Mirror {
-    settings: Shelf,
-    upstreams: Shelf,
-    asked: Mutex<Option<BootTime>>,
+    settings: TopicState,
+    upstreams: TopicState,
+    last_query: Mutex<Option<BootTime>>,
 }
 
 impl Mirror {
-    /// Takes the newest record of each key.
-    pub fn take_snapshot(&self, topic: Topic, snapshot: &Snapshot) {
-        let shelf = self.shelf(topic);
+    /// Stores the newest record of each key.
+    pub fn store_snapshot(&self, topic: Topic, snapshot: &Snapshot) {
+        let state = self.state(topic);
         {
-            let mut held = shelf.lock();
-            held.newest.retain(|_, it| version_of(&it.change).is_some());
-            held.insert(&snapshot.items);
-            held.floor = snapshot.end;
-            held.advance(snapshot.end);
-            held.confirm(snapshot.as_of);
+            let mut records = state.lock();
+            records
+                .newest
+                .retain(|_, it| version_of(&it.change).is_some());
+            records.insert(&snapshot.items);
+            records.expired_before = snapshot.end;
+            records.advance(snapshot.end);
+            records.confirm(snapshot.as_of);
         }
-        shelf.end.send_replace(snapshot.end);
+        state.end.send_replace(snapshot.end);
     }
 
-    /// Takes the records that stand at `from` and after it.
-    pub fn take_page(&self, topic: Topic, from: Offset, page: &Page) {
-        let shelf = self.shelf(topic);
+    /// Stores the records from offset `from` on.
+    pub fn store_page(&self, topic: Topic, from: Offset, page: &Page) {
+        let state = self.state(topic);
         {
-            let mut held = shelf.lock();
-            if from > held.end || page.next < held.end {
-                // There would be a gap, or the page says nothing new.
+            let mut records = state.lock();
+            if from > records.end || page.next < records.end {
+                // The page would leave a gap, or contains nothing new.
                 return;
             }
-            if !page.items.is_empty() || page.next > held.end {
-                held.insert(&page.items);
-                held.advance(page.next);
+            if !page.items.is_empty() || page.next > records.end {
+                records.insert(&page.items);
+                records.advance(page.next);
             }
             if page.end <= page.next {
-                held.confirm(page.as_of);
+                records.confirm(page.as_of);
             }
         }
-        shelf.end.send_replace(page.next);
+        state.end.send_replace(page.next);
     }
 
-    /// Says whether a neighbour asked within `span`.
-    pub fn was_asked_within(&self, span: Duration) -> bool {
-        let asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        asked.is_some_and(|at| BootTime::now().since(at) <= span)
+    /// Returns whether a neighbour sent a query within the last `span`.
+    pub fn was_queried_within(&self, span: Duration) -> bool {
+        let last_query = self
+            .last_query
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        last_query.is_some_and(|at| BootTime::now().since(at) <= span)
     }
 
     /// Returns the newest record of each key; waits up to `wait` for the first read to end.
-    pub(crate) async fn newest(&self, topic: Topic, wait: Duration) -> Result<Copy, Lack> {
-        self.note_asked();
-        self.until_read(topic, wait).await;
-        self.shelf(topic).lock().copy(Wanted::Newest)
+    pub(crate) async fn newest(
+        &self,
+        topic: Topic,
+        wait: Duration,
+    ) -> Result<RecordsCopy, CopyError> {
+        self.note_query();
+        self.wait_for_first_read(topic, wait).await;
+        self.state(topic).lock().copy(RecordRange::Newest)
     }
 
-    /// Returns what stands at `from` and after it; waits up to `wait` for the first of it, unless what
-    /// is known is older than `oldest`.
+    /// Returns the records from offset `from` on; waits up to `wait` for the first, unless the records of the
+    /// mirror are older than `age_limit`.
     pub(crate) async fn read(
         &self,
         topic: Topic,
         from: Offset,
         wait: Duration,
-        oldest: Duration,
-    ) -> Result<Copy, Lack> {
-        self.note_asked();
-        let shelf = self.shelf(topic);
+        age_limit: Duration,
+    ) -> Result<RecordsCopy, CopyError> {
+        self.note_query();
+        let state = self.state(topic);
         let now = BootTime::now();
-        let known_as_of = shelf.lock().as_of;
-        let is_behind = known_as_of.is_some_and(|as_of| now.since(as_of) > oldest);
+        let known_as_of = state.lock().as_of;
+        let is_behind = known_as_of.is_some_and(|as_of| now.since(as_of) > age_limit);
         let wait = if is_behind { Duration::ZERO } else { wait };
-        let mut end = shelf.end.subscribe();
-        // The sender lives as long as the mirror; without news the answer is empty.
+        let mut end = state.end.subscribe();
+        // The sender lives as long as the mirror; on a time-out the answer is empty.
         let _ = tokio::time::timeout(wait, end.wait_for(|end| *end > from)).await;
-        let mut held = shelf.lock();
-        if held.as_of.is_some() && from < held.floor {
-            return Err(Lack::Before(held.floor));
+        let mut records = state.lock();
+        if records.as_of.is_some() && from < records.expired_before {
+            return Err(CopyError::Expired(records.expired_before));
         }
-        held.copy(Wanted::Since(from))
+        records.copy(RecordRange::Since(from))
     }
 
-    /// Processes that start together ask before there is anything to give.
-    async fn until_read(&self, topic: Topic, wait: Duration) {
-        let shelf = self.shelf(topic);
-        let mut end = shelf.end.subscribe();
-        let read = async { while shelf.lock().as_of.is_none() && end.changed().await.is_ok() {} };
-        // Without a read in time the answer says so.
+    /// Waits for the first read of a topic: processes that start together send queries before it has ended.
+    async fn wait_for_first_read(&self, topic: Topic, wait: Duration) {
+        let state = self.state(topic);
+        let mut end = state.end.subscribe();
+        let read = async { while state.lock().as_of.is_none() && end.changed().await.is_ok() {} };
+        // On a time-out the answer is `CopyError::NothingRead`.
         let _ = tokio::time::timeout(wait, read).await;
     }
 
-    /// Says whether a read that will make what is known younger is under way.
+    /// Returns whether a read that is expected to bring newer records is in progress.
     pub(crate) fn is_reading(&self, topic: Topic) -> bool {
         self.call_state(topic).is_reading()
     }
 
-    /// Takes that a call to the registry begins.
-    pub(crate) fn call_begins(&self, topic: Topic) {
-        self.call_state(topic).begun();
+    /// Records that a call to the registry has started.
+    pub(crate) fn call_started(&self, topic: Topic) {
+        self.call_state(topic).started();
     }
 
-    /// Takes that a call to the registry is over.
-    pub(crate) fn call_ends(&self, topic: Topic, has_failed: bool) {
+    /// Records that a call to the registry has ended.
+    pub(crate) fn call_ended(&self, topic: Topic, has_failed: bool) {
         self.call_state(topic).ended(has_failed);
     }
 
     fn call_state(&self, topic: Topic) -> MutexGuard<'_, CallState> {
-        let calls = self.shelf(topic).calls.lock();
+        let calls = self.state(topic).calls.lock();
         calls.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_asked(&self) {
-        let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        *asked = Some(BootTime::now());
+    fn note_query(&self) {
+        let mut last_query = self
+            .last_query
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *last_query = Some(BootTime::now());
     }
 
-    fn shelf(&self, topic: Topic) -> &Shelf {
+    fn state(&self, topic: Topic) -> &TopicState {
         match topic {
             Topic::Settings => &self.settings,
             Topic::Upstreams => &self.upstreams,
--- a/crates/nearby/src/packing.rs
+++ b/crates/nearby/src/packing.rs
@@ -1,4 +1,4 @@
-//! Bodies for other processes: JSON, packed where it is long.
+//! Bodies of answers to other processes: JSON, compressed if long.
 
 use std::io::{Read as _, Write as _};
 use std::time::Duration;
@@ -13,40 +13,42 @@
 use serde::de::DeserializeOwned;
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
 
-/// Name of the header with the age of what is known, in microseconds. It stands apart from the body, so
-/// that this is encoded once for all that ask.
+/// Header with the age of the data, in microseconds. The age is not part of the body, so that the body is
+/// encoded once for all readers.
 const AGE_HEADER: &str = "wagtailreel-age-us";
 
-/// Name of the coding of bodies that are packed.
-const PACKED: &str = "gzip";
+/// Content coding of compressed bodies.
+const GZIP: &str = "gzip";
 
-/// Bodies that are shorter are not packed, in bytes: they fit into one packet.
-const WORTH_PACKING: usize = 1400;
+/// Minimum size of a body to be compressed, in bytes. Shorter bodies fit into one packet.
+const MIN_PACKED_BYTES: usize = 1400;
 
-/// Longest body that is unpacked, in bytes. A configuration of 2,000 routes takes 0.6 MB.
-const LONGEST: u64 = 32 << 20;
+/// Maximum size of a decompressed body, in bytes. A configuration of 2,000 routes takes 0.6 MB.
+const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
-/// A body can't be read.
+/// Error of decoding a body.
 #[derive(Debug, Snafu)]
 pub enum UnpackError {
-    /// It is no JSON of the wanted form.
-    #[snafu(display("the answer can't be read ({source}): run the same version everywhere"))]
+    /// The body is no JSON of the expected form.
+    #[snafu(display("the answer can't be parsed ({source}): run the same version everywhere"))]
     Unreadable {
-        /// What the library says.
+        /// Error of the JSON library.
         source: serde_json::Error,
     },
-    /// It can't be unpacked.
-    #[snafu(display("the answer can't be unpacked ({source}): run the same version everywhere"))]
-    Damaged {
-        /// What the library says.
+    /// The body can't be decompressed.
+    #[snafu(display(
+        "the answer can't be decompressed ({source}): run the same version everywhere"
+    ))]
+    Corrupt {
+        /// Error of the decompression.
         source: std::io::Error,
     },
-    /// It doesn't say how old it is.
+    /// The answer has no header with its age.
     #[snafu(display("the answer has no age: run the same version everywhere"))]
-    Ageless,
+    MissingAge,
 }
 
-/// A body as it is sent.
+/// An encoded body.
 #[derive(Clone, Debug)]
 pub struct Packed {
     body: Bytes,
@@ -54,14 +56,14 @@
 }
 
 impl Packed {
-    /// Encodes `value`; a long one is packed with the least effort.
+    /// Encodes `value`; long JSON is compressed at the fastest level.
     pub fn new<T>(value: &T) -> Self
     where
         T: Serialize,
     {
-        // Plain records of numbers and texts are always written.
+        // Serialising plain numbers and strings can't fail.
         let json = serde_json::to_vec(value).unwrap_or_default();
-        if json.len() < WORTH_PACKING {
+        if json.len() < MIN_PACKED_BYTES {
             return Self {
                 body: json.into(),
                 is_packed: false,
@@ -72,7 +74,7 @@
                 body: packed.into(),
                 is_packed: true,
             },
-            // A buffer in memory takes all that is written to it.
+            // Can't happen: a write to a buffer in memory does not fail.
             Err(_) => Self {
                 body: json.into(),
                 is_packed: false,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Makes the answer, with how old what it says is.
+    /// Makes the HTTP response; `age` is the age of the data.
     pub fn answer(self, age: Duration) -> Response {
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         let mut response = Response::new(Body::from(self.body));
@@ -89,7 +91,7 @@
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
         if self.is_packed {
-            let packed = HeaderValue::from_static(PACKED);
+            let packed = HeaderValue::from_static(GZIP);
             headers.insert(header::CONTENT_ENCODING, packed);
         }
         response
@@ -102,32 +104,32 @@
     encoder.finish()
 }
 
-/// Returns how old an answer says that it is.
+/// Returns the age of an answer's data.
 ///
 /// # Errors
 ///
-/// Returns [`UnpackError::Ageless`] if it doesn't say so.
+/// Returns [`UnpackError::MissingAge`] if the header is missing or invalid.
 pub fn age_of(headers: &HeaderMap) -> Result<Duration, UnpackError> {
     let age = headers.get(AGE_HEADER).and_then(|age| age.to_str().ok());
     let micros = age.and_then(|age| age.parse().ok());
-    Ok(Duration::from_micros(micros.context(AgelessSnafu)?))
+    Ok(Duration::from_micros(micros.context(MissingAgeSnafu)?))
 }
 
 /// Decodes the body of an answer.
 ///
 /// # Errors
 ///
-/// Returns an [`UnpackError`] if it is damaged or of another form.
+/// Returns an [`UnpackError`] if the body is corrupt or of another form.
 pub fn unpack<T>(headers: &HeaderMap, body: &[u8]) -> Result<T, UnpackError>
 where
     T: DeserializeOwned,
 {
     let coding = headers.get(header::CONTENT_ENCODING);
-    if coding.is_none_or(|coding| coding != PACKED) {
+    if coding.is_none_or(|coding| coding != GZIP) {
         return serde_json::from_slice(body).context(UnreadableSnafu);
     }
     let mut json = Vec::new();
-    let mut decoder = GzDecoder::new(body).take(LONGEST);
-    decoder.read_to_end(&mut json).context(DamagedSnafu)?;
+    let mut decoder = GzDecoder::new(body).take(MAX_UNPACKED_BYTES);
+    decoder.read_to_end(&mut json).context(CorruptSnafu)?;
     serde_json::from_slice(&json).context(UnreadableSnafu)
 }
--- a/crates/nearby/src/registry.rs
+++ b/crates/nearby/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry, read through a neighbour where there is one.
+//! Registry client that reads through a neighbour if there is one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,53 +10,60 @@
 
 use crate::calls::Cause;
 use crate::config::READER_WAIT;
-use crate::neighbour::{Heard, Known, NeighbourClient, NeighbourError, Question};
-use crate::pauses::Pauses;
-use crate::{CallCounters, Mirror, NearbyConfig, Neighbours, OwnTurn, Seeds, StandIn, events};
+use crate::delays::Delays;
+use crate::neighbour::{
+    NeighbourAnswer, NeighbourClient, NeighbourError, NeighbourQuery, RelayedRecords,
+};
+use crate::{
+    CallCounters, FallbackRead, Mirror, Neighbours, RegistryBackoff, Seeds, SharedRegistryConfig,
+    events,
+};
 
-/// How long after a neighbour's question this entry reads for it.
-const READS_FOR: Duration = Duration::from_secs(2);
+/// How long after a neighbour's query this entry counts as a reader for others.
+const QUERY_TTL: Duration = Duration::from_secs(2);
 
-/// How long a neighbour that starts may take to read the registry.
-const FIRST_READ: Duration = Duration::from_millis(1500);
+/// How long a query for a snapshot waits for a starting neighbour to read the registry.
+const FIRST_READ_WAIT: Duration = Duration::from_millis(1500);
 
-/// Pause after an answer that is old from a neighbour that is reading.
-const READING_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a stale answer from a neighbour that has a read in progress.
+const READING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a process has asked for since it started.
+/// Reads of a process since its start.
 #[derive(Debug, Default)]
 struct Start {
+    /// Time of the first read.
     since: Option<BootTime>,
-    asked: BTreeSet<Topic>,
+    /// Topics that have been read at least once.
+    topics_read: BTreeSet<Topic>,
 }
 
-/// The registry, read through a neighbour where there is one.
+/// Registry client of a data centre in which one entry reads the registry for all.
 #[derive(Clone, Debug)]
-pub struct Nearby<R> {
+pub struct SharedRegistry<R> {
     registry: R,
     client: NeighbourClient,
-    cfg: NearbyConfig,
-    /// Where what was read is kept for others.
+    cfg: SharedRegistryConfig,
+    /// Copies of the records for neighbours; `None` for a process that relays nothing.
     mirror: Option<Arc<Mirror>>,
     neighbours: Arc<Neighbours>,
     seeds: Seeds,
-    /// Whom the last answer came from, for the event of a change.
+    /// Source of the last answer, `None` for the registry; a change emits an event.
     reader: Arc<Mutex<Option<SocketAddr>>>,
     start: Arc<Mutex<Start>>,
-    /// Processes that start together read from this one, which waits for none of them.
+    /// Whether other starting processes read from this one. A seed does not wait for others.
     is_seed: bool,
-    own_turn: Arc<Mutex<OwnTurn>>,
-    stand_in: Arc<Mutex<StandIn>>,
+    backoff: Arc<Mutex<RegistryBackoff>>,
+    fallback: Arc<Mutex<FallbackRead>>,
     counters: Option<CallCounters>,
 }
 
-impl<R> Nearby<R>
+impl<R> SharedRegistry<R>
 where
     R: Registry,
 {
-    /// Makes a view of `registry` for a process that gives nothing to others.
-    pub fn new(registry: R, cfg: NearbyConfig, neighbours: Arc<Neighbours>) -> Self {
-        let pauses = Pauses::new(&cfg, neighbours.own());
+    /// Makes a client of `registry` for a process that relays nothing to others.
+    pub fn new(registry: R, cfg: SharedRegistryConfig, neighbours: Arc<Neighbours>) -> Self {
+        let delays = Delays::new(&cfg, neighbours.own());
         Self {
             registry,
             client: NeighbourClient::new(),
@@ -67,28 +74,28 @@
             reader: Arc::default(),
             start: Arc::default(),
             is_seed: false,
-            own_turn: Arc::new(Mutex::new(OwnTurn::new(pauses.own))),
-            stand_in: Arc::new(Mutex::new(StandIn::new(pauses.stand_in))),
+            backoff: Arc::new(Mutex::new(RegistryBackoff::new(delays.backoff))),
+            fallback: Arc::new(Mutex::new(FallbackRead::new(delays.fallback))),
             counters: None,
         }
     }
 
-    /// Keeps what is read in `mirror`, for neighbours.
+    /// Stores the records in `mirror`, for neighbours.
     #[must_use]
     pub fn with_mirror(mut self, mirror: Arc<Mirror>) -> Self {
         self.mirror = Some(mirror);
         self
     }
 
-    /// Reads each topic first from the nearest of `seeds` that knows it.
+    /// Reads each topic for the first time from the nearest of `seeds` that has read it.
     #[must_use]
     pub fn with_seeds(mut self, seeds: Seeds) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// Says whether this process is a seed of others: they wait for it, so that it waits for nobody before it
-    /// first reads the registry.
+    /// Sets whether this process is a seed. Other processes wait for a seed, so it reads the registry without
+    /// waiting for neighbours.
     #[must_use]
     pub const fn with_is_seed(mut self, is_seed: bool) -> Self {
         self.is_seed = is_seed;
@@ -102,114 +109,119 @@
         self
     }
 
-    /// Asks the neighbour that reads for this entry, and a few others if it is behind.
+    /// Queries the neighbour that reads for this entry, and a few others if that one is behind.
     ///
     /// # Errors
     ///
-    /// Returns the [`Cause`] for asking the registry itself.
-    async fn ask(&self, question: &Question) -> Result<Heard, Cause> {
-        let topic = question.topic;
-        if let Some(limit) = self.first_wait(topic)
-            && let Some(heard) = self.ask_seeds(topic, limit).await
+    /// Returns the [`Cause`] for calling the registry itself.
+    async fn ask_neighbours(&self, query: &NeighbourQuery) -> Result<NeighbourAnswer, Cause> {
+        let topic = query.topic;
+        if let Some(limit) = self.start_wait_left(topic)
+            && let Some(answer) = self.ask_seeds(topic, limit).await
         {
-            return Ok(heard);
+            return Ok(answer);
         }
         let candidates = self.neighbours.candidates(BootTime::now());
         let mut cause = Cause::First;
         let mut is_reading = false;
-        let mut old: Option<Known> = None;
-        let oldest = self.cfg.longest_age(topic);
+        let mut stale: Option<RelayedRecords> = None;
+        let age_limit = self.cfg.max_age(topic);
         for candidate in &candidates {
-            match self.client.ask(*candidate, question, oldest).await {
-                Ok(heard) => {
+            match self.client.ask(*candidate, query, age_limit).await {
+                Ok(answer) => {
                     self.note_reader(topic, Some(*candidate));
-                    self.lock_stand_in().heard(topic);
-                    return Ok(heard);
+                    self.lock_fallback().note_fresh_answer(topic);
+                    return Ok(answer);
                 }
                 Err(err) => {
                     is_reading |= err.is_reading();
-                    cause = self.pass_over(*candidate, topic, &err);
-                    // Another wait would take the rest of the time that a change has.
-                    let NeighbourError::Old { known, .. } = err else {
+                    cause = self.note_unusable(*candidate, topic, &err);
+                    // A second time-out would use up the time in which a change has to be in force.
+                    let NeighbourError::Stale { known, .. } = err else {
                         break;
                     };
-                    old = old.into_iter().chain([*known]).max_by_key(|it| it.as_of);
+                    stale = stale.into_iter().chain([*known]).max_by_key(|it| it.as_of);
                 }
             }
         }
-        let as_of = old.as_ref().map(|known| known.as_of);
+        let as_of = stale.as_ref().map(|known| known.as_of);
         if !is_reading || !self.waits_for_reader(topic, as_of) {
             return Err(cause);
         }
-        // The answer to the next question is old too for a while.
-        tokio::time::sleep(READING_PAUSE).await;
-        old.map(Heard::Known).ok_or(Cause::NeighbourReads)
+        // The next answer is stale too until the neighbour's read ends.
+        tokio::time::sleep(READING_POLL_INTERVAL).await;
+        stale
+            .map(NeighbourAnswer::Known)
+            .ok_or(Cause::NeighbourReads)
     }
 
-    /// Returns how long the first read of `topic` waits for seeds and neighbours; none if there is nothing to
-    /// wait for, or it was read before.
+    /// Returns how long the first read of `topic` waits for seeds and neighbours; `None` if there is nothing
+    /// to wait for, or the topic was read before.
     ///
-    /// Upstreams have to be known before their agents can name neighbours, so that only seeds are waited for.
-    fn first_wait(&self, topic: Topic) -> Option<Duration> {
+    /// Agents can name neighbours only after the upstreams have been read, so the first read of the upstreams
+    /// waits only if there are seeds.
+    fn start_wait_left(&self, topic: Topic) -> Option<Duration> {
         let mut start = self.start.lock().unwrap_or_else(PoisonError::into_inner);
         let now = BootTime::now();
         let since = *start.since.get_or_insert(now);
-        let is_first = start.asked.insert(topic);
+        let is_first = start.topics_read.insert(topic);
         let may_be_named = topic == Topic::Settings || !self.seeds.is_empty();
         let waits = is_first && may_be_named && !self.is_seed;
         waits.then(|| self.cfg.start_wait.saturating_sub(now.since(since)))
     }
 
-    /// Asks the seeds for `topic` for up to `limit`, until agents have named neighbours or it is no use to wait
-    /// for them; returns what a seed knows.
+    /// Queries the seeds for `topic` for up to `limit`, until agents have named neighbours or have had time
+    /// to do so. Returns the answer of a seed.
     ///
-    /// Load pattern: 50 entries of a data centre that start together, each of which would read thousands of
-    /// upstreams over its region's link. None of the reads ends in its time, and each begins from nothing.
-    async fn ask_seeds(&self, topic: Topic, limit: Duration) -> Option<Heard> {
-        let question = Question {
+    /// Load pattern: 50 entries of a data centre start together. Without this, each of them reads thousands
+    /// of upstreams over its region's link, no read ends before its time-out, and each begins again from the
+    /// start.
+    async fn ask_seeds(&self, topic: Topic, limit: Duration) -> Option<NeighbourAnswer> {
+        let query = NeighbourQuery {
             topic,
             path: "/newest?wait_ms=0".to_owned(),
             wait: Duration::ZERO,
-            is_for_news: false,
+            waits_for_records: false,
         };
-        let oldest = self.cfg.longest_age(topic);
-        let first_known = self.seeds.first_known(&self.client, &question, oldest);
+        let age_limit = self.cfg.max_age(topic);
+        let first_known = self.seeds.first_known(&self.client, &query, age_limit);
         tokio::select! {
-            () = self.neighbours.until_named(limit) => None,
-            (seed, heard) = first_known => {
-                self.neighbours.introduce(seed);
+            () = self.neighbours.wait_for_entries(limit) => None,
+            (seed, answer) = first_known => {
+                self.neighbours.set_seed(seed);
                 self.note_reader(topic, Some(seed));
-                Some(heard)
+                Some(answer)
             }
         }
     }
 
-    /// Says whether to leave the read to neighbours that are reading, though what they know is as old as
-    /// `as_of`.
+    /// Returns whether to leave the read to neighbours with a read in progress, although their records hold
+    /// only as of `as_of`.
     fn waits_for_reader(&self, topic: Topic, as_of: Option<BootTime>) -> bool {
         let now = BootTime::now();
-        let is_reader = self.neighbours.place(now) < self.cfg.readers;
-        !is_reader && !self.lock_stand_in().is_due(topic, as_of, now)
+        let is_reader = self.neighbours.rank(now) < self.cfg.readers;
+        !is_reader && !self.lock_fallback().is_due(topic, as_of, now)
     }
 
-    fn lock_stand_in(&self) -> MutexGuard<'_, StandIn> {
-        self.stand_in.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_fallback(&self) -> MutexGuard<'_, FallbackRead> {
+        self.fallback.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes that a neighbour was no use.
-    fn pass_over(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
+    /// Records that a neighbour gave no usable answer; returns the cause for a call to the registry.
+    fn note_unusable(&self, neighbour: SocketAddr, topic: Topic, err: &NeighbourError) -> Cause {
         let now = BootTime::now();
-        let (is_news, cause) = match err {
-            // One that has read nothing yet refuses.
-            NeighbourError::Old { .. } | NeighbourError::Refused { .. } => {
-                (self.neighbours.behind(neighbour, now), Cause::NeighbourOld)
-            }
+        let (is_new, cause) = match err {
+            // A neighbour that has read nothing yet refuses.
+            NeighbourError::Stale { .. } | NeighbourError::Refused { .. } => (
+                self.neighbours.note_behind(neighbour, now),
+                Cause::NeighbourOld,
+            ),
             NeighbourError::Silent { .. } | NeighbourError::Unreadable { .. } => (
-                self.neighbours.avoid(neighbour, now),
+                self.neighbours.note_silent(neighbour, now),
                 Cause::NeighbourSilent,
             ),
         };
-        if is_news {
+        if is_new {
             events::NEIGHBOUR_AVOIDED.emit(&[
                 ("neighbour", &neighbour.to_string()),
                 ("topic", &topic.to_string()),
@@ -219,7 +231,7 @@
         cause
     }
 
-    /// Makes a call to the registry itself, if one is due and no neighbour makes it.
+    /// Calls the registry, unless a neighbour is reading it or the backoff has not passed.
     async fn call<F, T>(&self, topic: Topic, cause: Cause, call: F) -> Result<T, RegistryError>
     where
         F: Future<Output = Result<T, RegistryError>>,
@@ -228,28 +240,28 @@
             return Err(RegistryError::Pending);
         }
         let sent = BootTime::now();
-        let is_reader = self.neighbours.place(sent) < self.cfg.readers;
-        if !self.lock_turn().is_due(topic, is_reader, sent) {
+        let is_reader = self.neighbours.rank(sent) < self.cfg.readers;
+        if !self.lock_backoff().is_due(topic, is_reader, sent) {
             return Err(RegistryError::NotCalled);
         }
         self.note_reader(topic, None);
         if let Some(mirror) = &self.mirror {
-            mirror.call_begins(topic);
+            mirror.call_started(topic);
         }
         let answer = call.await;
         let now = BootTime::now();
         let outcome = match &answer {
             Ok(_) | Err(RegistryError::Expired { .. }) => {
-                self.lock_turn().answered();
+                self.lock_backoff().note_answer();
                 "answered"
             }
             Err(_) => {
-                self.lock_turn().failed(topic, now);
+                self.lock_backoff().note_failure(topic, now);
                 "failed"
             }
         };
         if let Some(mirror) = &self.mirror {
-            mirror.call_ends(topic, outcome == "failed");
+            mirror.call_ended(topic, outcome == "failed");
         }
         if let Some(counters) = &self.counters {
             counters.count(topic, cause, outcome);
@@ -263,11 +275,11 @@
         answer
     }
 
-    fn lock_turn(&self) -> MutexGuard<'_, OwnTurn> {
-        self.own_turn.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_backoff(&self) -> MutexGuard<'_, RegistryBackoff> {
+        self.backoff.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells once that a topic comes from somewhere else than before.
+    /// Emits an event if the settings come from a different source than before.
     fn note_reader(&self, topic: Topic, reader: Option<SocketAddr>) {
         if topic != Topic::Settings {
             return;
@@ -280,10 +292,10 @@
         }
     }
 
-    /// Returns how long the registry may hold a read.
-    fn held_for(&self, wait: Duration) -> Duration {
+    /// Returns how long the registry may hold a read: less while neighbours read from this process.
+    fn max_hold(&self, wait: Duration) -> Duration {
         let mirror = self.mirror.as_ref();
-        if mirror.is_some_and(|mirror| mirror.was_asked_within(READS_FOR)) {
+        if mirror.is_some_and(|mirror| mirror.was_queried_within(QUERY_TTL)) {
             wait.min(READER_WAIT)
         } else {
             wait
@@ -291,25 +303,25 @@
     }
 }
 
-impl<R> Registry for Nearby<R>
+impl<R> Registry for SharedRegistry<R>
 where
     R: Registry,
 {
     async fn newest(&self, topic: Topic, timeout: Duration) -> Result<Snapshot, RegistryError> {
-        let question = Question {
+        let query = NeighbourQuery {
             topic,
-            path: format!("/newest?wait_ms={}", FIRST_READ.as_millis()),
-            wait: FIRST_READ,
-            is_for_news: false,
+            path: format!("/newest?wait_ms={}", FIRST_READ_WAIT.as_millis()),
+            wait: FIRST_READ_WAIT,
+            waits_for_records: false,
         };
-        let snapshot = match self.ask(&question).await {
-            Ok(Heard::Known(Known { records, as_of })) => Snapshot {
+        let snapshot = match self.ask_neighbours(&query).await {
+            Ok(NeighbourAnswer::Known(RelayedRecords { records, as_of })) => Snapshot {
                 items: records.items,
                 end: records.next,
                 as_of,
-                is_second_hand: true,
+                is_relayed: true,
             },
-            Ok(Heard::Expired(_)) => {
+            Ok(NeighbourAnswer::Expired(_)) => {
                 let call = self.registry.newest(topic, timeout);
                 self.call(topic, Cause::NeighbourOld, call).await?
             }
@@ -319,7 +331,7 @@
             }
         };
         if let Some(mirror) = &self.mirror {
-            mirror.take_snapshot(topic, &snapshot);
+            mirror.store_snapshot(topic, &snapshot);
         }
         Ok(snapshot)
     }
@@ -331,31 +343,31 @@
         wait: Duration,
         timeout: Duration,
     ) -> Result<Page, RegistryError> {
-        let question = Question {
+        let query = NeighbourQuery {
             topic,
             path: format!("?from={from}&wait_ms={}", self.cfg.wait.as_millis()),
             wait: self.cfg.wait,
-            is_for_news: true,
+            waits_for_records: true,
         };
-        let page = match self.ask(&question).await {
-            Ok(Heard::Known(Known { records, as_of })) => Page {
+        let page = match self.ask_neighbours(&query).await {
+            Ok(NeighbourAnswer::Known(RelayedRecords { records, as_of })) => Page {
                 items: records.items,
                 next: records.next,
                 end: records.next,
                 as_of,
-                is_second_hand: true,
+                is_relayed: true,
             },
-            // In a burst the neighbour reads the newest of each key, time and again; all that follow
-            // it would read the registry themselves.
-            Ok(Heard::Expired(first)) => return Err(RegistryError::Expired { first }),
+            // In a burst the neighbour reads snapshots, so its single records expire again and again. A call
+            // to the registry here would make all its followers read the registry themselves.
+            Ok(NeighbourAnswer::Expired(first)) => return Err(RegistryError::Expired { first }),
             Err(cause) => {
-                let wait = self.held_for(wait);
+                let wait = self.max_hold(wait);
                 let call = self.registry.read(topic, from, wait, timeout);
                 self.call(topic, cause, call).await?
             }
         };
         if let Some(mirror) = &self.mirror {
-            mirror.take_page(topic, from, &page);
+            mirror.store_page(topic, from, &page);
         }
         Ok(page)
     }
--- a/crates/nearby/src/serve.rs
+++ b/crates/nearby/src/serve.rs
@@ -1,4 +1,4 @@
-//! Gives neighbours copies of what was read.
+//! HTTP routes on which neighbours read copies of the mirror's records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,31 +13,31 @@
 use wagtailreel_fleet::Topic;
 
 use crate::Mirror;
-use crate::mirror::{Copy, Lack};
+use crate::mirror::{CopyError, RecordsCopy};
 use crate::wire::READING_HEADER;
 
-/// Longest wait for news that a neighbour may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// Longest wait for new records that a neighbour may request.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// What a neighbour wants to read.
+/// Query parameters of a read.
 #[derive(Debug, Deserialize)]
-struct Wanted {
-    /// Place of the first record.
+struct ReadParams {
+    /// Offset of the first record.
     #[serde(default)]
     from: Offset,
-    /// How long to wait for it, in milliseconds.
+    /// How long to wait for the first record, in milliseconds.
     #[serde(default)]
     wait_ms: u64,
-    /// Oldest knowledge that is of use, in milliseconds; who is behind says so without waiting.
+    /// Age limit of the records, in milliseconds; if they are older, the answer comes without waiting.
     oldest_ms: Option<u64>,
 }
 
-impl Wanted {
+impl ReadParams {
     fn wait(&self) -> Duration {
-        Duration::from_millis(self.wait_ms).min(LONGEST_WAIT)
+        Duration::from_millis(self.wait_ms).min(MAX_WAIT)
     }
 
-    fn oldest(&self) -> Duration {
+    fn age_limit(&self) -> Duration {
         self.oldest_ms.map_or(Duration::MAX, Duration::from_millis)
     }
 }
@@ -53,28 +53,28 @@
 async fn newest(
     State(mirror): State<Arc<Mirror>>,
     Path(topic): Path<Topic>,
-    Query(wanted): Query<Wanted>,
+    Query(params): Query<ReadParams>,
 ) -> Response {
-    let copy = mirror.newest(topic, wanted.wait()).await;
+    let copy = mirror.newest(topic, params.wait()).await;
     answer(copy, mirror.is_reading(topic))
 }
 
 async fn read(
     State(mirror): State<Arc<Mirror>>,
     Path(topic): Path<Topic>,
-    Query(wanted): Query<Wanted>,
+    Query(params): Query<ReadParams>,
 ) -> Response {
-    let read = mirror.read(topic, wanted.from, wanted.wait(), wanted.oldest());
+    let read = mirror.read(topic, params.from, params.wait(), params.age_limit());
     let copy = read.await;
     answer(copy, mirror.is_reading(topic))
 }
 
-/// Makes the answer, which says whether a read that will make what is known younger is under way.
-fn answer(copy: Result<Copy, Lack>, is_reading: bool) -> Response {
+/// Makes the answer, with a header if a read that is expected to bring newer records is in progress.
+fn answer(copy: Result<RecordsCopy, CopyError>, is_reading: bool) -> Response {
     let mut response = match copy {
         Ok(copy) => copy.records.answer(copy.age),
-        Err(Lack::Unread) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Err(Lack::Before(first)) => (StatusCode::GONE, Json(first)).into_response(),
+        Err(CopyError::NothingRead) => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Err(CopyError::Expired(first)) => (StatusCode::GONE, Json(first)).into_response(),
     };
     if is_reading {
         let yes = HeaderValue::from_static("yes");
--- a/crates/nearby/tests/mirror.rs
+++ b/crates/nearby/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What neighbours are told.
+//! Records that the mirror serves to neighbours.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -23,7 +23,7 @@
         items,
         end,
         as_of: BootTime::now(),
-        is_second_hand: false,
+        is_relayed: false,
     }
 }
 
@@ -33,29 +33,29 @@
         next,
         end: next,
         as_of: BootTime::now(),
-        is_second_hand: false,
+        is_relayed: false,
     }
 }
 
-/// A neighbour gets what it has not read, the newest of each key, in order.
+/// A neighbour gets the newest records that it has not read, one of each key, in order.
 #[rstest]
 #[tokio::test]
 async fn missing_records() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     first
         .mirror
-        .take_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
+        .store_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
     let items = vec![
         keyed(5, upstream("b")),
         keyed(6, Change::Gone("a".to_owned())),
     ];
-    first.mirror.take_page(TOPIC, 5, &page(items, 7));
+    first.mirror.store_page(TOPIC, 5, &page(items, 7));
     let again = vec![keyed(7, upstream("b"))];
-    first.mirror.take_page(TOPIC, 7, &page(again, 8));
+    first.mirror.store_page(TOPIC, 7, &page(again, 8));
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await.unwrap();
-    assert!(read.is_second_hand);
+    assert!(read.is_relayed);
     let offsets: Vec<u64> = read.items.iter().map(|item| item.offset).collect();
     assert_eq!(offsets, vec![6, 7]);
     assert_eq!(read.next, 8);
@@ -67,29 +67,29 @@
 #[tokio::test]
 async fn newest_records() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     first
         .mirror
-        .take_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
+        .store_snapshot(TOPIC, &snapshot(vec![keyed(3, upstream("a"))], 5));
     let items = vec![
         keyed(5, upstream("b")),
         keyed(6, Change::Gone("a".to_owned())),
     ];
-    first.mirror.take_page(TOPIC, 5, &page(items, 7));
+    first.mirror.store_page(TOPIC, 5, &page(items, 7));
     let newest = second.registry.newest(TOPIC, TIMEOUT).await.unwrap();
     assert_eq!(newest.items, vec![keyed(5, upstream("b"))]);
     assert_eq!(newest.end, 7);
 }
 
-/// Who lacks records that a neighbour does not know one by one reads its newest, and not the
-/// registry.
+/// If a neighbour no longer holds the single records that an entry lacks, the entry reads the neighbour's
+/// snapshot and not the registry.
 #[rstest]
 #[tokio::test]
 async fn unknown_records() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let items = vec![keyed(3, upstream("a"))];
-    first.mirror.take_snapshot(TOPIC, &snapshot(items, 5));
+    first.mirror.store_snapshot(TOPIC, &snapshot(items, 5));
     let read = second.registry.read(TOPIC, 0, Duration::ZERO, TIMEOUT);
     let read = read.await;
     assert!(
@@ -101,60 +101,63 @@
     assert_eq!(second.store.calls(), 0);
 }
 
-/// A page that would leave a gap is not handed on.
+/// A page that would leave a gap is not relayed.
 #[rstest]
 #[tokio::test]
 async fn gap_in_pages() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
-    first.mirror.take_snapshot(TOPIC, &snapshot(Vec::new(), 5));
+    let second = Entry::with_neighbour(&first).await;
+    first.mirror.store_snapshot(TOPIC, &snapshot(Vec::new(), 5));
     first
         .mirror
-        .take_page(TOPIC, 9, &page(vec![keyed(9, upstream("c"))], 10));
+        .store_page(TOPIC, 9, &page(vec![keyed(9, upstream("c"))], 10));
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await.unwrap();
     assert_eq!((read.items.len(), read.next), (0, 5));
 }
 
-/// A page that has not all that there is does not make the mirror look fresh.
+/// A page with more records to follow does not make the mirror look fresh.
 #[rstest]
 #[tokio::test]
 async fn partial_page() {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let old = BootTime::now().minus(Duration::from_secs(60));
     let mut snapshot = snapshot(Vec::new(), 5);
     snapshot.as_of = old;
-    first.mirror.take_snapshot(TOPIC, &snapshot);
+    first.mirror.store_snapshot(TOPIC, &snapshot);
     let mut partial = page(vec![keyed(5, upstream("c"))], 6);
     partial.end = 90;
-    first.mirror.take_page(TOPIC, 5, &partial);
+    first.mirror.store_page(TOPIC, 5, &partial);
     second.store.set_away(true);
     let read = second.registry.read(TOPIC, 5, Duration::ZERO, TIMEOUT);
     let read = read.await;
-    assert!(matches!(read, Err(RegistryError::Away { .. })), "{read:?}");
+    assert!(
+        matches!(read, Err(RegistryError::Unreachable { .. })),
+        "{read:?}"
+    );
 }
 
-/// A late record of an older version doesn't take the place of a newer one, in pages and snapshots.
+/// A late record of an older version doesn't replace a newer one, in pages and snapshots.
 #[rstest]
 #[case::page(false)]
 #[case::snapshot(true)]
 #[tokio::test]
 async fn older_version(#[case] is_snapshot: bool) {
     let first = Entry::start().await;
-    let second = Entry::beside(&first).await;
+    let second = Entry::with_neighbour(&first).await;
     let named = |version| {
         let model = "epitaph".to_owned();
         Change::Weights(NamedWeights { model, version })
     };
     let topic = Topic::Settings;
     let items = vec![keyed(3, named(3))];
-    first.mirror.take_snapshot(topic, &snapshot(items, 5));
+    first.mirror.store_snapshot(topic, &snapshot(items, 5));
     let late = vec![keyed(5, named(2))];
     if is_snapshot {
-        first.mirror.take_snapshot(topic, &snapshot(late, 6));
+        first.mirror.store_snapshot(topic, &snapshot(late, 6));
     } else {
-        first.mirror.take_page(topic, 5, &page(late, 6));
+        first.mirror.store_page(topic, 5, &page(late, 6));
     }
     let newest = second.registry.newest(topic, TIMEOUT).await.unwrap();
     assert_eq!(newest.items, vec![keyed(3, named(3))]);
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -280,13 +280,13 @@
         presumed: Option<Presumed>,
         now: Instant,
     ) -> Prediction<'a> {
-        let pace = self.fresh_status(now).map_or(1.0, |status| status.pace);
+        let slowdown = self.fresh_status(now).map_or(1.0, |status| status.slowdown);
         Prediction {
             model: engine,
             slots: self.upstream.slots.max(1),
             in_flight: self.thought_in_flight(presumed, now).0,
             reading_left: self.reading_left(engine, presumed, now),
-            pace: f64::from(pace),
+            slowdown: f64::from(slowdown),
         }
     }
 
@@ -329,7 +329,7 @@
             before.version != status.version || before.is_switching != status.is_switching
         });
         self.take_load(status.queued.saturating_add(status.running), heard_at);
-        let reading_left = Duration::from_millis(status.reading_ms.into());
+        let reading_left = Duration::from_millis(status.prefill_ms.into());
         self.reading.set(reading_left, heard_at);
         self.status = Some((status.clone(), heard_at));
         Some(changed)
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use wagtailreel_core::Digest;
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint};
 use wagtailreel_route::direct::{Quarantine, Suspicion};
 
 const HOUR: Duration = Duration::from_secs(3600);
@@ -115,7 +115,7 @@
     let (mut one, mut other) = (Quarantine::new(0.0), Quarantine::new(0.0));
     after(&mut one, "x", &["a"]);
     after(&mut other, "x", &["b", "c"]);
-    let told = one.account(request("x"), at(2000)).unwrap();
+    let told = one.crash_report(request("x"), at(2000)).unwrap();
     assert!(other.hear(&told, at(2000)));
     assert!(is_quarantined(other.suspicion(request("x"), at(2000))));
     assert!(!other.hear(&told, at(2000)), "the same again is no news");
@@ -127,7 +127,7 @@
     known.finished(request("x"), at(0));
     after(&mut known, "x", &["a"]);
     known.finished(request("x"), at(5000));
-    let told = EndedUnder {
+    let told = CrashReport {
         fingerprint: request("x"),
         upstreams: ["b", "c", "d"].map(|id| (id.to_owned(), 3000)).into(),
         finished_ms: None,
--- a/crates/stage/src/engine.rs
+++ b/crates/stage/src/engine.rs
@@ -25,7 +25,7 @@
     /// Memory available to requests.
     pub memory_total: u64,
     /// How many times slower than usual the engine runs.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 impl EngineReport {
--- a/crates/stage/src/known_settings.rs
+++ b/crates/stage/src/known_settings.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use wagtailreel_core::ServiceName;
 use wagtailreel_fleet::{
-    BootTime, Change, ConfigVersion, Directory, ModelName, NamedWeights, ReadNamings, Sink, Topic,
+    BootTime, Change, ConfigVersion, Directory, ModelName, NamedWeights, NamingTimes, Sink, Topic,
     WeightsVersion,
 };
 
@@ -21,7 +21,7 @@
     origin: Option<SocketAddr>,
     draw_time: Option<Duration>,
     named: BTreeMap<ModelName, KnownNaming>,
-    read: ReadNamings,
+    read: NamingTimes,
     /// The moment as of which the settings were last confirmed.
     confirmed_as_of: Option<BootTime>,
 }
@@ -132,7 +132,7 @@
         let before = {
             let mut inner = self.lock();
             let confirmed_as_of = inner.confirmed_as_of;
-            inner.read.take(weights, confirmed_as_of)
+            inner.read.record(weights, confirmed_as_of)
         };
         let naming = KnownNaming {
             version: weights.version,
--- a/crates/stage/src/process.rs
+++ b/crates/stage/src/process.rs
@@ -16,7 +16,7 @@
 use wagtailreel_adapters::HttpClient;
 use wagtailreel_core::VmEntry;
 use wagtailreel_fleet::{FollowConfig, Registry, Topic, follow};
-use wagtailreel_nearby::{CallCounters, Nearby, NearbyConfig, Neighbours, Seeds};
+use wagtailreel_nearby::{CallCounters, Neighbours, Seeds, SharedRegistry, SharedRegistryConfig};
 use wagtailreel_serve::{ConnectionCounters, Phase, Routes, Server};
 use wagtailreel_settings::StagingAgentSettings;
 use wagtailreel_telemetry::{encode_metrics, lines_dropped};
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub(crate) struct AgentContext<R, E, O> {
     pub(crate) settings: StagingAgentSettings,
-    pub(crate) registry: Nearby<R>,
+    pub(crate) registry: SharedRegistry<R>,
     pub(crate) engine: E,
     pub(crate) origin: O,
     pub(crate) client: HttpClient,
@@ -122,10 +122,10 @@
         let counters = ConnectionCounters::register(&prometheus).context(MetricsSnafu)?;
         let (tx, rx) = unbounded_channel();
         let chunk_store = Arc::new(ChunkStore::default());
-        let neighbours = Arc::new(Neighbours::of_a_guest());
-        let registry = Nearby::new(
+        let neighbours = Arc::new(Neighbours::for_non_reader());
+        let registry = SharedRegistry::new(
             registry,
-            NearbyConfig::seldom(MAX_LIST_AGE),
+            SharedRegistryConfig::for_non_reader(MAX_LIST_AGE),
             Arc::clone(&neighbours),
         )
         .with_seeds(Seeds::new(addr, &settings.seeds))
@@ -192,10 +192,10 @@
     FollowConfig {
         topic: Topic::Settings,
         wait: Duration::ZERO,
-        pace: SETTINGS_READ_INTERVAL,
-        second_hand_pace: SETTINGS_READ_INTERVAL,
+        read_interval: SETTINGS_READ_INTERVAL,
+        relayed_read_interval: SETTINGS_READ_INTERVAL,
         timeout: READ_TIMEOUT,
-        longest_pause: MAX_READ_BACKOFF,
+        max_backoff: MAX_READ_BACKOFF,
         lapse_hold: Duration::ZERO,
         lapse_after: Duration::ZERO,
     }
--- a/crates/stage/src/quarantine_sync.rs
+++ b/crates/stage/src/quarantine_sync.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint};
+use wagtailreel_fleet::{BootTime, CrashReport, Fingerprint};
 use wagtailreel_route::direct::Quarantine;
 
 /// How long a crash report is sent again after it changed, for lost datagrams and for entries that were
@@ -19,7 +19,7 @@
 
 impl QuarantineSync {
     /// Merges crash reports of an entry; returns the merged reports to send to subscribers if they changed.
-    pub(crate) fn merge(&self, reports: &[EndedUnder]) -> Vec<EndedUnder> {
+    pub(crate) fn merge(&self, reports: &[CrashReport]) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
         let new_reports = reports.iter().filter(|report| quarantine.hear(report, now));
@@ -34,12 +34,12 @@
     }
 
     /// Returns all crash reports, for an entry that may have missed some.
-    pub(crate) fn all(&self) -> Vec<EndedUnder> {
+    pub(crate) fn all(&self) -> Vec<CrashReport> {
         self.lock().told_of(Duration::MAX, BootTime::now())
     }
 
     /// Returns the crash reports to send again, and evicts expired ones.
-    pub(crate) fn due_for_resend(&self) -> Vec<EndedUnder> {
+    pub(crate) fn due_for_resend(&self) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
         quarantine.forget(now);
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -9,8 +9,8 @@
 use tokio::time::MissedTickBehavior;
 use wagtailreel_core::first_ranked;
 use wagtailreel_fleet::{
-    AskPermit, BootTime, Datagram, ENDED_A_DATAGRAM, EndedUnder, HeardNaming, HeldChunks,
-    LoadStatus, NamedWeights, Query, Status, WeightsVersion,
+    BootTime, CRASH_REPORTS_PER_DATAGRAM, CrashReport, Datagram, HeldChunks, LoadStatus,
+    NamedWeights, NamingReport, PermitRequest, Query, Status, WeightsVersion,
 };
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_route::direct::{Permits, Places};
@@ -131,11 +131,11 @@
     }
 
     /// Returns the naming to report, if it is recent and its time is proved.
-    fn naming(&self) -> Option<HeardNaming> {
+    fn naming(&self) -> Option<NamingReport> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (weights, naming) = state.naming.as_ref()?;
         let age = BootTime::now().since(naming.named_after?);
-        (age <= self.naming_report_ttl).then(|| HeardNaming {
+        (age <= self.naming_report_ttl).then(|| NamingReport {
             weights: weights.clone(),
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
         })
@@ -190,7 +190,7 @@
 
     /// Answers an entry's request for a permit to send to an upstream with a limit: with the permit, or how
     /// long the upstream has no capacity.
-    fn answer_permit_request(&self, permit_request: &AskPermit, from: SocketAddr) {
+    fn answer_permit_request(&self, permit_request: &PermitRequest, from: SocketAddr) {
         let mut permits = self.permits.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(permit) = permits.answer(permit_request, Instant::now()) else {
             return;
@@ -202,9 +202,9 @@
     }
 
     /// Sends crash reports to entries.
-    fn send_crash_reports(&self, reports: &[EndedUnder], entries: &[SocketAddr]) {
-        for reports in reports.chunks(ENDED_A_DATAGRAM) {
-            let datagram = Datagram::Ended(reports.to_vec()).to_bytes();
+    fn send_crash_reports(&self, reports: &[CrashReport], entries: &[SocketAddr]) {
+        for reports in reports.chunks(CRASH_REPORTS_PER_DATAGRAM) {
+            let datagram = Datagram::CrashReports(reports.to_vec()).to_bytes();
             for entry in entries {
                 // Lost datagrams are covered by the next transmission.
                 let _ = self.socket.try_send_to(&datagram, *entry);
@@ -248,7 +248,7 @@
             };
             match Datagram::from_bytes(&buf[..len]) {
                 Ok(Datagram::Query(Query {
-                    sends_us: Some(micros),
+                    prefill_us: Some(micros),
                     ..
                 })) => self.record_announced_request(Duration::from_micros(micros.into()), from),
                 Ok(Datagram::Query(query)) => {
@@ -267,10 +267,10 @@
                         let _ = chunks.send(PeerChunks { ip, held });
                     }
                 }
-                Ok(Datagram::AskPermit(permit_request)) => {
+                Ok(Datagram::PermitRequest(permit_request)) => {
                     self.answer_permit_request(&permit_request, from)
                 }
-                Ok(Datagram::Ended(reports)) => {
+                Ok(Datagram::CrashReports(reports)) => {
                     let subscribers = self.subscribers.active(Instant::now());
                     self.send_crash_reports(&self.quarantine_sync.merge(&reports), &subscribers);
                 }
@@ -282,14 +282,14 @@
 
     fn answer(&self, query: &Query, from: SocketAddr) {
         let now = Instant::now();
-        if query.chunks.is_none() && self.subscribers.record(from, query.is_near, now) {
+        if query.chunks.is_none() && self.subscribers.record(from, query.is_local, now) {
             self.send_crash_reports(&self.quarantine_sync.all(), &[from]);
         }
         let chunks = query.chunks.as_ref();
         // Only entries need the list of entries, not other agents.
         let entries = if query.chunks.is_none() {
             let mut entries = self.subscribers.local(now);
-            if query.is_near {
+            if query.is_local {
                 self.choose_registry_reader(&entries);
             }
             entries.truncate(MAX_ENTRIES_REPORTED);
@@ -321,7 +321,7 @@
         let own = own.to_string();
         let first = first_ranked(own.as_bytes(), entries.iter().copied());
         if let Some(first) = first {
-            self.neighbours.hear(&[first], BootTime::now());
+            self.neighbours.note_entries(&[first], BootTime::now());
         }
     }
 
@@ -330,9 +330,9 @@
         let (report, at) = state.report.as_ref()?;
         // Shares and factors need no more precision than an `f32` has.
         #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
-        let (memory, pace) = (
+        let (memory, slowdown) = (
             report.memory_used as f32 / report.memory_total.max(1) as f32,
-            report.pace as f32,
+            report.slowdown as f32,
         );
         let age = now.saturating_duration_since(*at).as_millis();
         Some(LoadStatus {
@@ -342,11 +342,11 @@
             queued: report
                 .queued
                 .saturating_add(state.arrivals.on_their_way(now)),
-            reading_ms: u32::try_from(state.arrivals.reading_left(now).as_millis())
+            prefill_ms: u32::try_from(state.arrivals.reading_left(now).as_millis())
                 .unwrap_or(u32::MAX),
             running: report.running,
             memory,
-            pace,
+            slowdown,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         })
     }
--- a/crates/stage/tests/neighbours.rs
+++ b/crates/stage/tests/neighbours.rs
@@ -10,9 +10,9 @@
 use wagtailreel_fleet::{Datagram, Query, Status};
 
 /// Polls the fleet's first agent as an entry does, and returns the answer.
-async fn ask(fleet: &Fleet, socket: &UdpSocket, is_near: bool) -> Status {
+async fn ask(fleet: &Fleet, socket: &UdpSocket, is_local: bool) -> Status {
     let query = Query {
-        is_near,
+        is_local,
         ..Query::default()
     };
     common::ask(socket, fleet.addr(0), query).await
@@ -62,7 +62,7 @@
     ask(&fleet, &sender, true).await;
     let before = ask(&fleet, &other, true).await.load.unwrap();
     let announcement = Query {
-        sends_us: Some(90_000),
+        prefill_us: Some(90_000),
         ..Query::default()
     };
     let datagram = Datagram::Query(announcement).to_bytes();
@@ -75,5 +75,5 @@
     let load = reported.load.unwrap();
     assert_eq!(reported.nonce, 0, "a push answers no query");
     assert_eq!(load.queued, before.queued + 1);
-    assert!((80..=90).contains(&load.reading_ms), "{load:?}");
+    assert!((80..=90).contains(&load.prefill_ms), "{load:?}");
 }
--- a/crates/stage/tests/quarantine_sync.rs
+++ b/crates/stage/tests/quarantine_sync.rs
@@ -9,11 +9,11 @@
 use common::{Fleet, ask};
 use tokio::net::UdpSocket;
 use wagtailreel_core::Digest;
-use wagtailreel_fleet::{Datagram, EndedUnder, Query};
+use wagtailreel_fleet::{CrashReport, Datagram, Query};
 
-fn ended(upstreams: &[&str]) -> EndedUnder {
+fn ended(upstreams: &[&str]) -> CrashReport {
     let upstreams = upstreams.iter().map(|id| ((*id).to_owned(), 5));
-    EndedUnder {
+    CrashReport {
         fingerprint: Digest::of(b"request"),
         upstreams: upstreams.collect::<BTreeMap<_, _>>(),
         finished_ms: None,
@@ -25,7 +25,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let query = Query {
         nonce: 1,
-        is_near: true,
+        is_local: true,
         ..Query::default()
     };
     ask(&socket, agent, query).await;
@@ -33,7 +33,7 @@
 }
 
 async fn tell(entry: &UdpSocket, agent: SocketAddr, upstreams: &[&str]) {
-    let datagram = Datagram::Ended(vec![ended(upstreams)]).to_bytes();
+    let datagram = Datagram::CrashReports(vec![ended(upstreams)]).to_bytes();
     entry.send_to(&datagram, agent).await.unwrap();
 }
 
@@ -42,7 +42,7 @@
     let mut buf = [0; 4096];
     loop {
         let (len, _) = entry.recv_from(&mut buf).await.unwrap();
-        if let Ok(Datagram::Ended(reported)) = Datagram::from_bytes(&buf[..len]) {
+        if let Ok(Datagram::CrashReports(reported)) = Datagram::from_bytes(&buf[..len]) {
             assert_eq!(reported.len(), 1);
             return reported[0].upstreams.keys().cloned().collect();
         }
@@ -70,7 +70,7 @@
     let started = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let query = Datagram::Query(Query {
         nonce: 1,
-        is_near: true,
+        is_local: true,
         ..Query::default()
     });
     started.send_to(&query.to_bytes(), agent).await.unwrap();
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -99,7 +99,7 @@
             let refused = &self.inner.refused;
             refused.send_modify(|refused| *refused.entry(topic).or_default() += 1);
             let reason = "told to be away".to_owned();
-            return Err(RegistryError::Away { reason });
+            return Err(RegistryError::Unreachable { reason });
         }
         Ok(())
     }
@@ -123,7 +123,7 @@
             next,
             end,
             as_of,
-            is_second_hand: false,
+            is_relayed: false,
         }
     }
 
@@ -157,7 +157,7 @@
             items,
             end,
             as_of: sent,
-            is_second_hand: false,
+            is_relayed: false,
         })
     }
 
