--- a/crates/direct/src/far.rs
+++ b/crates/direct/src/far.rs
@@ -27,7 +27,7 @@
 use wagtailreel_fleet::{BootTime, LoadStatus};
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_nearby::packing::{Packed, UnpackError, age_of, unpack};
-use wagtailreel_route::direct::{Word, Words};
+use wagtailreel_route::direct::{LoadReport, LoadReports};
 
 use crate::events;
 use crate::view::{View, lock};
@@ -168,8 +168,8 @@
             Some(reader)
         };
         match self.read_from(giver, data_centre).await {
-            Ok(words) => {
-                self.view.take_words(&words);
+            Ok(load_reports) => {
+                self.view.merge_load_reports(&load_reports);
                 self.note_giver(data_centre, giver, "");
             }
             Err(err) => {
@@ -189,7 +189,7 @@
         &self,
         giver: Option<SocketAddr>,
         data_centre: &str,
-    ) -> Result<Words, FarError> {
+    ) -> Result<LoadReports, FarError> {
         let giver = giver.context(NobodyKnownSnafu)?;
         let url = format!("http://{giver}/v1/load/{data_centre}");
         let req = Request::get(&url).body(Body::default());
@@ -209,12 +209,18 @@
             return EmptySnafu.fail();
         }
         // Counted back from the question, a word never looks younger than it is.
-        let heard_at =
+        let received_at =
             |told: &ToldWord| sent.checked_sub(age + Duration::from_millis(told.heard_ms.into()));
         let word = |told: ToldWord| {
-            let heard_at = heard_at(&told)?;
+            let received_at = received_at(&told)?;
             let status = told.status;
-            Some((told.ip, Word { status, heard_at }))
+            Some((
+                told.ip,
+                LoadReport {
+                    status,
+                    received_at,
+                },
+            ))
         };
         Ok(told.into_iter().filter_map(word).collect())
     }
@@ -262,17 +268,17 @@
         if let Some(last) = last.filter(|it| it.at.elapsed() <= GIVEN_FOR) {
             return (last.packed.clone(), last.at.elapsed());
         }
-        let told = |(ip, word): (IpAddr, Word)| {
-            let heard = now.saturating_duration_since(word.heard_at).as_millis();
+        let told = |(ip, word): (IpAddr, LoadReport)| {
+            let heard = now.saturating_duration_since(word.received_at).as_millis();
             ToldWord {
                 ip,
                 heard_ms: u32::try_from(heard).unwrap_or(u32::MAX),
                 status: word.status,
             }
         };
-        let words = self.view.words(data_centre, OLDEST, now);
-        let words: Vec<ToldWord> = words.into_iter().map(told).collect();
-        let packed = Packed::new(&words);
+        let load_reports = self.view.load_reports(data_centre, OLDEST, now);
+        let load_reports: Vec<ToldWord> = load_reports.into_iter().map(told).collect();
+        let packed = Packed::new(&load_reports);
         let fresh = Given {
             at: now,
             packed: packed.clone(),
@@ -283,13 +289,16 @@
 }
 
 /// Returns the routes on which other entries ask for load.
-pub(crate) fn router(words: Arc<FarWords>) -> Router {
+pub(crate) fn router(load_reports: Arc<FarWords>) -> Router {
     Router::new()
         .route("/v1/load/{data_centre}", get(give))
-        .with_state(words)
+        .with_state(load_reports)
 }
 
-async fn give(State(words): State<Arc<FarWords>>, Path(data_centre): Path<DataCentre>) -> Response {
-    let (packed, age) = words.give(&data_centre);
+async fn give(
+    State(load_reports): State<Arc<FarWords>>,
+    Path(data_centre): Path<DataCentre>,
+) -> Response {
+    let (packed, age) = load_reports.give(&data_centre);
     packed.answer(age)
 }
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -17,7 +17,7 @@
 
 use crate::events;
 use crate::pool::Pool;
-use wagtailreel_route::direct::{Naming, NamingBounds, Namings, Pressure, Upstreams, Words};
+use wagtailreel_route::direct::{LoadReports, Naming, NamingBounds, Namings, Pressure, Upstreams};
 
 /// Retries that this entry may save up for each service. The budget is one for all entries; with
 /// 8 entries they spend 40 of the 104 that the users allow beyond the share of the requests.
@@ -138,18 +138,23 @@
     }
 
     /// Returns the words on engines in `data_centre` that are no older than `oldest`.
-    pub(crate) fn words(&self, data_centre: &str, oldest: Duration, now: Instant) -> Words {
-        let mut words = Words::new();
+    pub(crate) fn load_reports(
+        &self,
+        data_centre: &str,
+        oldest: Duration,
+        now: Instant,
+    ) -> LoadReports {
+        let mut load_reports = LoadReports::new();
         for (service, _) in self.engine_services() {
-            words.extend(service.upstreams().words(data_centre, oldest, now));
+            load_reports.extend(service.upstreams().load_reports(data_centre, oldest, now));
         }
-        words
+        load_reports
     }
 
     /// Takes what another entry heard of engines.
-    pub(crate) fn take_words(&self, words: &Words) {
+    pub(crate) fn merge_load_reports(&self, load_reports: &LoadReports) {
         for (service, model) in self.engine_services() {
-            let newest = service.upstreams().take_words(words);
+            let newest = service.upstreams().merge_load_reports(load_reports);
             service.heard.notify_waiters();
             if let Some(version) = newest {
                 self.take_held(&model, version);
--- a/crates/route/src/direct/hearsay.rs
+++ b/crates/route/src/direct/hearsay.rs
@@ -12,26 +12,32 @@
 
 /// A word on an engine's load.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct LoadReport {
     /// What its agent said.
     pub status: LoadStatus,
     /// When it was heard from the agent.
-    pub heard_at: Instant,
+    pub received_at: Instant,
 }
 
 /// Words on engines, by the addresses of their VMs.
-pub type Words = BTreeMap<IpAddr, Word>;
+pub type LoadReports = BTreeMap<IpAddr, LoadReport>;
 
 impl Upstreams {
     /// Returns the words on upstreams of `data_centre` that are no older than `oldest`.
-    pub fn words(&self, data_centre: &str, oldest: Duration, now: Instant) -> Words {
+    pub fn load_reports(&self, data_centre: &str, oldest: Duration, now: Instant) -> LoadReports {
         let members = self.members();
         let members = members.filter(|it| it.upstream.data_centre == data_centre);
         let heard = members.filter(|it| it.heard_within(oldest, now));
         let word = |member: &super::Member| {
-            let (status, heard_at) = member.status.clone()?;
+            let (status, received_at) = member.status.clone()?;
             let ip = member.upstream.addr.ip();
-            Some((ip, Word { status, heard_at }))
+            Some((
+                ip,
+                LoadReport {
+                    status,
+                    received_at,
+                },
+            ))
         };
         heard.filter_map(word).collect()
     }
@@ -41,15 +47,15 @@
     ///
     /// The words are of the engines of all services, which serve other models. What this entry heard later
     /// itself stands. A question of its own stays open: another's word says nothing of the link to here.
-    pub fn take_words(&mut self, words: &Words) -> Option<WeightsVersion> {
+    pub fn merge_load_reports(&mut self, load_reports: &LoadReports) -> Option<WeightsVersion> {
         let mut newest = None;
         for member in self.members.values_mut().filter(|it| !it.is_gone) {
-            let Some(word) = words.get(&member.upstream.addr.ip()) else {
+            let Some(word) = load_reports.get(&member.upstream.addr.ip()) else {
                 continue;
             };
             newest = newest.max(word.status.version);
-            if !member.heard_since(word.heard_at) {
-                member.take_status(&word.status, word.heard_at);
+            if !member.heard_since(word.received_at) {
+                member.take_status(&word.status, word.received_at);
             }
         }
         newest
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -27,7 +27,7 @@
 
 pub use correction::Correction;
 pub use ending::{Attempt, Ending, Next, next_step};
-pub use hearsay::{Word, Words};
+pub use hearsay::{LoadReport, LoadReports};
 pub use limit::{Limit, NamedLimit};
 pub use member::{LoadSource, Member};
 pub use naming::{Naming, NamingBounds, Namings, Told};
--- a/crates/route/tests/hearsay.rs
+++ b/crates/route/tests/hearsay.rs
@@ -9,7 +9,7 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream, UpstreamState};
-use wagtailreel_route::direct::{Ask, Upstreams, Word, Words};
+use wagtailreel_route::direct::{Ask, LoadReport, LoadReports, Upstreams};
 
 const OLDEST: Duration = Duration::from_millis(700);
 
@@ -46,11 +46,17 @@
     }
 }
 
-fn words(all: &[(u8, u64, Instant)]) -> Words {
-    let word = |(host, version, heard_at): &(u8, u64, Instant)| {
+fn load_reports(all: &[(u8, u64, Instant)]) -> LoadReports {
+    let word = |(host, version, received_at): &(u8, u64, Instant)| {
         let status = status(*version, 3);
-        let heard_at = *heard_at;
-        (ip(*host), Word { status, heard_at })
+        let received_at = *received_at;
+        (
+            ip(*host),
+            LoadReport {
+                status,
+                received_at,
+            },
+        )
     };
     all.iter().map(word).collect()
 }
@@ -59,22 +65,30 @@
 #[rstest]
 fn other_service() {
     let now = Instant::now();
-    let all = words(&[(1, 2, now), (2, 9, now)]);
-    assert_eq!(service(1).take_words(&all), Some(2));
-    assert_eq!(service(2).take_words(&all), Some(9));
-    assert_eq!(service(3).take_words(&all), None);
+    let all = load_reports(&[(1, 2, now), (2, 9, now)]);
+    assert_eq!(service(1).merge_load_reports(&all), Some(2));
+    assert_eq!(service(2).merge_load_reports(&all), Some(9));
+    assert_eq!(service(3).merge_load_reports(&all), None);
 }
 
 #[rstest]
 fn told_on() {
     let now = Instant::now();
-    let all = words(&[(1, 2, now)]);
+    let all = load_reports(&[(1, 2, now)]);
     let mut upstreams = service(1);
-    upstreams.take_words(&all);
-    assert_eq!(upstreams.words("quay", OLDEST, now + OLDEST), all);
+    upstreams.merge_load_reports(&all);
+    assert_eq!(upstreams.load_reports("quay", OLDEST, now + OLDEST), all);
     let later = now + OLDEST + Duration::from_millis(1);
-    assert_eq!(upstreams.words("quay", OLDEST, later), Words::new(), "old");
-    assert_eq!(upstreams.words("hall", OLDEST, now), Words::new(), "near");
+    assert_eq!(
+        upstreams.load_reports("quay", OLDEST, later),
+        LoadReports::new(),
+        "old"
+    );
+    assert_eq!(
+        upstreams.load_reports("hall", OLDEST, now),
+        LoadReports::new(),
+        "near"
+    );
 }
 
 /// What was heard later from the agent itself stands.
@@ -84,8 +98,8 @@
     let mut upstreams = service(1);
     let heard = now + Duration::from_millis(20);
     upstreams.status(ip(1), &status(2, 1), Some(Duration::ZERO), heard);
-    upstreams.take_words(&words(&[(1, 2, now)]));
-    let known = upstreams.words("quay", OLDEST, heard);
+    upstreams.merge_load_reports(&load_reports(&[(1, 2, now)]));
+    let known = upstreams.load_reports("quay", OLDEST, heard);
     assert_eq!(known.get(&ip(1)).unwrap().status.running, 1);
 }
 
