--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wagtailreel_fleet::{BootTime, HeardNaming, NamedWeights, Topic, WeightsVersion};
-use wagtailreel_route::direct::{Namings, Told};
+use wagtailreel_route::direct::{NamingSource, Namings};
 
 use super::{View, lock};
 use crate::events;
@@ -41,7 +41,7 @@
         let now = BootTime::now();
         let read_as_of = self.read_as_of();
         let binding_from = self.take_missed(|namings| namings.take_held(&weights, read_as_of, now));
-        tell_named(&weights, Told::Held, binding_from, now);
+        tell_named(&weights, NamingSource::Held, binding_from, now);
     }
 
     /// Takes weights that others know of, and has the registry read where that has to show whether their
@@ -68,9 +68,9 @@
         let told = if self.read_as_of().is_some() {
             self.news(now)
         } else if self.saw_return.load(Ordering::Relaxed) {
-            Told::AfterOutage
+            NamingSource::AfterOutage
         } else {
-            Told::BeforeStart(self.started)
+            NamingSource::BeforeStart(self.started)
         };
         let binding_from = lock(&self.namings).take(weights, told, now);
         tell_named(weights, told, binding_from, now);
@@ -81,11 +81,11 @@
     /// They were named after the last read that did not know them. Counted from when it is heard of, the bound
     /// of a process that stood still, or reads through one that does, would end as much later. The time in which
     /// the registry left calls unanswered does not count.
-    fn news(&self, now: BootTime) -> Told {
+    fn news(&self, now: BootTime) -> NamingSource {
         // Without a read before there is nothing that the weights could be news to.
         let after = self.read_as_of().unwrap_or(now);
         let unanswered = *lock(&self.unanswered);
-        Told::News {
+        NamingSource::Registry {
             heard: after.max(unanswered.unwrap_or(after)),
             after,
         }
@@ -93,7 +93,12 @@
 }
 
 /// Tells of weights from which on nothing older may begin; of nothing where they are no news.
-fn tell_named(weights: &NamedWeights, told: Told, binding_from: Option<BootTime>, now: BootTime) {
+fn tell_named(
+    weights: &NamedWeights,
+    told: NamingSource,
+    binding_from: Option<BootTime>,
+    now: BootTime,
+) {
     let Some(binding_from) = binding_from else {
         return;
     };
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -30,7 +30,7 @@
 pub use hearsay::{LoadReport, LoadReports};
 pub use limit::{Limit, NamedLimit};
 pub use member::{LoadSource, Member};
-pub use naming::{Naming, NamingBounds, Namings, Told};
+pub use naming::{Naming, NamingBounds, NamingSource, Namings};
 pub use obstacle::Obstacle;
 pub use patience::{Patience, Sign};
 pub use permits::{GIVER_SHARES, Permits};
--- a/crates/route/src/direct/naming.rs
+++ b/crates/route/src/direct/naming.rs
@@ -29,10 +29,10 @@
 
 /// How a process comes to know that weights are named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Told {
+pub enum NamingSource {
     /// The registry names them now.
     #[display("news")]
-    News {
+    Registry {
         /// The moment from which their bound counts.
         heard: BootTime,
         /// The registry did not name them at this moment.
@@ -49,14 +49,14 @@
     Held,
     /// Another process heard the registry name them, and not at this moment yet.
     #[display("word")]
-    Word(BootTime),
+    Reported(BootTime),
 }
 
-impl Told {
+impl NamingSource {
     /// Returns a moment at which the registry is proved not to have named the weights; none where none is.
     pub const fn after(&self) -> Option<BootTime> {
         match *self {
-            Self::News { after, .. } | Self::Word(after) => Some(after),
+            Self::Registry { after, .. } | Self::Reported(after) => Some(after),
             Self::BeforeStart(_) | Self::AfterOutage | Self::Held => None,
         }
     }
@@ -106,7 +106,7 @@
     fn passed_over(
         &self,
         named: Named,
-        told: Told,
+        told: NamingSource,
         last: WeightsVersion,
         now: BootTime,
     ) -> Option<Named> {
@@ -114,7 +114,7 @@
         if version <= last {
             return None;
         }
-        if !matches!(told, Told::Word(_)) {
+        if !matches!(told, NamingSource::Reported(_)) {
             return Some(Named { version, ..named });
         }
         // It may have been named long before the moment that the word proves.
@@ -201,7 +201,12 @@
 
     /// Takes that `weights` are named; returns from when on nothing older may begin, or none if they
     /// are no news.
-    pub fn take(&mut self, weights: &NamedWeights, told: Told, now: BootTime) -> Option<BootTime> {
+    pub fn take(
+        &mut self,
+        weights: &NamedWeights,
+        told: NamingSource,
+        now: BootTime,
+    ) -> Option<BootTime> {
         let newest = self.newest_version(&weights.model);
         if newest.is_some_and(|newest| newest >= weights.version) {
             return None;
@@ -211,14 +216,16 @@
         let waits = self.bounds.waits();
         let waits_at_start = waits.min(LAST_BEGIN_AT_START);
         let (binding_from, waits) = match told {
-            Told::News { heard, .. } => (heard.plus(self.bounds.begin), waits),
-            Told::AfterOutage => (now.plus(self.bounds.begin), waits),
-            Told::BeforeStart(started) => (started.plus(self.bounds.unknown), waits_at_start),
-            Told::Held => (now.plus(self.bounds.unknown), waits_at_start),
-            Told::Word(after) => (after.plus(self.bounds.begin), waits),
+            NamingSource::Registry { heard, .. } => (heard.plus(self.bounds.begin), waits),
+            NamingSource::AfterOutage => (now.plus(self.bounds.begin), waits),
+            NamingSource::BeforeStart(started) => {
+                (started.plus(self.bounds.unknown), waits_at_start)
+            }
+            NamingSource::Held => (now.plus(self.bounds.unknown), waits_at_start),
+            NamingSource::Reported(after) => (after.plus(self.bounds.begin), waits),
         };
         let since = match told {
-            Told::News { heard, .. } => Some(heard),
+            NamingSource::Registry { heard, .. } => Some(heard),
             _ => told.after(),
         };
         let mut last_begin = binding_from.plus(waits);
@@ -233,7 +240,7 @@
             since,
             after: told.after(),
             known_at: now,
-            is_guess: matches!(told, Told::BeforeStart(_) | Told::Held),
+            is_guess: matches!(told, NamingSource::BeforeStart(_) | NamingSource::Held),
         };
         let all = self.named.entry(weights.model.clone()).or_default();
         let last = newest.unwrap_or(FIRST_VERSION);
@@ -246,8 +253,8 @@
     ///
     /// The registry answered whoever told of them: no call that it left unanswered after that excuses this
     /// process.
-    fn told_before(&self, weights: &NamedWeights, told: Told) -> Option<Told> {
-        let Told::News { heard, after } = told else {
+    fn told_before(&self, weights: &NamedWeights, told: NamingSource) -> Option<NamingSource> {
+        let NamingSource::Registry { heard, after } = told else {
             return None;
         };
         let seen = self.seen.get(&weights.model)?;
@@ -255,7 +262,7 @@
             .told_at
             .filter(|_| seen.version >= weights.version)?
             .max(after);
-        (told_at < heard).then_some(Told::News {
+        (told_at < heard).then_some(NamingSource::Registry {
             heard: told_at,
             after,
         })
@@ -274,7 +281,7 @@
         read_as_of: Option<BootTime>,
         now: BootTime,
     ) -> Option<BootTime> {
-        self.take_missed(weights, Told::Held, read_as_of, now)
+        self.take_missed(weights, NamingSource::Held, read_as_of, now)
     }
 
     /// Takes `weights` that others know of, if the naming was missed: the last read of the registry, which
@@ -282,14 +289,14 @@
     fn take_missed(
         &mut self,
         weights: &NamedWeights,
-        told: Told,
+        told: NamingSource,
         read_as_of: Option<BootTime>,
         now: BootTime,
     ) -> Option<BootTime> {
         if self.newest_version(&weights.model)? >= weights.version {
             return None;
         }
-        let told_at = matches!(told, Told::Word(_)).then_some(now);
+        let told_at = matches!(told, NamingSource::Reported(_)).then_some(now);
         let seen = self.seen.get_mut(&weights.model);
         let Some(seen) = seen.filter(|seen| seen.version >= weights.version) else {
             let seen = Seen {
@@ -330,7 +337,7 @@
     ) -> Option<BootTime> {
         let newest = self.newest_version(&weights.model)?;
         if newest < weights.version {
-            return self.take_missed(weights, Told::Word(after), read_as_of, now);
+            return self.take_missed(weights, NamingSource::Reported(after), read_as_of, now);
         }
         self.learn(weights, after)
     }
--- a/crates/route/tests/naming.rs
+++ b/crates/route/tests/naming.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{BootTime, NamedWeights, WeightsVersion};
-use wagtailreel_route::direct::{NamingBounds, Namings, Told};
+use wagtailreel_route::direct::{NamingBounds, NamingSource, Namings};
 
 const MODEL: &str = "epitaph";
 
@@ -29,8 +29,8 @@
 }
 
 /// Read in the registry at a moment, and not there at the one before.
-fn news(heard_ms: u64, after_ms: u64) -> Told {
-    Told::News {
+fn news(heard_ms: u64, after_ms: u64) -> NamingSource {
+    NamingSource::Registry {
         heard: at(heard_ms),
         after: at(after_ms),
     }
@@ -38,9 +38,9 @@
 
 #[rstest]
 #[case::news(news(9_000, 8_400), 16_000)]
-#[case::before_start(Told::BeforeStart(at(9_500)), 12_000)]
-#[case::after_outage(Told::AfterOutage, 17_000)]
-fn first_naming(#[case] told: Told, #[case] binding_from: u64) {
+#[case::before_start(NamingSource::BeforeStart(at(9_500)), 12_000)]
+#[case::after_outage(NamingSource::AfterOutage, 17_000)]
+fn first_naming(#[case] told: NamingSource, #[case] binding_from: u64) {
     let mut namings = namings();
     let binding = namings.take(&weights(2), told, at(10_000));
     assert_eq!(binding, Some(at(binding_from)));
@@ -53,7 +53,7 @@
 #[rstest]
 fn held_by_engine() {
     let mut namings = namings();
-    namings.take(&weights(2), Told::BeforeStart(at(0)), at(100));
+    namings.take(&weights(2), NamingSource::BeforeStart(at(0)), at(100));
     assert_eq!(namings.take_held(&weights(3), Some(at(100)), at(200)), None);
     let binding = namings.take_held(&weights(3), Some(at(300)), at(400));
     assert_eq!(binding, Some(at(2_900)), "a later read names it no more");
@@ -89,9 +89,9 @@
 /// Only what is proved is told to others.
 #[rstest]
 #[case::news(news(400, 350), Some(400), Some(350))]
-#[case::before_start(Told::BeforeStart(at(400)), None, None)]
-#[case::after_outage(Told::AfterOutage, None, None)]
-fn told_proof(#[case] told: Told, #[case] since: Option<u64>, #[case] after: Option<u64>) {
+#[case::before_start(NamingSource::BeforeStart(at(400)), None, None)]
+#[case::after_outage(NamingSource::AfterOutage, None, None)]
+fn told_proof(#[case] told: NamingSource, #[case] since: Option<u64>, #[case] after: Option<u64>) {
     let mut namings = namings();
     namings.take(&weights(2), told, at(500));
     let naming = namings.newest(MODEL).unwrap();
@@ -102,7 +102,7 @@
 #[rstest]
 fn latest_proof() {
     let mut namings = namings();
-    namings.take(&weights(2), Told::BeforeStart(at(9_000)), at(9_000));
+    namings.take(&weights(2), NamingSource::BeforeStart(at(9_000)), at(9_000));
     let binding = namings.learn(&weights(2), at(2_400));
     assert_eq!(binding, Some(at(9_400)), "a guess gives way");
     let binding = namings.learn(&weights(2), at(9_000));
@@ -136,7 +136,7 @@
 #[rstest]
 fn word_after_outage() {
     let mut namings = namings();
-    namings.take(&weights(3), Told::AfterOutage, at(26_400));
+    namings.take(&weights(3), NamingSource::AfterOutage, at(26_400));
     assert_eq!(namings.learn(&weights(3), at(26_162)), None);
     assert_eq!(namings.learn(&weights(3), at(17_534)), None);
     assert_eq!(namings.least_version(MODEL, at(33_399)), None);
@@ -162,7 +162,11 @@
 #[rstest]
 fn earlier_version() {
     let mut namings = namings();
-    namings.take(&weights(3), Told::BeforeStart(at(20_000)), at(20_100));
+    namings.take(
+        &weights(3),
+        NamingSource::BeforeStart(at(20_000)),
+        at(20_100),
+    );
     namings.learn(&weights(3), at(19_500));
     assert_eq!(namings.least_version(MODEL, at(22_499)), None);
     assert_eq!(namings.least_version(MODEL, at(22_500)), Some(2));
@@ -172,8 +176,8 @@
 /// What proves that a version was not named when this process knew it already is false.
 #[rstest]
 #[case::news(news(8_000, 8_000))]
-#[case::guess(Told::BeforeStart(at(9_000)))]
-fn proof_after_known(#[case] told: Told) {
+#[case::guess(NamingSource::BeforeStart(at(9_000)))]
+fn proof_after_known(#[case] told: NamingSource) {
     let mut namings = namings();
     let binding = namings.take(&weights(2), told, at(12_000)).unwrap();
     assert_eq!(namings.learn(&weights(2), at(12_100)), None);
@@ -184,7 +188,7 @@
 #[rstest]
 fn word_passes_over() {
     let mut namings = namings();
-    namings.take(&weights(1), Told::BeforeStart(at(0)), at(100));
+    namings.take(&weights(1), NamingSource::BeforeStart(at(0)), at(100));
     let word = |namings: &mut Namings, read: u64, now: u64| {
         namings.take_word(&weights(3), at(19_500), Some(at(read)), at(now))
     };
