--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -134,7 +134,7 @@
                     }
                     take(&of.service, from.ip(), &load, round_trip);
                     if let (Some(model), Some(version)) = (&of.model, load.version) {
-                        view.take_held(model, version);
+                        view.record_held(model, version);
                     }
                 }
             }
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -157,7 +157,7 @@
             let newest = service.upstreams().merge_load_reports(load_reports);
             service.heard.notify_waiters();
             if let Some(version) = newest {
-                self.take_held(&model, version);
+                self.record_held(&model, version);
             }
         }
     }
--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -19,8 +19,8 @@
         let now = BootTime::now();
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
-        let binding_from =
-            self.take_missed(|namings| namings.take_word(&naming.weights, after, read_as_of, now));
+        let binding_from = self
+            .record_missed(|namings| namings.merge_report(&naming.weights, after, read_as_of, now));
         if let Some(binding_from) = binding_from {
             events::NAMING_LEARNED.emit(&[
                 ("model", &naming.weights.model),
@@ -33,20 +33,21 @@
     }
 
     /// Takes that an engine of `model` holds `version` whole.
-    pub(crate) fn take_held(&self, model: &str, version: WeightsVersion) {
+    pub(crate) fn record_held(&self, model: &str, version: WeightsVersion) {
         let weights = NamedWeights {
             model: model.to_owned(),
             version,
         };
         let now = BootTime::now();
         let read_as_of = self.read_as_of();
-        let binding_from = self.take_missed(|namings| namings.take_held(&weights, read_as_of, now));
+        let binding_from =
+            self.record_missed(|namings| namings.record_held(&weights, read_as_of, now));
         tell_named(&weights, NamingSource::Held, binding_from, now);
     }
 
     /// Takes weights that others know of, and has the registry read where that has to show whether their
     /// naming was missed.
-    fn take_missed<F, T>(&self, take: F) -> T
+    fn record_missed<F, T>(&self, take: F) -> T
     where
         F: FnOnce(&mut Namings) -> T,
     {
@@ -72,7 +73,7 @@
         } else {
             NamingSource::BeforeStart(self.started)
         };
-        let binding_from = lock(&self.namings).take(weights, told, now);
+        let binding_from = lock(&self.namings).record(weights, told, now);
         tell_named(weights, told, binding_from, now);
     }
 
--- a/crates/route/src/direct/naming.rs
+++ b/crates/route/src/direct/naming.rs
@@ -201,7 +201,7 @@
 
     /// Takes that `weights` are named; returns from when on nothing older may begin, or none if they
     /// are no news.
-    pub fn take(
+    pub fn record(
         &mut self,
         weights: &NamedWeights,
         told: NamingSource,
@@ -275,18 +275,18 @@
     /// the naming was missed. An entry that was cut off hears of engines first, and of the naming a moment
     /// later: taken at once, the streams of a whole data centre were cut when its links came back.
     /// Without any naming there is nothing that engines are to be brought to.
-    pub fn take_held(
+    pub fn record_held(
         &mut self,
         weights: &NamedWeights,
         read_as_of: Option<BootTime>,
         now: BootTime,
     ) -> Option<BootTime> {
-        self.take_missed(weights, NamingSource::Held, read_as_of, now)
+        self.record_missed(weights, NamingSource::Held, read_as_of, now)
     }
 
     /// Takes `weights` that others know of, if the naming was missed: the last read of the registry, which
     /// speaks of `read_as_of`, began after they were heard of first, and still names an older version.
-    fn take_missed(
+    fn record_missed(
         &mut self,
         weights: &NamedWeights,
         told: NamingSource,
@@ -314,7 +314,7 @@
         if read_as_of? <= seen.at {
             return None;
         }
-        self.take(weights, told, now)
+        self.record(weights, told, now)
     }
 
     /// Returns whether the registry is to be read now, to know if newer weights that others told of are news
@@ -327,8 +327,8 @@
     /// returns from when on nothing older may begin, or none if that is no news.
     ///
     /// A version that the registry has not named to this process is left to it, as in
-    /// [`take_held`](Self::take_held).
-    pub fn take_word(
+    /// [`record_held`](Self::take_held).
+    pub fn merge_report(
         &mut self,
         weights: &NamedWeights,
         after: BootTime,
@@ -337,9 +337,9 @@
     ) -> Option<BootTime> {
         let newest = self.newest_version(&weights.model)?;
         if newest < weights.version {
-            return self.take_missed(weights, NamingSource::Reported(after), read_as_of, now);
+            return self.record_missed(weights, NamingSource::Reported(after), read_as_of, now);
         }
-        self.learn(weights, after)
+        self.merge_proof(weights, after)
     }
 
     /// Takes that another process proved `weights` not to be named at `after`; returns from when on
@@ -349,7 +349,7 @@
     /// an entry that had just started refused its callers 9 s before it had to. A guess gives way to
     /// it. The registry's word on its return from an outage stands: the bound counts from it, and what
     /// waits to begin is not cut by an older one.
-    pub fn learn(&mut self, weights: &NamedWeights, after: BootTime) -> Option<BootTime> {
+    pub fn merge_proof(&mut self, weights: &NamedWeights, after: BootTime) -> Option<BootTime> {
         let mut named = self.named.get_mut(&weights.model)?.iter_mut();
         let named = named.find(|it| it.version == weights.version)?;
         let is_later = |known: BootTime| known.plus(SAME) < after;
--- a/crates/route/tests/naming.rs
+++ b/crates/route/tests/naming.rs
@@ -42,7 +42,7 @@
 #[case::after_outage(NamingSource::AfterOutage, 17_000)]
 fn first_naming(#[case] told: NamingSource, #[case] binding_from: u64) {
     let mut namings = namings();
-    let binding = namings.take(&weights(2), told, at(10_000));
+    let binding = namings.record(&weights(2), told, at(10_000));
     assert_eq!(binding, Some(at(binding_from)));
     assert_eq!(namings.least_version(MODEL, at(binding_from - 1)), None);
     assert_eq!(namings.least_version(MODEL, at(binding_from)), Some(2));
@@ -53,13 +53,16 @@
 #[rstest]
 fn held_by_engine() {
     let mut namings = namings();
-    namings.take(&weights(2), NamingSource::BeforeStart(at(0)), at(100));
-    assert_eq!(namings.take_held(&weights(3), Some(at(100)), at(200)), None);
-    let binding = namings.take_held(&weights(3), Some(at(300)), at(400));
+    namings.record(&weights(2), NamingSource::BeforeStart(at(0)), at(100));
+    assert_eq!(
+        namings.record_held(&weights(3), Some(at(100)), at(200)),
+        None
+    );
+    let binding = namings.record_held(&weights(3), Some(at(300)), at(400));
     assert_eq!(binding, Some(at(2_900)), "a later read names it no more");
     assert_eq!(namings.newest(MODEL).unwrap().weights.version, 3);
     assert_eq!(namings.least_version(MODEL, at(2_900)), Some(3));
-    assert_eq!(namings.take(&weights(2), news(0, 0), at(500)), None);
+    assert_eq!(namings.record(&weights(2), news(0, 0), at(500)), None);
 }
 
 /// An entry that was cut off hears of engines before the registry tells it of the naming, whose bound
@@ -67,13 +70,16 @@
 #[rstest]
 fn after_a_cut() {
     let mut namings = namings();
-    namings.take(&weights(2), news(1_000, 900), at(1_000));
+    namings.record(&weights(2), news(1_000, 900), at(1_000));
     let (cut_off_at, back) = (at(2_000), at(20_000));
-    assert_eq!(namings.take_held(&weights(3), Some(cut_off_at), back), None);
-    assert_eq!(namings.learn(&weights(3), at(8_400)), None);
-    let binding = namings.take(&weights(3), news(20_300, 2_000), at(20_300));
+    assert_eq!(
+        namings.record_held(&weights(3), Some(cut_off_at), back),
+        None
+    );
+    assert_eq!(namings.merge_proof(&weights(3), at(8_400)), None);
+    let binding = namings.record(&weights(3), news(20_300, 2_000), at(20_300));
     assert_eq!(binding, Some(at(27_300)));
-    assert_eq!(namings.learn(&weights(3), at(8_400)), None);
+    assert_eq!(namings.merge_proof(&weights(3), at(8_400)), None);
     assert_eq!(namings.least_version(MODEL, at(27_299)), Some(2));
 }
 
@@ -81,7 +87,7 @@
 #[rstest]
 fn held_without_naming() {
     let mut namings = namings();
-    let held = namings.take_held(&weights(1), Some(at(300)), at(200));
+    let held = namings.record_held(&weights(1), Some(at(300)), at(200));
     assert_eq!(held, None);
     assert_eq!(namings.newest(MODEL), None);
 }
@@ -93,7 +99,7 @@
 #[case::after_outage(NamingSource::AfterOutage, None, None)]
 fn told_proof(#[case] told: NamingSource, #[case] since: Option<u64>, #[case] after: Option<u64>) {
     let mut namings = namings();
-    namings.take(&weights(2), told, at(500));
+    namings.record(&weights(2), told, at(500));
     let naming = namings.newest(MODEL).unwrap();
     assert_eq!((naming.since, naming.after), (since.map(at), after.map(at)));
 }
@@ -102,13 +108,17 @@
 #[rstest]
 fn latest_proof() {
     let mut namings = namings();
-    namings.take(&weights(2), NamingSource::BeforeStart(at(9_000)), at(9_000));
-    let binding = namings.learn(&weights(2), at(2_400));
+    namings.record(&weights(2), NamingSource::BeforeStart(at(9_000)), at(9_000));
+    let binding = namings.merge_proof(&weights(2), at(2_400));
     assert_eq!(binding, Some(at(9_400)), "a guess gives way");
-    let binding = namings.learn(&weights(2), at(9_000));
+    let binding = namings.merge_proof(&weights(2), at(9_000));
     assert_eq!(binding, Some(at(16_000)), "a later one says more");
-    assert_eq!(namings.learn(&weights(2), at(9_010)), None, "the same");
-    assert_eq!(namings.learn(&weights(2), at(8_000)), None, "earlier");
+    assert_eq!(
+        namings.merge_proof(&weights(2), at(9_010)),
+        None,
+        "the same"
+    );
+    assert_eq!(namings.merge_proof(&weights(2), at(8_000)), None, "earlier");
     assert_eq!(namings.least_version(MODEL, at(15_999)), None);
     assert_eq!(namings.least_version(MODEL, at(16_000)), Some(2));
     let naming = namings.newest(MODEL).unwrap();
@@ -122,10 +132,10 @@
 #[rstest]
 fn own_news() {
     let mut namings = namings();
-    namings.take(&weights(2), news(9_000, 8_000), at(9_000));
-    assert_eq!(namings.learn(&weights(2), at(5_000)), None);
+    namings.record(&weights(2), news(9_000, 8_000), at(9_000));
+    assert_eq!(namings.merge_proof(&weights(2), at(5_000)), None);
     assert_eq!(namings.newest(MODEL).unwrap().after, Some(at(8_000)));
-    assert_eq!(namings.learn(&weights(2), at(8_600)), None);
+    assert_eq!(namings.merge_proof(&weights(2), at(8_600)), None);
     assert_eq!(namings.newest(MODEL).unwrap().after, Some(at(8_600)));
     assert_eq!(namings.least_version(MODEL, at(15_999)), None);
     assert_eq!(namings.least_version(MODEL, at(16_000)), Some(2));
@@ -136,9 +146,9 @@
 #[rstest]
 fn word_after_outage() {
     let mut namings = namings();
-    namings.take(&weights(3), NamingSource::AfterOutage, at(26_400));
-    assert_eq!(namings.learn(&weights(3), at(26_162)), None);
-    assert_eq!(namings.learn(&weights(3), at(17_534)), None);
+    namings.record(&weights(3), NamingSource::AfterOutage, at(26_400));
+    assert_eq!(namings.merge_proof(&weights(3), at(26_162)), None);
+    assert_eq!(namings.merge_proof(&weights(3), at(17_534)), None);
     assert_eq!(namings.least_version(MODEL, at(33_399)), None);
     assert_eq!(namings.least_version(MODEL, at(33_400)), Some(3));
 }
@@ -148,9 +158,9 @@
 #[rstest]
 fn passed_over_version() {
     let mut namings = namings();
-    namings.take(&weights(2), news(1_000, 900), at(1_000));
-    namings.take(&weights(4), news(9_000, 9_000), at(12_100));
-    namings.learn(&weights(4), at(12_000));
+    namings.record(&weights(2), news(1_000, 900), at(1_000));
+    namings.record(&weights(4), news(9_000, 9_000), at(12_100));
+    namings.merge_proof(&weights(4), at(12_000));
     assert_eq!(namings.least_version(MODEL, at(15_999)), Some(2));
     assert_eq!(namings.least_version(MODEL, at(16_000)), Some(3));
     assert_eq!(namings.least_version(MODEL, at(18_999)), Some(3));
@@ -162,12 +172,12 @@
 #[rstest]
 fn earlier_version() {
     let mut namings = namings();
-    namings.take(
+    namings.record(
         &weights(3),
         NamingSource::BeforeStart(at(20_000)),
         at(20_100),
     );
-    namings.learn(&weights(3), at(19_500));
+    namings.merge_proof(&weights(3), at(19_500));
     assert_eq!(namings.least_version(MODEL, at(22_499)), None);
     assert_eq!(namings.least_version(MODEL, at(22_500)), Some(2));
     assert_eq!(namings.least_version(MODEL, at(26_500)), Some(3));
@@ -179,8 +189,8 @@
 #[case::guess(NamingSource::BeforeStart(at(9_000)))]
 fn proof_after_known(#[case] told: NamingSource) {
     let mut namings = namings();
-    let binding = namings.take(&weights(2), told, at(12_000)).unwrap();
-    assert_eq!(namings.learn(&weights(2), at(12_100)), None);
+    let binding = namings.record(&weights(2), told, at(12_000)).unwrap();
+    assert_eq!(namings.merge_proof(&weights(2), at(12_100)), None);
     assert_eq!(namings.least_version(MODEL, binding), Some(2));
 }
 
@@ -188,9 +198,9 @@
 #[rstest]
 fn word_passes_over() {
     let mut namings = namings();
-    namings.take(&weights(1), NamingSource::BeforeStart(at(0)), at(100));
+    namings.record(&weights(1), NamingSource::BeforeStart(at(0)), at(100));
     let word = |namings: &mut Namings, read: u64, now: u64| {
-        namings.take_word(&weights(3), at(19_500), Some(at(read)), at(now))
+        namings.merge_report(&weights(3), at(19_500), Some(at(read)), at(now))
     };
     assert_eq!(word(&mut namings, 20_000, 20_100), None);
     assert_eq!(word(&mut namings, 20_200, 20_300), Some(at(26_500)));
@@ -203,8 +213,11 @@
 #[rstest]
 fn proof_after_news() {
     let mut namings = namings();
-    namings.take(&weights(2), news(8_000, 8_000), at(12_000));
-    assert_eq!(namings.learn(&weights(2), at(8_600)), Some(at(15_600)));
+    namings.record(&weights(2), news(8_000, 8_000), at(12_000));
+    assert_eq!(
+        namings.merge_proof(&weights(2), at(8_600)),
+        Some(at(15_600))
+    );
     assert_eq!(namings.least_version(MODEL, at(15_599)), None);
     assert_eq!(namings.least_version(MODEL, at(15_600)), Some(2));
 }
@@ -213,21 +226,21 @@
 #[rstest]
 fn told_while_unanswered() {
     let mut namings = namings();
-    namings.take(&weights(2), news(1_000, 900), at(1_000));
-    let word = namings.take_word(&weights(3), at(8_400), Some(at(8_000)), at(9_000));
+    namings.record(&weights(2), news(1_000, 900), at(1_000));
+    let word = namings.merge_report(&weights(3), at(8_400), Some(at(8_000)), at(9_000));
     assert_eq!(word, None, "left to the registry");
-    let binding = namings.take(&weights(3), news(15_000, 8_000), at(15_200));
+    let binding = namings.record(&weights(3), news(15_000, 8_000), at(15_200));
     assert_eq!(binding, Some(at(16_000)));
-    assert_eq!(namings.learn(&weights(3), at(8_400)), None, "earlier");
+    assert_eq!(namings.merge_proof(&weights(3), at(8_400)), None, "earlier");
 }
 
 /// Where the bound is over by the time that the process reads of them, what waits to begin is not cut at once.
 #[rstest]
 fn told_long_before() {
     let mut namings = namings();
-    namings.take(&weights(2), news(1_000, 900), at(1_000));
-    namings.take_word(&weights(3), at(8_400), Some(at(8_000)), at(9_000));
-    let binding = namings.take(&weights(3), news(19_500, 8_000), at(20_000));
+    namings.record(&weights(2), news(1_000, 900), at(1_000));
+    namings.merge_report(&weights(3), at(8_400), Some(at(8_000)), at(9_000));
+    let binding = namings.record(&weights(3), news(19_500, 8_000), at(20_000));
     assert_eq!(binding, Some(at(16_000)));
     let within = namings.begin_within(MODEL, 2, at(20_000));
     assert_eq!(within, Some(Duration::from_millis(600)));
@@ -237,11 +250,11 @@
 #[rstest]
 fn held_while_unanswered() {
     let mut namings = namings();
-    namings.take(&weights(2), news(1_000, 900), at(1_000));
+    namings.record(&weights(2), news(1_000, 900), at(1_000));
     assert_eq!(
-        namings.take_held(&weights(3), Some(at(8_000)), at(9_000)),
+        namings.record_held(&weights(3), Some(at(8_000)), at(9_000)),
         None
     );
-    let binding = namings.take(&weights(3), news(15_000, 8_000), at(15_200));
+    let binding = namings.record(&weights(3), news(15_000, 8_000), at(15_200));
     assert_eq!(binding, Some(at(22_000)));
 }
