--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -107,7 +107,7 @@
     /// every data centre, and what they send keeps its link too full for a new word.
     async fn choose_heard(&self) -> Result<Pick, Refusal> {
         let pick = self.choose(None)?;
-        if !pick.is_hearsay {
+        if !pick.is_unconfirmed {
             return Ok(pick);
         }
         let asked_at = Instant::now();
@@ -124,7 +124,7 @@
         let ips = {
             let ticket = rand::rng().random();
             let upstreams = self.service.upstreams();
-            upstreams.hearsay(&self.ask(None), ASKED_ABROAD, ticket, asked_at)
+            upstreams.unconfirmed(&self.ask(None), ASKED_ABROAD, ticket, asked_at)
         };
         for ip in &ips {
             self.cx.agents.ask(*ip);
--- a/crates/route/src/direct/hearsay.rs
+++ b/crates/route/src/direct/hearsay.rs
@@ -65,12 +65,18 @@
     /// `ticket`.
     ///
     /// The draw keeps entries that spill over at the same moment from all asking after the same few.
-    pub fn hearsay(&self, ask: &Ask<'_>, most: usize, ticket: u64, now: Instant) -> Vec<IpAddr> {
+    pub fn unconfirmed(
+        &self,
+        ask: &Ask<'_>,
+        most: usize,
+        ticket: u64,
+        now: Instant,
+    ) -> Vec<IpAddr> {
         let presumed = self.presumed(ask, now);
         let offers = self.members.values();
         let offers = offers.filter_map(|member| self.offer(member, ask, presumed, now).ok());
         let mut known: Vec<(bool, u64, IpAddr)> = offers
-            .filter(|offer| offer.pick.is_hearsay)
+            .filter(|offer| offer.pick.is_unconfirmed)
             .map(|offer| {
                 let score = rank_score(&ticket.to_be_bytes(), &offer.pick.id);
                 (offer.rank.is_late, score, offer.pick.addr.ip())
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -51,7 +51,7 @@
     /// All its slots were thought to be taken.
     pub waits: bool,
     /// What is known of it is hearsay: it stands abroad, from where words come seldom.
-    pub is_hearsay: bool,
+    pub is_unconfirmed: bool,
 }
 
 /// Why no upstream was chosen.
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -339,9 +339,9 @@
             None => in_flight >= slots.saturating_add(QUEUE),
         };
         let distance = self.distance(&member.upstream.data_centre);
-        let is_hearsay =
+        let is_unconfirmed =
             distance > 0 && ask.engine.is_some() && !member.answered_within(FRESH, now);
-        let is_unheard = |since| is_hearsay && !member.answered_since(since);
+        let is_unheard = |since| is_unconfirmed && !member.answered_since(since);
         if ask.heard_since.is_some_and(is_unheard) {
             return Err(Shortage::Full);
         }
@@ -371,7 +371,7 @@
             distance,
             expected,
             waits,
-            is_hearsay,
+            is_unconfirmed,
         };
         Ok(Offer { rank, pick })
     }
--- a/crates/route/tests/hearsay.rs
+++ b/crates/route/tests/hearsay.rs
@@ -114,7 +114,10 @@
         heard_since,
         ..Ask::default()
     };
-    upstreams.choose(&ask, now).ok().map(|pick| pick.is_hearsay)
+    upstreams
+        .choose(&ask, now)
+        .ok()
+        .map(|pick| pick.is_unconfirmed)
 }
 
 /// An engine that opens tells all entries of all data centres at once. Those abroad ask before they send, and
