--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use wagtailreel_route::direct::{Ask, LoadSource, Pick, Shortage};
+use wagtailreel_route::direct::{LoadSource, Pick, Requirements, Shortage};
 
 use crate::attempt::{Call, LEAST_FOR_RETRY};
 use crate::dialect::Dialect;
@@ -60,7 +60,7 @@
     async fn await_upstream(&self, shortage: Refusal) -> Result<Pick, Refusal> {
         let since = Instant::now();
         let until = self.admitted.deadline.checked_sub(LEAST_FOR_RETRY);
-        let obstacles = self.service.upstreams().obstacles(&self.ask(None), since);
+        let obstacles = self.service.upstreams().obstacles(&self.needs(None), since);
         let choosing = async {
             loop {
                 self.check_quarantine()?;
@@ -97,7 +97,7 @@
                 return Ok(pick);
             }
         }
-        let back_in = self.back_in(Shortage::Full, &self.ask(None), Instant::now());
+        let back_in = self.back_in(Shortage::Full, &self.needs(None), Instant::now());
         Err(Refusal::Full { back_in })
     }
 
@@ -124,7 +124,7 @@
         let ips = {
             let ticket = rand::rng().random();
             let upstreams = self.service.upstreams();
-            upstreams.unconfirmed(&self.ask(None), ASKED_ABROAD, ticket, asked_at)
+            upstreams.unconfirmed(&self.needs(None), ASKED_ABROAD, ticket, asked_at)
         };
         for ip in &ips {
             self.cx.agents.ask(*ip);
@@ -144,28 +144,28 @@
         count()
     }
 
-    fn ask(&self, heard_since: Option<Instant>) -> Ask<'_> {
+    fn needs(&self, reported_since: Option<Instant>) -> Requirements<'_> {
         let model = self.admitted.model.as_deref();
-        Ask {
+        Requirements {
             model,
             least_version: model.and_then(|model| self.cx.view.least_version(model)),
             tried: self.tried.clone(),
             engine: self.admitted.engine.as_ref(),
             prompt: self.admitted.head.prompt_tokens,
             objective: self.admitted.route.objective,
-            heard_since,
+            reported_since,
         }
     }
 
-    fn choose(&self, heard_since: Option<Instant>) -> Result<Pick, Refusal> {
+    fn choose(&self, reported_since: Option<Instant>) -> Result<Pick, Refusal> {
         if self.admitted.customer.is_some() && !self.cx.trusts_keys() {
             return Err(Refusal::StaleConfiguration);
         }
-        let ask = self.ask(heard_since);
+        let needs = self.needs(reported_since);
         let now = Instant::now();
-        let chosen = self.service.upstreams().choose(&ask, now);
+        let chosen = self.service.upstreams().choose(&needs, now);
         chosen.map_err(|shortage| {
-            let back_in = self.back_in(shortage, &ask, now);
+            let back_in = self.back_in(shortage, &needs, now);
             match shortage {
                 Shortage::NoUpstream => Refusal::NoUpstream { back_in },
                 Shortage::Weights => Refusal::Weights { back_in },
@@ -175,9 +175,9 @@
     }
 
     /// Returns when a request that found no upstream is best sent again.
-    fn back_in(&self, shortage: Shortage, ask: &Ask<'_>, now: Instant) -> Duration {
+    fn back_in(&self, shortage: Shortage, needs: &Requirements<'_>, now: Instant) -> Duration {
         let free_in = match shortage {
-            Shortage::Full => self.service.upstreams().free_in(ask, now),
+            Shortage::Full => self.service.upstreams().free_in(needs, now),
             Shortage::NoUpstream | Shortage::Weights => Some(LONG_PAUSE),
         };
         let left = self.admitted.deadline.saturating_duration_since(now);
--- a/crates/direct/tests/members.rs
+++ b/crates/direct/tests/members.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use wagtailreel_direct::{Ask, LoadSource, Shortage, Upstreams};
+use wagtailreel_direct::{LoadSource, Requirements, Shortage, Upstreams};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream, UpstreamState};
 
 const MODEL: &str = "epitaph";
@@ -53,7 +53,9 @@
 }
 
 fn choose(fleet: &mut Upstreams, now: Instant) -> Result<String, Shortage> {
-    fleet.choose(&Ask::default(), now).map(|pick| pick.id)
+    fleet
+        .choose(&Requirements::default(), now)
+        .map(|pick| pick.id)
 }
 
 fn status(running: u32) -> LoadStatus {
@@ -79,7 +81,7 @@
         }
     }
     assert!(
-        fleet.choose(&Ask::default(), now).is_ok(),
+        fleet.choose(&Requirements::default(), now).is_ok(),
         "one may wait at each"
     );
 }
@@ -102,11 +104,11 @@
     let mut fleet = fleet(&[upstream("a", 1, "hall"), upstream("b", 2, "hall")]);
     fleet.status(ip(1), &status(3), None, now);
     fleet.status(ip(2), &status(1), None, now);
-    let pick = fleet.choose(&Ask::default(), now).unwrap();
+    let pick = fleet.choose(&Requirements::default(), now).unwrap();
     assert_eq!((pick.id.as_str(), pick.in_flight), ("b", 1));
     assert_eq!(pick.source, LoadSource::Agent);
     let later = now + Duration::from_secs(2);
-    let pick = fleet.choose(&Ask::default(), later).unwrap();
+    let pick = fleet.choose(&Requirements::default(), later).unwrap();
     assert_eq!(pick.source, LoadSource::Own, "old words don't count");
 }
 
@@ -152,12 +154,12 @@
 fn weights(#[case] least: Option<u64>, #[case] expected: Result<&str, Shortage>) {
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
-    let ask = Ask {
+    let needs = Requirements {
         model: Some(MODEL),
         least_version: least,
-        ..Ask::default()
+        ..Requirements::default()
     };
-    let chosen = fleet.choose(&ask, now).map(|pick| pick.id);
+    let chosen = fleet.choose(&needs, now).map(|pick| pick.id);
     assert_eq!(chosen, expected.map(ToOwned::to_owned));
 }
 
@@ -167,14 +169,14 @@
     let mut empty = upstream("a", 1, "hall");
     empty.models.clear();
     let mut fleet = fleet(&[empty]);
-    let ask = Ask {
+    let needs = Requirements {
         model: Some(MODEL),
-        ..Ask::default()
+        ..Requirements::default()
     };
-    assert_eq!(fleet.choose(&ask, now), Err(Shortage::Weights));
+    assert_eq!(fleet.choose(&needs, now), Err(Shortage::Weights));
     fleet.status(ip(1), &status(0), None, now);
     assert!(
-        fleet.choose(&ask, now).is_ok(),
+        fleet.choose(&needs, now).is_ok(),
         "the agent knows before the registry"
     );
 }
@@ -260,15 +262,15 @@
         upstream("far", 3, "quay"),
     ]);
     let engine = common::engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         engine: Some(&engine),
         objective: Duration::from_millis(300),
-        ..Ask::default()
+        ..Requirements::default()
     };
     fleet.started("a", 1500);
     fleet.started("b", 0);
     fleet.started("b", 0);
-    let choose = |fleet: &mut Upstreams| fleet.choose(&ask, now).unwrap().id;
+    let choose = |fleet: &mut Upstreams| fleet.choose(&needs, now).unwrap().id;
     assert_eq!(
         choose(&mut fleet),
         "b",
@@ -297,16 +299,16 @@
         upstream("silent", 3, "hall"),
     ]);
     let engine = common::engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         engine: Some(&engine),
         objective: Duration::from_millis(200),
         tried: ["a", "b"].map(ToOwned::to_owned).into(),
-        ..Ask::default()
+        ..Requirements::default()
     };
     for host in [1, 2] {
         fleet.status(ip(host), &status(running), None, now);
     }
-    let chosen = fleet.choose(&ask, now);
+    let chosen = fleet.choose(&needs, now);
     assert_eq!(chosen.is_ok(), is_chosen, "{chosen:?}");
 }
 
@@ -319,13 +321,13 @@
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
     let engine = common::engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         engine: Some(&engine),
         prompt,
         objective: Duration::from_millis(300),
-        ..Ask::default()
+        ..Requirements::default()
     };
     fleet.status(ip(1), &status(4), None, now);
-    let chosen = fleet.choose(&ask, now);
+    let chosen = fleet.choose(&needs, now);
     assert!(chosen.is_ok(), "{chosen:?}");
 }
--- a/crates/direct/tests/restart.rs
+++ b/crates/direct/tests/restart.rs
@@ -9,7 +9,7 @@
 
 use common::registered;
 use rstest::rstest;
-use wagtailreel_direct::{Ask, Pick, Shortage, Upstreams};
+use wagtailreel_direct::{Pick, Requirements, Shortage, Upstreams};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream};
 
 const MODEL: &str = "epitaph";
@@ -33,11 +33,11 @@
 }
 
 fn choose(fleet: &mut Upstreams) -> Result<Pick, Shortage> {
-    let ask = Ask {
+    let needs = Requirements {
         model: Some(MODEL),
-        ..Ask::default()
+        ..Requirements::default()
     };
-    fleet.choose(&ask, Instant::now())
+    fleet.choose(&needs, Instant::now())
 }
 
 fn word(started: u64, version: Option<u64>) -> LoadStatus {
--- a/crates/direct/tests/session.rs
+++ b/crates/direct/tests/session.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use wagtailreel_direct::{Ask, Attempt, Ending, Upstreams, next_step};
+use wagtailreel_direct::{Attempt, Ending, Requirements, Upstreams, next_step};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, RouteKind, Upstream, UpstreamState};
 
 const MODEL: &str = "epitaph";
@@ -97,17 +97,17 @@
     fn request(&mut self, tokens: u32, least: Option<u64>, tried: &[&str]) {
         let tried: BTreeSet<String> = tried.iter().map(|id| (*id).to_owned()).collect();
         let engine = common::engine_model();
-        let ask = Ask {
+        let needs = Requirements {
             model: Some(MODEL),
             least_version: least,
             tried,
             engine: Some(&engine),
             prompt: tokens,
             objective: Duration::from_millis(300),
-            heard_since: None,
+            reported_since: None,
         };
         let now = self.now();
-        match self.fleet.choose(&ask, now) {
+        match self.fleet.choose(&needs, now) {
             Ok(pick) => {
                 self.fleet.started(&pick.id, tokens);
                 let known = format!("{} there by {}", pick.in_flight, pick.source);
--- a/crates/route/src/direct/hearsay.rs
+++ b/crates/route/src/direct/hearsay.rs
@@ -7,7 +7,7 @@
 use wagtailreel_core::rank_score;
 use wagtailreel_fleet::{LoadStatus, WeightsVersion};
 
-use super::pick::Ask;
+use super::pick::Requirements;
 use super::upstreams::Upstreams;
 
 /// A word on an engine's load.
@@ -54,7 +54,7 @@
                 continue;
             };
             newest = newest.max(word.status.version);
-            if !member.heard_since(word.received_at) {
+            if !member.reported_since(word.received_at) {
                 member.take_status(&word.status, word.received_at);
             }
         }
@@ -67,14 +67,14 @@
     /// The draw keeps entries that spill over at the same moment from all asking after the same few.
     pub fn unconfirmed(
         &self,
-        ask: &Ask<'_>,
+        needs: &Requirements<'_>,
         most: usize,
         ticket: u64,
         now: Instant,
     ) -> Vec<IpAddr> {
-        let presumed = self.presumed(ask, now);
+        let presumed = self.presumed(needs, now);
         let offers = self.members.values();
-        let offers = offers.filter_map(|member| self.offer(member, ask, presumed, now).ok());
+        let offers = offers.filter_map(|member| self.offer(member, needs, presumed, now).ok());
         let mut known: Vec<(bool, u64, IpAddr)> = offers
             .filter(|offer| offer.pick.is_unconfirmed)
             .map(|offer| {
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -179,7 +179,7 @@
     }
 
     /// Says whether the agent's last word came after `since`.
-    pub(crate) fn heard_since(&self, since: Instant) -> bool {
+    pub(crate) fn reported_since(&self, since: Instant) -> bool {
         self.status.as_ref().is_some_and(|(_, at)| *at > since)
     }
 
--- a/crates/route/src/direct/obstacle.rs
+++ b/crates/route/src/direct/obstacle.rs
@@ -6,7 +6,7 @@
 use wagtailreel_fleet::UpstreamState;
 
 use super::member::Member;
-use super::{Ask, Shortage, Upstreams};
+use super::{Requirements, Shortage, Upstreams};
 
 /// What keeps a request from an upstream that is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
@@ -32,17 +32,25 @@
 }
 
 impl Upstreams {
-    /// Counts the registered upstreams that `ask` can't be sent to, by what keeps it from them.
-    pub fn obstacles(&self, ask: &Ask<'_>, now: Instant) -> BTreeMap<Obstacle, u32> {
+    /// Counts the registered upstreams that `needs` can't be sent to, by what keeps it from them.
+    pub fn obstacles(&self, needs: &Requirements<'_>, now: Instant) -> BTreeMap<Obstacle, u32> {
         let mut counts = BTreeMap::new();
-        for obstacle in self.members().filter_map(|it| self.obstacle(it, ask, now)) {
+        for obstacle in self
+            .members()
+            .filter_map(|it| self.obstacle(it, needs, now))
+        {
             *counts.entry(obstacle).or_default() += 1;
         }
         counts
     }
 
-    fn obstacle(&self, member: &Member, ask: &Ask<'_>, now: Instant) -> Option<Obstacle> {
-        if ask.tried.contains(&member.upstream.id) {
+    fn obstacle(
+        &self,
+        member: &Member,
+        needs: &Requirements<'_>,
+        now: Instant,
+    ) -> Option<Obstacle> {
+        if needs.tried.contains(&member.upstream.id) {
             return Some(Obstacle::Tried);
         }
         if member.upstream.state != UpstreamState::Ready {
@@ -52,7 +60,7 @@
             return Some(Obstacle::Limited);
         }
         let shortage = self
-            .offer(member, ask, self.presumed(ask, now), now)
+            .offer(member, needs, self.presumed(needs, now), now)
             .err()?;
         Some(match shortage {
             Shortage::NoUpstream => Obstacle::Failing,
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -10,7 +10,7 @@
 
 /// What one request asks of the choice.
 #[derive(Clone, Debug, Default)]
-pub struct Ask<'a> {
+pub struct Requirements<'a> {
     /// The model that the request needs; none at a plain service.
     pub model: Option<&'a str>,
     /// Oldest version of the model's weights that may begin the request.
@@ -24,7 +24,7 @@
     /// Time to the first event within which the answer is wanted.
     pub objective: Duration,
     /// Only upstreams of which there is a word since then, or that are nearby, are chosen from.
-    pub heard_since: Option<Instant>,
+    pub reported_since: Option<Instant>,
 }
 
 /// An upstream that was chosen.
--- a/crates/route/src/direct/room.rs
+++ b/crates/route/src/direct/room.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::pick::Ask;
+use super::pick::Requirements;
 use super::prediction::Prediction;
 
 /// Share of the objective within which the first event has to be expected for an engine nearby to go
@@ -27,7 +27,7 @@
 /// usual length the others lose too much: worth 0.078 in place of 0.094, three seeds.
 pub(super) fn is_full<F>(
     prediction: &Prediction<'_>,
-    ask: &Ask<'_>,
+    needs: &Requirements<'_>,
     waits: bool,
     is_told: bool,
     likely: F,
@@ -35,8 +35,8 @@
 where
     F: Fn(Duration) -> Duration,
 {
-    let beyond = ask.prompt.saturating_sub(prediction.model.usual_prompt);
-    let prompt = ask.prompt - beyond / 2;
-    let is_late = || likely(prediction.first_event(prompt)) > ask.objective;
-    (waits && is_late()) || (is_told && prediction.is_crowded(prompt, safe(ask.objective)))
+    let beyond = needs.prompt.saturating_sub(prediction.model.usual_prompt);
+    let prompt = needs.prompt - beyond / 2;
+    let is_late = || likely(prediction.first_event(prompt)) > needs.objective;
+    (waits && is_late()) || (is_told && prediction.is_crowded(prompt, safe(needs.objective)))
 }
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -10,7 +10,7 @@
 use super::correction::Correction;
 use super::member::{LoadSource, Member, Presumed};
 use super::patience::Sign;
-use super::pick::{Ask, Offer, Pick, Rank, Shortage};
+use super::pick::{Offer, Pick, Rank, Requirements, Shortage};
 use super::room;
 
 /// First time for which an upstream is passed over after failures in a row, doubled with each.
@@ -279,14 +279,14 @@
     /// # Errors
     ///
     /// Returns the [`Shortage`] if none can take the request now.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Instant) -> Result<Pick, Shortage> {
+    pub fn choose(&mut self, needs: &Requirements<'_>, now: Instant) -> Result<Pick, Shortage> {
         let mut shortage = Shortage::NoUpstream;
         let mut best: Option<(Rank, Pick)> = None;
         self.turn = self.turn.wrapping_add(1);
         let count = self.members.len().max(1) as u64;
-        let presumed = self.presumed(ask, now);
+        let presumed = self.presumed(needs, now);
         for (position, member) in self.members.values().enumerate() {
-            let offer = match self.offer(member, ask, presumed, now) {
+            let offer = match self.offer(member, needs, presumed, now) {
                 Ok(offer) => offer,
                 Err(lack) => {
                     shortage = shortage.max_with(lack);
@@ -304,45 +304,45 @@
 
     /// Returns what is thought of engines of which nothing was heard. Plain services have no agents
     /// that could tell of them.
-    pub(super) fn presumed(&self, ask: &Ask<'_>, now: Instant) -> Option<Presumed> {
-        ask.engine.and_then(|_| Presumed::of(self.members(), now))
+    pub(super) fn presumed(&self, needs: &Requirements<'_>, now: Instant) -> Option<Presumed> {
+        needs.engine.and_then(|_| Presumed::of(self.members(), now))
     }
 
     /// Says what `member` has to offer to a request, or what it lacks.
     pub(super) fn offer(
         &self,
         member: &Member,
-        ask: &Ask<'_>,
+        needs: &Requirements<'_>,
         presumed: Option<Presumed>,
         now: Instant,
     ) -> Result<Offer, Shortage> {
-        if !member.takes_new(now) || ask.tried.contains(&member.upstream.id) {
+        if !member.takes_new(now) || needs.tried.contains(&member.upstream.id) {
             return Err(Shortage::NoUpstream);
         }
         if member.limited_for(now) > Duration::ZERO {
             return Err(Shortage::Full);
         }
-        let version = match ask.model {
+        let version = match needs.model {
             None => None,
-            Some(model) => Some(member.serves(model, ask.least_version, now)?),
+            Some(model) => Some(member.serves(model, needs.least_version, now)?),
         };
         let (in_flight, source) = member.thought_in_flight(presumed, now);
         let slots = member.upstream.slots.max(1);
         let waits = in_flight >= slots;
-        let engine = ask.engine;
+        let engine = needs.engine;
         let prediction = engine.map(|engine| member.predict(engine, presumed, now));
-        let expected = prediction.map(|it| it.first_event(ask.prompt));
+        let expected = prediction.map(|it| it.first_event(needs.prompt));
         let likely = |expected| self.correction.apply(waits, expected, now);
-        let is_late = expected.map_or(waits, |expected| likely(expected) > ask.objective);
+        let is_late = expected.map_or(waits, |expected| likely(expected) > needs.objective);
         let is_full = match &prediction {
-            Some(it) => room::is_full(it, ask, waits, source == LoadSource::Agent, likely),
+            Some(it) => room::is_full(it, needs, waits, source == LoadSource::Agent, likely),
             None => in_flight >= slots.saturating_add(QUEUE),
         };
         let distance = self.distance(&member.upstream.data_centre);
         let is_unconfirmed =
-            distance > 0 && ask.engine.is_some() && !member.answered_within(FRESH, now);
+            distance > 0 && needs.engine.is_some() && !member.answered_within(FRESH, now);
         let is_unheard = |since| is_unconfirmed && !member.answered_since(since);
-        if ask.heard_since.is_some_and(is_unheard) {
+        if needs.reported_since.is_some_and(is_unheard) {
             return Err(Shortage::Full);
         }
         let is_doubted = member.is_doubted(now);
@@ -352,9 +352,9 @@
         let rank = Rank {
             is_doubted,
             is_late,
-            is_unsafe: expected.is_some_and(|it| likely(it) > room::safe(ask.objective)),
+            is_unsafe: expected.is_some_and(|it| likely(it) > room::safe(needs.objective)),
             distance,
-            reading: ask
+            reading: needs
                 .engine
                 .map_or(0, |engine| member.reading_step(engine, presumed, now)),
             load: u64::from(in_flight) * 1000 / u64::from(slots),
--- a/crates/route/src/direct/waits.rs
+++ b/crates/route/src/direct/waits.rs
@@ -2,26 +2,26 @@
 
 use std::time::{Duration, Instant};
 
-use super::pick::Ask;
+use super::pick::Requirements;
 use super::room;
 use super::upstreams::Upstreams;
 
 impl Upstreams {
     /// Returns when the first place for a request gets free; none where that can't be told.
-    pub fn free_in(&self, ask: &Ask<'_>, now: Instant) -> Option<Duration> {
-        let presumed = self.presumed(ask, now);
-        let objective = room::safe(ask.objective);
+    pub fn free_in(&self, needs: &Requirements<'_>, now: Instant) -> Option<Duration> {
+        let presumed = self.presumed(needs, now);
+        let objective = room::safe(needs.objective);
         let takes_new = self.members.values().filter(|it| it.takes_new(now));
         let waits = takes_new.map(|member| {
             let limited = member.limited_for(now);
-            let Some(engine) = ask.engine else {
+            let Some(engine) = needs.engine else {
                 // Nobody can predict the answers of a plain service.
                 return Some(limited).filter(|it| !it.is_zero());
             };
             let engine = member.predict(engine, presumed, now);
             let full = engine
                 .slot_wait()
-                .max(engine.crowd_wait(ask.prompt, objective));
+                .max(engine.crowd_wait(needs.prompt, objective));
             Some(full.max(limited))
         });
         waits.collect::<Option<Vec<Duration>>>()?.into_iter().min()
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -9,7 +9,7 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{EngineModel, LoadStatus};
-use wagtailreel_route::direct::{Ask, Places, Prediction, Shortage, Upstreams};
+use wagtailreel_route::direct::{Places, Prediction, Requirements, Shortage, Upstreams};
 
 const OBJECTIVE: Duration = Duration::from_millis(400);
 const SLOTS: u32 = 12;
@@ -24,14 +24,14 @@
 
 fn choose(upstreams: &mut Upstreams, prompt: u32, now: Instant) -> Result<String, Shortage> {
     let engine = engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         model: Some(lab::MODEL),
         engine: Some(&engine),
         prompt,
         objective: OBJECTIVE,
-        ..Ask::default()
+        ..Requirements::default()
     };
-    upstreams.choose(&ask, now).map(|pick| pick.id)
+    upstreams.choose(&needs, now).map(|pick| pick.id)
 }
 
 /// Makes an entry's view of one engine, as its agent tells.
@@ -74,15 +74,15 @@
     let now = Instant::now();
     let engine = engine_model();
     let free_in = |reading| {
-        let ask = Ask {
+        let needs = Requirements {
             model: Some(lab::MODEL),
             engine: Some(&engine),
             prompt: 900,
             objective: OBJECTIVE,
-            ..Ask::default()
+            ..Requirements::default()
         };
         let upstreams = view(4, Duration::from_millis(reading), 1.0, now);
-        upstreams.free_in(&ask, now).unwrap()
+        upstreams.free_in(&needs, now).unwrap()
     };
     assert_eq!(free_in(100), Duration::ZERO);
     let (sooner, later) = (free_in(300), free_in(400));
--- a/crates/route/tests/hearsay.rs
+++ b/crates/route/tests/hearsay.rs
@@ -9,7 +9,7 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream, UpstreamState};
-use wagtailreel_route::direct::{Ask, LoadReport, LoadReports, Upstreams};
+use wagtailreel_route::direct::{LoadReport, LoadReports, Requirements, Upstreams};
 
 const OLDEST: Duration = Duration::from_millis(700);
 
@@ -104,18 +104,22 @@
 }
 
 /// Returns the choice for a request that any engine may take.
-fn choose(upstreams: &mut Upstreams, heard_since: Option<Instant>, now: Instant) -> Option<bool> {
+fn choose(
+    upstreams: &mut Upstreams,
+    reported_since: Option<Instant>,
+    now: Instant,
+) -> Option<bool> {
     let engine = lab::engine_model(4);
-    let ask = Ask {
+    let needs = Requirements {
         model: Some("epitaph"),
         engine: Some(&engine),
         prompt: 100,
         objective: Duration::from_millis(300),
-        heard_since,
-        ..Ask::default()
+        reported_since,
+        ..Requirements::default()
     };
     upstreams
-        .choose(&ask, now)
+        .choose(&needs, now)
         .ok()
         .map(|pick| pick.is_unconfirmed)
 }
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 use wagtailreel_fleet::{EngineModel, LoadStatus, LoadedModel, Upstream, UpstreamState};
-use wagtailreel_route::direct::{Ask, Pick, Places, Prediction, Upstreams};
+use wagtailreel_route::direct::{Pick, Places, Prediction, Requirements, Upstreams};
 
 pub(crate) const MODEL: &str = "epitaph";
 
@@ -215,15 +215,15 @@
             sent: self.now,
             pick: None,
         };
-        let ask = Ask {
+        let needs = Requirements {
             model: Some(MODEL),
             engine: Some(&self.model),
             prompt: request.prompt,
             objective: self.pattern.objective,
-            ..Ask::default()
+            ..Requirements::default()
         };
         let now = self.start + self.now;
-        let Ok(pick) = self.entries[entry].choose(&ask, now) else {
+        let Ok(pick) = self.entries[entry].choose(&needs, now) else {
             self.outcome.refused += 1;
             return;
         };
--- a/crates/route/tests/permits.rs
+++ b/crates/route/tests/permits.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use wagtailreel_fleet::{AskPermit, Upstream, UpstreamState};
 use wagtailreel_route::direct::{
-    Ask, GIVER_SHARES, Limit, NamedLimit, Permits, Shortage, Upstreams,
+    GIVER_SHARES, Limit, NamedLimit, Permits, Requirements, Shortage, Upstreams,
 };
 
 const SPAN: Duration = Duration::from_secs(4);
@@ -175,12 +175,19 @@
     let mut upstreams = upstreams();
     let now = Instant::now();
     upstreams.named_limit("u", NamedLimit::Limit(limit(2.0)), now, now);
-    assert!(upstreams.choose(&Ask::default(), now).is_ok());
+    assert!(upstreams.choose(&Requirements::default(), now).is_ok());
     let wait = Duration::from_millis(400);
     upstreams.limited("u", wait, now);
-    assert_eq!(upstreams.choose(&Ask::default(), now), Err(Shortage::Full));
-    assert_eq!(upstreams.free_in(&Ask::default(), now), Some(wait));
-    assert!(upstreams.choose(&Ask::default(), now + wait).is_ok());
+    assert_eq!(
+        upstreams.choose(&Requirements::default(), now),
+        Err(Shortage::Full)
+    );
+    assert_eq!(upstreams.free_in(&Requirements::default(), now), Some(wait));
+    assert!(
+        upstreams
+            .choose(&Requirements::default(), now + wait)
+            .is_ok()
+    );
 }
 
 #[rstest]
