--- a/crates/route/src/direct/hearsay.rs
+++ b/crates/route/src/direct/hearsay.rs
@@ -73,13 +73,14 @@
         now: Instant,
     ) -> Vec<IpAddr> {
         let presumed = self.presumed(needs, now);
-        let offers = self.members.values();
-        let offers = offers.filter_map(|member| self.offer(member, needs, presumed, now).ok());
-        let mut known: Vec<(bool, u64, IpAddr)> = offers
-            .filter(|offer| offer.pick.is_unconfirmed)
-            .map(|offer| {
-                let score = rank_score(&ticket.to_be_bytes(), &offer.pick.id);
-                (offer.rank.is_late, score, offer.pick.addr.ip())
+        let candidates = self.members.values();
+        let candidates =
+            candidates.filter_map(|member| self.candidate(member, needs, presumed, now).ok());
+        let mut known: Vec<(bool, u64, IpAddr)> = candidates
+            .filter(|candidate| candidate.pick.is_unconfirmed)
+            .map(|candidate| {
+                let score = rank_score(&ticket.to_be_bytes(), &candidate.pick.id);
+                (candidate.rank.is_late, score, candidate.pick.addr.ip())
             })
             .collect();
         known.sort_unstable();
--- a/crates/route/src/direct/obstacle.rs
+++ b/crates/route/src/direct/obstacle.rs
@@ -60,7 +60,7 @@
             return Some(Obstacle::Limited);
         }
         let shortage = self
-            .offer(member, needs, self.presumed(needs, now), now)
+            .candidate(member, needs, self.presumed(needs, now), now)
             .err()?;
         Some(match shortage {
             Shortage::NoUpstream => Obstacle::Failing,
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -80,7 +80,7 @@
 }
 
 /// What an upstream has to offer to a request.
-pub(super) struct Offer {
+pub(super) struct Candidate {
     pub(super) rank: Rank,
     pub(super) pick: Pick,
 }
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -10,7 +10,7 @@
 use super::correction::Correction;
 use super::member::{LoadSource, Member, Presumed};
 use super::patience::Sign;
-use super::pick::{Offer, Pick, Rank, Requirements, Shortage};
+use super::pick::{Candidate, Pick, Rank, Requirements, Shortage};
 use super::room;
 
 /// First time for which an upstream is passed over after failures in a row, doubled with each.
@@ -286,17 +286,20 @@
         let count = self.members.len().max(1) as u64;
         let presumed = self.presumed(needs, now);
         for (position, member) in self.members.values().enumerate() {
-            let offer = match self.offer(member, needs, presumed, now) {
-                Ok(offer) => offer,
+            let candidate = match self.candidate(member, needs, presumed, now) {
+                Ok(candidate) => candidate,
                 Err(lack) => {
                     shortage = shortage.max_with(lack);
                     continue;
                 }
             };
             let turn = (position as u64).wrapping_add(self.turn) % count;
-            let rank = Rank { turn, ..offer.rank };
+            let rank = Rank {
+                turn,
+                ..candidate.rank
+            };
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
-                best = Some((rank, offer.pick));
+                best = Some((rank, candidate.pick));
             }
         }
         best.map(|(_, pick)| pick).ok_or(shortage)
@@ -309,13 +312,13 @@
     }
 
     /// Says what `member` has to offer to a request, or what it lacks.
-    pub(super) fn offer(
+    pub(super) fn candidate(
         &self,
         member: &Member,
         needs: &Requirements<'_>,
         presumed: Option<Presumed>,
         now: Instant,
-    ) -> Result<Offer, Shortage> {
+    ) -> Result<Candidate, Shortage> {
         if !member.takes_new(now) || needs.tried.contains(&member.upstream.id) {
             return Err(Shortage::NoUpstream);
         }
@@ -373,7 +376,7 @@
             waits,
             is_unconfirmed,
         };
-        Ok(Offer { rank, pick })
+        Ok(Candidate { rank, pick })
     }
 
     fn distance(&self, data_centre: &str) -> u8 {
