--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use wagtailreel_route::direct::{LoadSource, Pick, Requirements, Shortage};
+use wagtailreel_route::direct::{LoadSource, Pick, Requirements, Unavailable};
 
 use crate::attempt::{Call, LEAST_FOR_RETRY};
 use crate::dialect::Dialect;
@@ -97,7 +97,7 @@
                 return Ok(pick);
             }
         }
-        let back_in = self.back_in(Shortage::Full, &self.needs(None), Instant::now());
+        let back_in = self.back_in(Unavailable::Full, &self.needs(None), Instant::now());
         Err(Refusal::Full { back_in })
     }
 
@@ -167,18 +167,18 @@
         chosen.map_err(|shortage| {
             let back_in = self.back_in(shortage, &needs, now);
             match shortage {
-                Shortage::NoUpstream => Refusal::NoUpstream { back_in },
-                Shortage::Weights => Refusal::Weights { back_in },
-                Shortage::Full => Refusal::Full { back_in },
+                Unavailable::NoUpstream => Refusal::NoUpstream { back_in },
+                Unavailable::Weights => Refusal::Weights { back_in },
+                Unavailable::Full => Refusal::Full { back_in },
             }
         })
     }
 
     /// Returns when a request that found no upstream is best sent again.
-    fn back_in(&self, shortage: Shortage, needs: &Requirements<'_>, now: Instant) -> Duration {
+    fn back_in(&self, shortage: Unavailable, needs: &Requirements<'_>, now: Instant) -> Duration {
         let free_in = match shortage {
-            Shortage::Full => self.service.upstreams().free_in(needs, now),
-            Shortage::NoUpstream | Shortage::Weights => Some(LONG_PAUSE),
+            Unavailable::Full => self.service.upstreams().free_in(needs, now),
+            Unavailable::NoUpstream | Unavailable::Weights => Some(LONG_PAUSE),
         };
         let left = self.admitted.deadline.saturating_duration_since(now);
         let pressure = self.service.pressure();
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -41,6 +41,6 @@
 pub use process::{DirectEntry, DirectError};
 pub use refusal::Refusal;
 pub use wagtailreel_route::direct::{
-    Attempt, Ending, Limit, LoadSource, Member, NamedLimit, Next, Pick, Requirements, Shortage,
+    Attempt, Ending, Limit, LoadSource, Member, NamedLimit, Next, Pick, Requirements, Unavailable,
     Upstreams, next_step,
 };
--- a/crates/direct/tests/members.rs
+++ b/crates/direct/tests/members.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use wagtailreel_direct::{LoadSource, Requirements, Shortage, Upstreams};
+use wagtailreel_direct::{LoadSource, Requirements, Unavailable, Upstreams};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream, UpstreamState};
 
 const MODEL: &str = "epitaph";
@@ -52,7 +52,7 @@
     fleet
 }
 
-fn choose(fleet: &mut Upstreams, now: Instant) -> Result<String, Shortage> {
+fn choose(fleet: &mut Upstreams, now: Instant) -> Result<String, Unavailable> {
     fleet
         .choose(&Requirements::default(), now)
         .map(|pick| pick.id)
@@ -93,7 +93,7 @@
     for _ in 0..5 {
         fleet.started("a", 0);
     }
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::Full));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::Full));
     fleet.finished("a", 0);
     assert!(choose(&mut fleet, now).is_ok());
 }
@@ -124,7 +124,7 @@
         !fleet.may_send("a"),
         "also for a request that has chosen it"
     );
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
 }
 
 #[rstest]
@@ -134,7 +134,7 @@
     fleet.started("a", 0);
     assert!(fleet.remove("a"));
     assert!(!fleet.may_send("a"));
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
     fleet.finished("a", 0);
     assert!(!fleet.remove("a"), "it was forgotten with its last request");
 }
@@ -150,8 +150,8 @@
 #[rstest]
 #[case::older_is_enough(Some(1), Ok("a"))]
 #[case::any_version(None, Ok("a"))]
-#[case::too_old(Some(2), Err(Shortage::Weights))]
-fn weights(#[case] least: Option<u64>, #[case] expected: Result<&str, Shortage>) {
+#[case::too_old(Some(2), Err(Unavailable::Weights))]
+fn weights(#[case] least: Option<u64>, #[case] expected: Result<&str, Unavailable>) {
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
     let needs = Requirements {
@@ -173,7 +173,7 @@
         model: Some(MODEL),
         ..Requirements::default()
     };
-    assert_eq!(fleet.choose(&needs, now), Err(Shortage::Weights));
+    assert_eq!(fleet.choose(&needs, now), Err(Unavailable::Weights));
     fleet.status(ip(1), &status(0), None, now);
     assert!(
         fleet.choose(&needs, now).is_ok(),
@@ -190,7 +190,7 @@
         ..status(2)
     };
     fleet.status(ip(1), &switching, None, now);
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
     let later = now + Duration::from_secs(2);
     assert!(
         choose(&mut fleet, later).is_ok(),
@@ -204,7 +204,7 @@
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
     assert_eq!(fleet.failed("a", now), None, "once is usual");
     let shun = fleet.failed("a", now).unwrap();
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
     assert!(
         choose(&mut fleet, now + shun).is_ok(),
         "it gets another chance"
@@ -244,7 +244,7 @@
         );
         fleet.started("bad", 0);
     }
-    assert_eq!(choose(&mut fleet, later), Err(Shortage::Full), "but few");
+    assert_eq!(choose(&mut fleet, later), Err(Unavailable::Full), "but few");
     fleet.status(ip(1), &status(2), Some(Duration::from_millis(2)), later);
     assert_eq!(
         choose(&mut fleet, later).as_deref(),
--- a/crates/direct/tests/restart.rs
+++ b/crates/direct/tests/restart.rs
@@ -9,7 +9,7 @@
 
 use common::registered;
 use rstest::rstest;
-use wagtailreel_direct::{Pick, Requirements, Shortage, Upstreams};
+use wagtailreel_direct::{Pick, Requirements, Unavailable, Upstreams};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream};
 
 const MODEL: &str = "epitaph";
@@ -32,7 +32,7 @@
     fleet
 }
 
-fn choose(fleet: &mut Upstreams) -> Result<Pick, Shortage> {
+fn choose(fleet: &mut Upstreams) -> Result<Pick, Unavailable> {
     let needs = Requirements {
         model: Some(MODEL),
         ..Requirements::default()
@@ -77,7 +77,7 @@
     let mut empty = record(200);
     empty.models.clear();
     fleet.update(empty);
-    assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
+    assert_eq!(choose(&mut fleet), Err(Unavailable::Weights));
 }
 
 #[rstest]
@@ -85,9 +85,9 @@
     let mut fleet = fleet(100);
     fleet.started("a", 0);
     assert!(hear(&mut fleet, &word(200, None)));
-    assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
+    assert_eq!(choose(&mut fleet), Err(Unavailable::Weights));
     assert!(!fleet.update(record(100)), "the record is from before");
-    assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
+    assert_eq!(choose(&mut fleet), Err(Unavailable::Weights));
 }
 
 #[rstest]
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -7,7 +7,7 @@
 };
 
 use super::limit::KnownLimit;
-use super::pick::Shortage;
+use super::pick::Unavailable;
 use super::prediction::{Prediction, reading};
 use super::reading::ReadingQueue;
 
@@ -233,16 +233,16 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Shortage::Weights`] if there is none, or only one that is older than `least`.
+    /// Returns [`Unavailable::Weights`] if there is none, or only one that is older than `least`.
     pub(crate) fn serves(
         &self,
         model: &str,
         least: Option<WeightsVersion>,
         now: Instant,
-    ) -> Result<WeightsVersion, Shortage> {
-        let held = self.version_of(model, now).ok_or(Shortage::Weights)?;
+    ) -> Result<WeightsVersion, Unavailable> {
+        let held = self.version_of(model, now).ok_or(Unavailable::Weights)?;
         if least.is_some_and(|least| held < least) {
-            return Err(Shortage::Weights);
+            return Err(Unavailable::Weights);
         }
         Ok(held)
     }
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -34,7 +34,7 @@
 pub use obstacle::Obstacle;
 pub use patience::{Patience, Sign};
 pub use permits::{GIVER_SHARES, Permits};
-pub use pick::{Pick, Requirements, Shortage};
+pub use pick::{Pick, Requirements, Unavailable};
 pub use places::Places;
 pub use prediction::Prediction;
 pub use pressure::Pressure;
--- a/crates/route/src/direct/obstacle.rs
+++ b/crates/route/src/direct/obstacle.rs
@@ -6,7 +6,7 @@
 use wagtailreel_fleet::UpstreamState;
 
 use super::member::Member;
-use super::{Requirements, Shortage, Upstreams};
+use super::{Requirements, Unavailable, Upstreams};
 
 /// What keeps a request from an upstream that is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
@@ -63,9 +63,9 @@
             .candidate(member, needs, self.presumed(needs, now), now)
             .err()?;
         Some(match shortage {
-            Shortage::NoUpstream => Obstacle::Failing,
-            Shortage::Weights => Obstacle::Weights,
-            Shortage::Full => Obstacle::Full,
+            Unavailable::NoUpstream => Obstacle::Failing,
+            Unavailable::Weights => Obstacle::Weights,
+            Unavailable::Full => Obstacle::Full,
         })
     }
 }
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -56,7 +56,7 @@
 
 /// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Shortage {
+pub enum Unavailable {
     /// None is registered, or all are leaving or failing.
     #[display("no-upstream")]
     NoUpstream,
@@ -68,7 +68,7 @@
     Full,
 }
 
-impl Shortage {
+impl Unavailable {
     /// Keeps the shortage that comes nearer to serving.
     pub(super) fn max_with(self, other: Self) -> Self {
         match (self, other) {
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -10,7 +10,7 @@
 use super::correction::Correction;
 use super::member::{LoadSource, Member, Presumed};
 use super::patience::Sign;
-use super::pick::{Candidate, Pick, Rank, Requirements, Shortage};
+use super::pick::{Candidate, Pick, Rank, Requirements, Unavailable};
 use super::room;
 
 /// First time for which an upstream is passed over after failures in a row, doubled with each.
@@ -278,9 +278,9 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Shortage`] if none can take the request now.
-    pub fn choose(&mut self, needs: &Requirements<'_>, now: Instant) -> Result<Pick, Shortage> {
-        let mut shortage = Shortage::NoUpstream;
+    /// Returns the [`Unavailable`] if none can take the request now.
+    pub fn choose(&mut self, needs: &Requirements<'_>, now: Instant) -> Result<Pick, Unavailable> {
+        let mut shortage = Unavailable::NoUpstream;
         let mut best: Option<(Rank, Pick)> = None;
         self.turn = self.turn.wrapping_add(1);
         let count = self.members.len().max(1) as u64;
@@ -288,8 +288,8 @@
         for (position, member) in self.members.values().enumerate() {
             let candidate = match self.candidate(member, needs, presumed, now) {
                 Ok(candidate) => candidate,
-                Err(lack) => {
-                    shortage = shortage.max_with(lack);
+                Err(reason) => {
+                    shortage = shortage.max_with(reason);
                     continue;
                 }
             };
@@ -318,12 +318,12 @@
         needs: &Requirements<'_>,
         presumed: Option<Presumed>,
         now: Instant,
-    ) -> Result<Candidate, Shortage> {
+    ) -> Result<Candidate, Unavailable> {
         if !member.takes_new(now) || needs.tried.contains(&member.upstream.id) {
-            return Err(Shortage::NoUpstream);
+            return Err(Unavailable::NoUpstream);
         }
         if member.limited_for(now) > Duration::ZERO {
-            return Err(Shortage::Full);
+            return Err(Unavailable::Full);
         }
         let version = match needs.model {
             None => None,
@@ -346,11 +346,11 @@
             distance > 0 && needs.engine.is_some() && !member.answered_within(FRESH, now);
         let is_unheard = |since| is_unconfirmed && !member.answered_since(since);
         if needs.reported_since.is_some_and(is_unheard) {
-            return Err(Shortage::Full);
+            return Err(Unavailable::Full);
         }
         let is_doubted = member.is_doubted(now);
         if is_full || (is_doubted && member.own >= DOUBTED_REQUESTS) {
-            return Err(Shortage::Full);
+            return Err(Unavailable::Full);
         }
         let rank = Rank {
             is_doubted,
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -9,7 +9,7 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{EngineModel, LoadStatus};
-use wagtailreel_route::direct::{Places, Prediction, Requirements, Shortage, Upstreams};
+use wagtailreel_route::direct::{Places, Prediction, Requirements, Unavailable, Upstreams};
 
 const OBJECTIVE: Duration = Duration::from_millis(400);
 const SLOTS: u32 = 12;
@@ -22,7 +22,7 @@
     }
 }
 
-fn choose(upstreams: &mut Upstreams, prompt: u32, now: Instant) -> Result<String, Shortage> {
+fn choose(upstreams: &mut Upstreams, prompt: u32, now: Instant) -> Result<String, Unavailable> {
     let engine = engine_model();
     let needs = Requirements {
         model: Some(lab::MODEL),
--- a/crates/route/tests/permits.rs
+++ b/crates/route/tests/permits.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use wagtailreel_fleet::{AskPermit, Upstream, UpstreamState};
 use wagtailreel_route::direct::{
-    GIVER_SHARES, Limit, NamedLimit, Permits, Requirements, Shortage, Upstreams,
+    GIVER_SHARES, Limit, NamedLimit, Permits, Requirements, Unavailable, Upstreams,
 };
 
 const SPAN: Duration = Duration::from_secs(4);
@@ -180,7 +180,7 @@
     upstreams.limited("u", wait, now);
     assert_eq!(
         upstreams.choose(&Requirements::default(), now),
-        Err(Shortage::Full)
+        Err(Unavailable::Full)
     );
     assert_eq!(upstreams.free_in(&Requirements::default(), now), Some(wait));
     assert!(
