--- a/crates/route/src/direct/obstacle.rs
+++ b/crates/route/src/direct/exclusion.rs
@@ -10,7 +10,7 @@
 
 /// What keeps a request from an upstream that is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
-pub enum Obstacle {
+pub enum Exclusion {
     /// The request was sent to it, or did not reach it.
     #[display("tried")]
     Tried,
@@ -33,39 +33,39 @@
 
 impl Upstreams {
     /// Counts the registered upstreams that `needs` can't be sent to, by what keeps it from them.
-    pub fn obstacles(&self, needs: &Requirements<'_>, now: Instant) -> BTreeMap<Obstacle, u32> {
+    pub fn obstacles(&self, needs: &Requirements<'_>, now: Instant) -> BTreeMap<Exclusion, u32> {
         let mut counts = BTreeMap::new();
-        for obstacle in self
+        for exclusion in self
             .members()
-            .filter_map(|it| self.obstacle(it, needs, now))
+            .filter_map(|it| self.exclusion(it, needs, now))
         {
-            *counts.entry(obstacle).or_default() += 1;
+            *counts.entry(exclusion).or_default() += 1;
         }
         counts
     }
 
-    fn obstacle(
+    fn exclusion(
         &self,
         member: &Member,
         needs: &Requirements<'_>,
         now: Instant,
-    ) -> Option<Obstacle> {
+    ) -> Option<Exclusion> {
         if needs.tried.contains(&member.upstream.id) {
-            return Some(Obstacle::Tried);
+            return Some(Exclusion::Tried);
         }
         if member.upstream.state != UpstreamState::Ready {
-            return Some(Obstacle::NotReady);
+            return Some(Exclusion::NotReady);
         }
         if member.limited_for(now) > Duration::ZERO {
-            return Some(Obstacle::Limited);
+            return Some(Exclusion::Limited);
         }
         let shortage = self
             .candidate(member, needs, self.presumed(needs, now), now)
             .err()?;
         Some(match shortage {
-            Unavailable::NoUpstream => Obstacle::Failing,
-            Unavailable::Weights => Obstacle::Weights,
-            Unavailable::Full => Obstacle::Full,
+            Unavailable::NoUpstream => Exclusion::Failing,
+            Unavailable::Weights => Exclusion::Weights,
+            Unavailable::Full => Exclusion::Full,
         })
     }
 }
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -8,11 +8,11 @@
 
 mod correction;
 mod ending;
+mod exclusion;
 mod hearsay;
 mod limit;
 mod member;
 mod naming;
-mod obstacle;
 mod patience;
 mod permits;
 mod pick;
@@ -27,11 +27,11 @@
 
 pub use correction::Correction;
 pub use ending::{Attempt, Ending, Next, next_step};
+pub use exclusion::Exclusion;
 pub use hearsay::{LoadReport, LoadReports};
 pub use limit::{Limit, NamedLimit};
 pub use member::{LoadSource, Member};
 pub use naming::{Naming, NamingBounds, NamingSource, Namings};
-pub use obstacle::Obstacle;
 pub use patience::{Patience, Sign};
 pub use permits::{GIVER_SHARES, Permits};
 pub use pick::{Pick, Requirements, Unavailable};
