--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -20,7 +20,7 @@
 use crate::shared::Shared;
 use crate::view::Service;
 use wagtailreel_route::direct::{Attempt, Ending, Next, next_step};
-use wagtailreel_route::direct::{Patience, Pick, Prediction, Suspicion};
+use wagtailreel_route::direct::{Pick, Prediction, StallPolicy, Suspicion};
 
 /// Time that must be left for another attempt to be worth making.
 pub(crate) const LEAST_FOR_RETRY: Duration = Duration::from_millis(60);
@@ -57,7 +57,7 @@
     /// The upstream that was chosen last, and what was known of it.
     pub(crate) last_pick: Option<Pick>,
     pub(crate) sent_at: Instant,
-    patience: Patience,
+    stall_policy: StallPolicy,
     pub(crate) service: Arc<Service>,
     pub(crate) tried: BTreeSet<UpstreamId>,
     unreached: u32,
@@ -73,7 +73,7 @@
         let service = cx.view.service(&admitted.service);
         service.budget().request();
         let route = &admitted.route;
-        let patience = Patience::new(route.objective, route.kind.gap());
+        let stall_policy = StallPolicy::new(route.objective, route.kind.gap());
         Self {
             cx,
             admitted,
@@ -81,7 +81,7 @@
             sent: 0,
             last_pick: None,
             sent_at: Instant::now(),
-            patience,
+            stall_policy,
             service,
             tried: BTreeSet::new(),
             unreached: 0,
@@ -301,7 +301,7 @@
         }
         let mut sending = std::pin::pin!(conn.send(req));
         loop {
-            let Some(look) = self.next_look(self.sent_at, false) else {
+            let Some(look) = self.next_check(self.sent_at, false) else {
                 return Err(GivenUp::Stalled);
             };
             if let Ok(answer) = tokio::time::timeout(look, &mut sending).await {
@@ -314,12 +314,12 @@
     /// since `since`; none if it is to be taken off its upstream.
     ///
     /// One that has not begun is taken back where its weights are about to be too old to begin on.
-    pub(crate) fn next_look(&self, since: Instant, has_begun: bool) -> Option<Duration> {
+    pub(crate) fn next_check(&self, since: Instant, has_begun: bool) -> Option<Duration> {
         let now = Instant::now();
         let pick = self.last_pick.as_ref()?;
-        let sign = self.service.upstreams().sign(pick, now);
+        let liveness = self.service.upstreams().liveness(pick, now);
         let waited = now.saturating_duration_since(since);
-        let look = self.patience.next_look(waited, sign)?;
+        let look = self.stall_policy.next_check(waited, liveness)?;
         if has_begun || pick.version.is_none() {
             return Some(look);
         }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -183,7 +183,7 @@
             let now = Instant::now();
             let left = self.call.admitted.deadline.saturating_duration_since(now);
             let look = if is_repeatable {
-                self.call.next_look(since, self.has_begun)
+                self.call.next_check(since, self.has_begun)
             } else {
                 Some(left)
             };
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Upstreams`] chooses where a request goes or refuses it, by what [`Prediction`] expects of each
 //! engine; [`Places`] is the agent's account of requests on their way to its engine, which all
-//! entries share; [`Namings`] says on which weights a request may begin; [`Patience`] says how long a stream is waited
+//! entries share; [`Namings`] says on which weights a request may begin; [`StallPolicy`] says how long a stream is waited
 //! for; [`Permits`] keeps all entries together to the limits that upstreams name; [`Pressure`] says when a refused caller is to come back; [`Quarantine`] knows requests under
 //! which upstreams end; [`next_step`] says what follows from the end of an attempt.
 
@@ -13,7 +13,6 @@
 mod limit;
 mod member;
 mod naming;
-mod patience;
 mod permits;
 mod pick;
 mod places;
@@ -22,6 +21,7 @@
 mod quarantine;
 mod reading;
 mod room;
+mod stall;
 mod upstreams;
 mod waits;
 
@@ -32,7 +32,6 @@
 pub use limit::{Limit, NamedLimit};
 pub use member::{LoadSource, Member};
 pub use naming::{Naming, NamingBounds, NamingSource, Namings};
-pub use patience::{Patience, Sign};
 pub use permits::{GIVER_SHARES, Permits};
 pub use pick::{Pick, Requirements, Unavailable};
 pub use places::Places;
@@ -40,4 +39,5 @@
 pub use pressure::Pressure;
 pub use quarantine::{Quarantine, Suspicion};
 pub use reading::ReadingQueue;
+pub use stall::{Liveness, StallPolicy};
 pub use upstreams::Upstreams;
--- a/crates/route/src/direct/patience.rs
+++ b/crates/route/src/direct/stall.rs
@@ -16,13 +16,13 @@
 
 /// What is known of an upstream that has a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Sign {
+pub enum Liveness {
     /// Nothing was heard of it lately, or its link is in doubt.
     #[display("silent")]
     Silent,
     /// It lives and has a free slot.
     #[display("room")]
-    Room,
+    Free,
     /// It lives and all its slots are taken.
     #[display("full")]
     Full,
@@ -36,11 +36,11 @@
 /// full engine that lives is waited for as long as the caller waits; a silent one, and one that has room
 /// and still sends nothing, is left in time for another to begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct StallPolicy {
     usual: Duration,
 }
 
-impl Patience {
+impl StallPolicy {
     /// Makes the patience for a stream whose first event is wanted within `objective`, and whose events
     /// within `gap` of each other.
     ///
@@ -55,11 +55,11 @@
 
     /// Returns how long to wait before the next look, for an event that has been waited for since
     /// `waited`; none if the stream is to be taken off the upstream.
-    pub fn next_look(&self, waited: Duration, sign: Sign) -> Option<Duration> {
+    pub fn next_check(&self, waited: Duration, liveness: Liveness) -> Option<Duration> {
         let left = self.usual.saturating_sub(waited);
         if !left.is_zero() {
             return Some(left);
         }
-        (sign == Sign::Full).then_some(LOOK_EVERY)
+        (liveness == Liveness::Full).then_some(LOOK_EVERY)
     }
 }
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -9,9 +9,9 @@
 
 use super::correction::Correction;
 use super::member::{LoadSource, Member, Presumed};
-use super::patience::Sign;
 use super::pick::{Candidate, Pick, Rank, Requirements, Unavailable};
 use super::room;
+use super::stall::Liveness;
 
 /// First time for which an upstream is passed over after failures in a row, doubled with each.
 const FIRST_SHUN: Duration = Duration::from_millis(500);
@@ -257,16 +257,16 @@
     }
 
     /// Returns what is known of the upstream that has a request: whether it lives, and has room.
-    pub fn sign(&self, pick: &Pick, now: Instant) -> Sign {
+    pub fn liveness(&self, pick: &Pick, now: Instant) -> Liveness {
         let member = self.members.get(&pick.id);
         let member = member.filter(|it| it.upstream.started == pick.started);
         let Some(member) = member.filter(|it| it.is_heard(now) && !it.is_doubted(now)) else {
-            return Sign::Silent;
+            return Liveness::Silent;
         };
         if member.in_flight(now).0 >= member.upstream.slots {
-            Sign::Full
+            Liveness::Full
         } else {
-            Sign::Room
+            Liveness::Free
         }
     }
 
