--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -1,7 +1,7 @@
 //! Decisions of an entry that sends requests straight to upstreams, and of the agents beside them.
 //!
 //! [`Upstreams`] chooses where a request goes or refuses it, by what [`Prediction`] expects of each
-//! engine; [`Places`] is the agent's account of requests on their way to its engine, which all
+//! engine; [`PendingArrivals`] is the agent's account of requests on their way to its engine, which all
 //! entries share; [`Namings`] says on which weights a request may begin; [`StallPolicy`] says how long a stream is waited
 //! for; [`Permits`] keeps all entries together to the limits that upstreams name; [`Pressure`] says when a refused caller is to come back; [`Quarantine`] knows requests under
 //! which upstreams end; [`next_step`] says what follows from the end of an attempt.
@@ -13,9 +13,9 @@
 mod limit;
 mod member;
 mod naming;
+mod pending;
 mod permits;
 mod pick;
-mod places;
 mod prediction;
 mod pressure;
 mod quarantine;
@@ -32,9 +32,9 @@
 pub use limit::{Limit, NamedLimit};
 pub use member::{LoadSource, Member};
 pub use naming::{Naming, NamingBounds, NamingSource, Namings};
+pub use pending::PendingArrivals;
 pub use permits::{GIVER_SHARES, Permits};
 pub use pick::{Pick, Requirements, Unavailable};
-pub use places::Places;
 pub use prediction::Prediction;
 pub use pressure::Pressure;
 pub use quarantine::{Quarantine, Suspicion};
--- a/crates/route/src/direct/places.rs
+++ b/crates/route/src/direct/pending.rs
@@ -20,12 +20,12 @@
 /// least loaded and sends there until new figures come. With 34 entries and 99 engines a quarter of
 /// all streams began late for it, at engines that on the whole had room.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct PendingArrivals {
     told: VecDeque<Instant>,
     reading: ReadingQueue,
 }
 
-impl Places {
+impl PendingArrivals {
     /// Takes that an entry sends a request whose prompt takes `reading`.
     pub fn take(&mut self, reading: Duration, now: Instant) {
         self.told.push_back(now);
@@ -33,7 +33,7 @@
     }
 
     /// Takes that the engine's figures were read at `at`.
-    pub fn figures(&mut self, at: Instant) {
+    pub fn figures_read(&mut self, at: Instant) {
         let seen = |told: &Instant| at.saturating_duration_since(*told) >= ON_ITS_WAY;
         while self.told.front().is_some_and(seen) {
             self.told.pop_front();
@@ -48,7 +48,7 @@
     }
 
     /// Returns the requests that are not in the engine's figures yet.
-    pub fn on_their_way(&self, now: Instant) -> u32 {
+    pub fn pending(&self, now: Instant) -> u32 {
         let counts = |told: &&Instant| now.saturating_duration_since(**told) < LONGEST;
         let count = self.told.iter().filter(counts).count();
         u32::try_from(count).unwrap_or(u32::MAX)
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -9,7 +9,9 @@
 
 use rstest::rstest;
 use wagtailreel_fleet::{EngineModel, LoadStatus};
-use wagtailreel_route::direct::{Places, Prediction, Requirements, Unavailable, Upstreams};
+use wagtailreel_route::direct::{
+    PendingArrivals, Prediction, Requirements, Unavailable, Upstreams,
+};
 
 const OBJECTIVE: Duration = Duration::from_millis(400);
 const SLOTS: u32 = 12;
@@ -99,7 +101,7 @@
     ];
     let start = Instant::now();
     let engine = engine_model();
-    let mut places = Places::default();
+    let mut places = PendingArrivals::default();
     let mut read = Duration::ZERO;
     let mut taken = 0;
     for (at, prompt) in (0..).zip(prompts) {
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 use wagtailreel_fleet::{EngineModel, LoadStatus, LoadedModel, Upstream, UpstreamState};
-use wagtailreel_route::direct::{Pick, Places, Prediction, Requirements, Upstreams};
+use wagtailreel_route::direct::{PendingArrivals, Pick, Prediction, Requirements, Upstreams};
 
 pub(crate) const MODEL: &str = "epitaph";
 
@@ -71,7 +71,7 @@
     running: u32,
     waiting: Vec<usize>,
     read_until: Duration,
-    places: Places,
+    places: PendingArrivals,
     word: LoadStatus,
 }
 
@@ -292,7 +292,7 @@
 
     fn word(&mut self, engine: usize) {
         let now = self.instant();
-        self.engines[engine].places.figures(now);
+        self.engines[engine].places.figures_read(now);
         self.tell(engine);
         self.at(self.now + WORD_EVERY, Step::Word(engine));
     }
@@ -305,7 +305,7 @@
         it.word = LoadStatus {
             version: Some(1),
             running: it.running,
-            queued: waiting + it.places.on_their_way(now).min(1),
+            queued: waiting + it.places.pending(now).min(1),
             reading_ms: u32::try_from(it.places.reading_left(now).as_millis()).unwrap(),
             pace: 1.0,
             ..LoadStatus::default()
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -13,7 +13,7 @@
     LoadStatus, NamedWeights, Query, Status, WeightsVersion,
 };
 use wagtailreel_nearby::Neighbours;
-use wagtailreel_route::direct::{Permits, Places};
+use wagtailreel_route::direct::{PendingArrivals, Permits};
 
 use crate::EngineReport;
 use crate::askers::Askers;
@@ -38,7 +38,7 @@
     is_switching: bool,
     naming: Option<(NamedWeights, HeardWeights)>,
     /// Requests on their way to the engine.
-    places: Places,
+    places: PendingArrivals,
 }
 
 /// How much longer than their bound agents tell of weights that were named: an entry that starts then
@@ -101,7 +101,7 @@
         let before = version(known.report.as_ref().map(|(report, _)| report));
         let changed = before != version(report.as_ref());
         let now = Instant::now();
-        known.places.figures(asked_at);
+        known.places.figures_read(asked_at);
         if report
             .as_ref()
             .is_some_and(|it| it.running + it.queued == 0)
@@ -331,7 +331,7 @@
             started: report.started,
             version: report.version_of(&known.model),
             is_switching: known.is_switching || report.is_busy,
-            queued: report.queued.saturating_add(known.places.on_their_way(now)),
+            queued: report.queued.saturating_add(known.places.pending(now)),
             reading_ms: u32::try_from(known.places.reading_left(now).as_millis())
                 .unwrap_or(u32::MAX),
             running: report.running,
