--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -9,7 +9,7 @@
 use super::limit::KnownLimit;
 use super::pick::Unavailable;
 use super::prediction::{Prediction, reading};
-use super::reading::ReadingQueue;
+use super::prefill::PrefillQueue;
 
 /// How long an agent's word on its engine is used. Agents are asked several times a second; after
 /// this time only the entry's own count and the registry are left.
@@ -91,7 +91,7 @@
     /// Prompt tokens of those that have not begun to answer; exact.
     pub(crate) own_unread: u32,
     /// What the engine is to read, by its agent's last word and what was sent since.
-    pub(crate) reading: ReadingQueue,
+    pub(crate) reading: PrefillQueue,
     /// Requests of others, as of the last word on its load; late.
     pub(crate) others: u32,
     pub(crate) others_at: Option<Instant>,
@@ -115,7 +115,7 @@
             upstream,
             own: 0,
             own_unread: 0,
-            reading: ReadingQueue::default(),
+            reading: PrefillQueue::default(),
             others: 0,
             others_at: None,
             status: None,
@@ -248,7 +248,7 @@
     }
 
     /// Returns how long the engine is thought to read the prompts that it has.
-    pub(crate) fn reading_left(
+    pub(crate) fn prefill_left(
         &self,
         engine: &EngineModel,
         presumed: Option<Presumed>,
@@ -263,14 +263,14 @@
     }
 
     /// Returns the same in steps of a usual prompt, within which load decides.
-    pub(crate) fn reading_step(
+    pub(crate) fn prefill_step(
         &self,
         engine: &EngineModel,
         presumed: Option<Presumed>,
         now: Instant,
     ) -> u128 {
         let step = reading(engine, engine.usual_prompt).max(Duration::from_millis(1));
-        self.reading_left(engine, presumed, now).as_nanos() / step.as_nanos()
+        self.prefill_left(engine, presumed, now).as_nanos() / step.as_nanos()
     }
 
     /// Returns what is known of the engine for a prediction.
@@ -285,7 +285,7 @@
             model: engine,
             slots: self.upstream.slots.max(1),
             in_flight: self.thought_in_flight(presumed, now).0,
-            reading_left: self.reading_left(engine, presumed, now),
+            prefill_left: self.prefill_left(engine, presumed, now),
             pace: f64::from(pace),
         }
     }
@@ -329,8 +329,8 @@
             before.version != status.version || before.is_switching != status.is_switching
         });
         self.take_load(status.queued.saturating_add(status.running), heard_at);
-        let reading_left = Duration::from_millis(status.reading_ms.into());
-        self.reading.set(reading_left, heard_at);
+        let prefill_left = Duration::from_millis(status.reading_ms.into());
+        self.reading.set(prefill_left, heard_at);
         self.status = Some((status.clone(), heard_at));
         Some(changed)
     }
--- a/crates/route/src/direct/pending.rs
+++ b/crates/route/src/direct/pending.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::ReadingQueue;
+use super::PrefillQueue;
 
 /// How much earlier than the engine's figures a request may have been told of and still not be in
 /// them: the datagram that tells of it overtakes its connection, which takes up to two round trips
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PendingArrivals {
     told: VecDeque<Instant>,
-    reading: ReadingQueue,
+    reading: PrefillQueue,
 }
 
 impl PendingArrivals {
@@ -55,7 +55,7 @@
     }
 
     /// Returns how long the engine still reads prompts.
-    pub fn reading_left(&self, now: Instant) -> Duration {
+    pub fn prefill_left(&self, now: Instant) -> Duration {
         self.reading.left(now)
     }
 }
--- a/crates/route/src/direct/prediction.rs
+++ b/crates/route/src/direct/prediction.rs
@@ -22,7 +22,7 @@
     /// Requests that are there.
     pub in_flight: u32,
     /// How long it still reads the prompts that it has.
-    pub reading_left: Duration,
+    pub prefill_left: Duration,
     /// How many times slower than usual it is.
     pub pace: f64,
 }
@@ -38,7 +38,7 @@
         let running = self.in_flight.min(self.slots).saturating_add(1);
         let pass = self.step(running) * f64::from(self.model.steps_per_pass.max(1));
         let own = reading(self.model, tokens).as_secs_f64();
-        let start = self.reading_left.as_secs_f64() + own + PASSES * pass;
+        let start = self.prefill_left.as_secs_f64() + own + PASSES * pass;
         seconds(self.slot_wait().as_secs_f64() + start * self.pace.max(1.0))
     }
 
@@ -49,7 +49,7 @@
             model,
             slots: model.slots,
             in_flight: model.slots,
-            reading_left: Duration::ZERO,
+            prefill_left: Duration::ZERO,
             pace: 1.0,
         };
         seconds(f64::from(tokens) * full.step(model.slots) * SLOWEST)
@@ -63,7 +63,7 @@
     /// the first 0.15 s after their load 312 began late, the most of them expected to.
     pub fn is_crowded(&self, tokens: u32, objective: Duration) -> bool {
         let alone = Self {
-            reading_left: Duration::ZERO,
+            prefill_left: Duration::ZERO,
             ..*self
         };
         self.first_event(tokens) > objective && alone.first_event(tokens) <= objective
--- a/crates/route/src/direct/reading.rs
+++ b/crates/route/src/direct/prefill.rs
@@ -7,11 +7,11 @@
 /// Load pattern: prompts of mixed size, where two long ones at one engine start late though few
 /// requests run there. A count of requests can't tell them from short ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReadingQueue {
+pub struct PrefillQueue {
     until: Option<Instant>,
 }
 
-impl ReadingQueue {
+impl PrefillQueue {
     /// Adds a prompt that takes `reading`.
     pub fn add(&mut self, reading: Duration, now: Instant) {
         self.until = Some(now + self.left(now) + reading);
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -359,7 +359,7 @@
             distance,
             reading: needs
                 .engine
-                .map_or(0, |engine| member.reading_step(engine, presumed, now)),
+                .map_or(0, |engine| member.prefill_step(engine, presumed, now)),
             load: u64::from(in_flight) * 1000 / u64::from(slots),
             turn: 0,
         };
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -106,7 +106,7 @@
     let mut taken = 0;
     for (at, prompt) in (0..).zip(prompts) {
         let now = start + Duration::from_millis(at);
-        let mut upstreams = view(taken, places.reading_left(now), 1.0, now);
+        let mut upstreams = view(taken, places.prefill_left(now), 1.0, now);
         if choose(&mut upstreams, prompt, now).is_ok() {
             let reading = Prediction::reading(&engine, prompt);
             places.take(reading, now);
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -306,7 +306,7 @@
             version: Some(1),
             running: it.running,
             queued: waiting + it.places.pending(now).min(1),
-            reading_ms: u32::try_from(it.places.reading_left(now).as_millis()).unwrap(),
+            reading_ms: u32::try_from(it.places.prefill_left(now).as_millis()).unwrap(),
             pace: 1.0,
             ..LoadStatus::default()
         };
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -332,7 +332,7 @@
             version: report.version_of(&known.model),
             is_switching: known.is_switching || report.is_busy,
             queued: report.queued.saturating_add(known.places.pending(now)),
-            reading_ms: u32::try_from(known.places.reading_left(now).as_millis())
+            reading_ms: u32::try_from(known.places.prefill_left(now).as_millis())
                 .unwrap_or(u32::MAX),
             running: report.running,
             memory,
