--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -51,8 +51,8 @@
     }
 
     fn count_shortage(&self, is_short: bool) {
-        let mut pressure = self.service.pressure();
-        pressure.count(is_short, Instant::now());
+        let mut refusal_rate = self.service.refusal_rate();
+        refusal_rate.count(is_short, Instant::now());
     }
 
     /// Waits until an upstream can be chosen in place of the one that was lost; `shortage` is why none
@@ -181,8 +181,8 @@
             Unavailable::NoUpstream | Unavailable::Weights => Some(LONG_PAUSE),
         };
         let left = self.admitted.deadline.saturating_duration_since(now);
-        let pressure = self.service.pressure();
-        pressure.pause(free_in.unwrap_or(FREE_IN), left)
+        let refusal_rate = self.service.refusal_rate();
+        refusal_rate.retry_after(free_in.unwrap_or(FREE_IN), left)
     }
 
     /// Makes sure that a request which may have run is not refused as not run.
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -17,7 +17,9 @@
 
 use crate::events;
 use crate::pool::Pool;
-use wagtailreel_route::direct::{LoadReports, Naming, NamingBounds, Namings, Pressure, Upstreams};
+use wagtailreel_route::direct::{
+    LoadReports, Naming, NamingBounds, Namings, RefusalRate, Upstreams,
+};
 
 /// Retries that this entry may save up for each service. The budget is one for all entries; with
 /// 8 entries they spend 40 of the 104 that the users allow beyond the share of the requests.
@@ -28,7 +30,7 @@
 pub(crate) struct Service {
     upstreams: Mutex<Upstreams>,
     budget: Mutex<RetryBudget>,
-    pressure: Mutex<Pressure>,
+    refusal_rate: Mutex<RefusalRate>,
     /// An agent told of one of the upstreams.
     pub(crate) heard: Notify,
     /// The registry told of one of the upstreams.
@@ -41,8 +43,8 @@
         lock(&self.upstreams)
     }
 
-    pub(crate) fn pressure(&self) -> MutexGuard<'_, Pressure> {
-        lock(&self.pressure)
+    pub(crate) fn refusal_rate(&self) -> MutexGuard<'_, RefusalRate> {
+        lock(&self.refusal_rate)
     }
 
     pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
@@ -191,7 +193,7 @@
             Arc::new(Service {
                 upstreams: Mutex::new(upstreams),
                 budget: Mutex::new(RetryBudget::new(budget)),
-                pressure: Mutex::new(Pressure::new(Instant::now())),
+                refusal_rate: Mutex::new(RefusalRate::new(Instant::now())),
                 heard: Notify::new(),
                 changed: Notify::new(),
                 pool: Pool::default(),
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -3,7 +3,7 @@
 //! [`Upstreams`] chooses where a request goes or refuses it, by what [`Prediction`] expects of each
 //! engine; [`PendingArrivals`] is the agent's account of requests on their way to its engine, which all
 //! entries share; [`Namings`] says on which weights a request may begin; [`StallPolicy`] says how long a stream is waited
-//! for; [`Permits`] keeps all entries together to the limits that upstreams name; [`Pressure`] says when a refused caller is to come back; [`Quarantine`] knows requests under
+//! for; [`Permits`] keeps all entries together to the limits that upstreams name; [`RefusalRate`] says when a refused caller is to come back; [`Quarantine`] knows requests under
 //! which upstreams end; [`next_step`] says what follows from the end of an attempt.
 
 mod correction;
@@ -18,8 +18,8 @@
 mod pick;
 mod prediction;
 mod prefill;
-mod pressure;
 mod quarantine;
+mod refusal_rate;
 mod room;
 mod stall;
 mod upstreams;
@@ -37,7 +37,7 @@
 pub use pick::{Pick, Requirements, Unavailable};
 pub use prediction::Prediction;
 pub use prefill::PrefillQueue;
-pub use pressure::Pressure;
 pub use quarantine::{Quarantine, Suspicion};
+pub use refusal_rate::RefusalRate;
 pub use stall::{Liveness, StallPolicy};
 pub use upstreams::Upstreams;
--- a/crates/route/src/direct/pressure.rs
+++ b/crates/route/src/direct/refusal_rate.rs
@@ -14,13 +14,13 @@
 /// for one slot's time comes back into the same crowd and is refused for good; a lone refusal is
 /// worth a quick return. So the pause grows with the share that is refused.
 #[derive(Clone, Debug)]
-pub struct Pressure {
+pub struct RefusalRate {
     asked: f64,
     refused: f64,
     at: Instant,
 }
 
-impl Pressure {
+impl RefusalRate {
     /// Makes the account of a service that nobody asked yet.
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -44,7 +44,7 @@
 
     /// Returns how long a refused caller that has `left` is to stay away, where the next place gets
     /// free in `free_in`.
-    pub fn pause(&self, free_in: Duration, left: Duration) -> Duration {
+    pub fn retry_after(&self, free_in: Duration, left: Duration) -> Duration {
         let share = (self.refused / self.asked.max(1.0)).clamp(0.0, 1.0);
         let longest = left.mul_f64(LONGEST_SHARE);
         (free_in + longest.mul_f64(share)).min(longest)
