--- a/crates/direct/src/givers.rs
+++ b/crates/direct/src/givers.rs
@@ -5,7 +5,7 @@
 use std::net::IpAddr;
 
 use wagtailreel_core::{DataCentre, rank_score};
-use wagtailreel_route::direct::{GIVER_SHARES, Pick};
+use wagtailreel_route::direct::{ISSUER_SHARES, Pick};
 
 use crate::view::View;
 
@@ -39,7 +39,7 @@
         let others = others.filter(|ip| Some(*ip) != own);
         own.into_iter()
             .chain(others)
-            .take(GIVER_SHARES.len())
+            .take(ISSUER_SHARES.len())
             .collect()
     }
 
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use wagtailreel_fleet::AskPermit;
-use wagtailreel_route::direct::{GIVER_SHARES, Limit, NamedLimit, Pick};
+use wagtailreel_route::direct::{ISSUER_SHARES, Limit, NamedLimit, Pick};
 
 use crate::attempt::Call;
 use crate::dialect::Dialect;
@@ -42,7 +42,7 @@
     async fn permit(&self, pick: &Pick, limit: Limit, named_at: Instant) -> Option<Duration> {
         let agents = &self.cx.agents;
         let givers = self.permit_givers(pick);
-        let mut givers = givers.into_iter().zip(GIVER_SHARES).enumerate();
+        let mut givers = givers.into_iter().zip(ISSUER_SHARES).enumerate();
         let answers = givers.find(|(_, (ip, _))| !agents.is_silent(*ip));
         // Seeds may be gone for good, where agents come back with their engines.
         if answers.is_none() && !self.cx.view.has_agents() {
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -33,7 +33,7 @@
 pub use member::{LoadSource, Member};
 pub use naming::{Naming, NamingBounds, NamingSource, Namings};
 pub use pending::PendingArrivals;
-pub use permits::{GIVER_SHARES, Permits};
+pub use permits::{ISSUER_SHARES, Permits};
 pub use pick::{Pick, Requirements, Unavailable};
 pub use prediction::Prediction;
 pub use prefill::PrefillQueue;
--- a/crates/route/src/direct/permits.rs
+++ b/crates/route/src/direct/permits.rs
@@ -10,13 +10,13 @@
 /// Shares of a limit that the agents give which may give permits for an upstream, in the order in which entries
 /// turn to them; there are as many as shares. Each may give all of its share at the same time, where some
 /// entries reach the first agent and others don't.
-pub const GIVER_SHARES: [f64; 3] = [1.0, 0.3, 0.15];
+pub const ISSUER_SHARES: [f64; 3] = [1.0, 0.3, 0.15];
 
 /// Requests that may be saved up while nobody asks.
 const DEPTH: f64 = 2.0;
 
 /// The same at an agent in place of another.
-const STAND_IN_DEPTH: f64 = 1.0;
+const FALLBACK_DEPTH: f64 = 1.0;
 
 /// Requests that an upstream takes at once of which nothing was known.
 const AT_FIRST: f64 = 1.0;
@@ -27,9 +27,9 @@
 const PROMISED_MORE: f64 = 5.0;
 
 const _: () = {
-    let [first, second, third] = GIVER_SHARES;
+    let [first, second, third] = ISSUER_SHARES;
     assert!(first + second + third <= PROMISED_TIMES);
-    assert!(DEPTH + 2.0 * STAND_IN_DEPTH <= PROMISED_MORE);
+    assert!(DEPTH + 2.0 * FALLBACK_DEPTH <= PROMISED_MORE);
 };
 
 /// How long an upstream is remembered that nobody asks for. At the lowest limit it has saved up all by then.
@@ -76,11 +76,11 @@
             return None;
         }
         let depth = if ask.is_stand_in {
-            STAND_IN_DEPTH
+            FALLBACK_DEPTH
         } else {
             DEPTH
         };
-        let wait = self.give(&ask.upstream, limit, depth, at, now);
+        let wait = self.issue(&ask.upstream, limit, depth, at, now);
         Some(Permit {
             nonce: ask.nonce,
             wait_ms: u32::try_from(wait.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX),
@@ -99,10 +99,10 @@
         named_at: Instant,
         now: Instant,
     ) -> Duration {
-        self.give(upstream, limit, DEPTH, named_at, now)
+        self.issue(upstream, limit, DEPTH, named_at, now)
     }
 
-    fn give(
+    fn issue(
         &mut self,
         upstream: &str,
         limit: Limit,
--- a/crates/route/tests/permits.rs
+++ b/crates/route/tests/permits.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use wagtailreel_fleet::{AskPermit, Upstream, UpstreamState};
 use wagtailreel_route::direct::{
-    GIVER_SHARES, Limit, NamedLimit, Permits, Requirements, Unavailable, Upstreams,
+    ISSUER_SHARES, Limit, NamedLimit, Permits, Requirements, Unavailable, Upstreams,
 };
 
 const SPAN: Duration = Duration::from_secs(4);
@@ -74,7 +74,7 @@
     #[test]
     fn all_givers(per_second in 0.1_f64..20.0, idle_s in 0_u64..50) {
         let start = Instant::now();
-        let mut givers = GIVER_SHARES.map(|share| (share, Permits::default()));
+        let mut givers = ISSUER_SHARES.map(|share| (share, Permits::default()));
         let mut given: Vec<Instant> = Vec::new();
         let mut ask_all = |at: Duration| {
             let now = start + at;
