--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -316,7 +316,7 @@
             let asked = Asked {
                 data_centre: data_centre.clone(),
                 is_near: false,
-                is_due: member.needs_own_word(now) || rand::rng().random_bool(share),
+                is_due: member.needs_direct_report(now) || rand::rng().random_bool(share),
                 ..near.clone()
             };
             agents.insert(member.upstream.addr.ip(), asked);
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -77,7 +77,7 @@
 
     /// Takes that a quarantined request came again: whoever has forgotten it is told of it.
     pub(crate) fn came_again(&self, fingerprint: Fingerprint) {
-        if lock(&self.known).tell_again(fingerprint, BootTime::now()) {
+        if lock(&self.known).should_report_again(fingerprint, BootTime::now()) {
             self.tell(fingerprint, &[]);
         }
     }
@@ -100,12 +100,12 @@
 
     /// Returns all that others are to know.
     pub(crate) fn all(&self) -> Vec<EndedUnder> {
-        lock(&self.known).told_of(Duration::MAX, BootTime::now())
+        lock(&self.known).to_report(Duration::MAX, BootTime::now())
     }
 
     /// Returns what others are told again.
     pub(crate) fn learned_lately(&self) -> Vec<EndedUnder> {
-        lock(&self.known).told_of(TOLD_FOR, BootTime::now())
+        lock(&self.known).to_report(TOLD_FOR, BootTime::now())
     }
 
     /// Waits until a request is quarantined.
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -311,7 +311,7 @@
 
     /// Says whether an entry abroad has to hear of the upstream itself, whatever others tell: it has
     /// requests there, or doubts the link.
-    pub fn needs_own_word(&self, now: Instant) -> bool {
+    pub fn needs_direct_report(&self, now: Instant) -> bool {
         self.own > 0 || self.is_doubted(now)
     }
 
--- a/crates/route/src/direct/quarantine.rs
+++ b/crates/route/src/direct/quarantine.rs
@@ -196,7 +196,7 @@
         };
         account.finished = Some(now);
         account.trim(now);
-        self.tell_again(fingerprint, now)
+        self.should_report_again(fingerprint, now)
     }
 
     /// Returns what is thought of a request.
@@ -227,7 +227,7 @@
     }
 
     /// Says whether a request that comes again is to be told of again, and takes that it is.
-    pub fn tell_again(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
+    pub fn should_report_again(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
         let Some(account) = self.accounts.get_mut(&fingerprint) else {
             return false;
         };
@@ -269,7 +269,7 @@
 
     /// Returns the requests that all entries are to know of, and of which something was learned within
     /// `age`.
-    pub fn told_of(&mut self, age: Duration, now: BootTime) -> Vec<EndedUnder> {
+    pub fn to_report(&mut self, age: Duration, now: BootTime) -> Vec<EndedUnder> {
         let mut told = Vec::new();
         for (fingerprint, account) in &mut self.accounts {
             let is_young = account.last_change().is_some_and(|at| now.since(at) <= age);
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -146,11 +146,11 @@
     let mut known = Quarantine::new(0.0);
     after(&mut known, "once", &["a"]);
     after(&mut known, "twice", &["a", "b"]);
-    let told = known.told_of(HOUR, at(2000));
+    let told = known.to_report(HOUR, at(2000));
     let told: Vec<Fingerprint> = told.iter().map(|it| it.fingerprint).collect();
     assert_eq!(told, [request("twice")]);
     known.finished(request("twice"), at(3000));
-    let told = known.told_of(HOUR, at(3000));
+    let told = known.to_report(HOUR, at(3000));
     assert_eq!(told.len(), 1, "who was told hears that it is cleared");
 }
 
--- a/crates/stage/src/suspects.rs
+++ b/crates/stage/src/suspects.rs
@@ -27,14 +27,14 @@
         if news.is_empty() {
             return Vec::new();
         }
-        let mut told = known.told_of(Duration::MAX, now);
+        let mut told = known.to_report(Duration::MAX, now);
         told.retain(|account| news.contains(&account.fingerprint));
         told
     }
 
     /// Returns what an entry is to be told that may have missed it.
     pub(crate) fn all(&self) -> Vec<EndedUnder> {
-        self.lock().told_of(Duration::MAX, BootTime::now())
+        self.lock().to_report(Duration::MAX, BootTime::now())
     }
 
     /// Returns what all entries are told again, and forgets what no longer counts.
@@ -42,7 +42,7 @@
         let now = BootTime::now();
         let mut known = self.lock();
         known.forget(now);
-        known.told_of(TOLD_FOR, now)
+        known.to_report(TOLD_FOR, now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Quarantine> {
