--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -66,15 +66,15 @@
 
     pub(super) fn take_weights(&self, weights: &NamedWeights) {
         let now = BootTime::now();
-        let told = if self.read_as_of().is_some() {
+        let source = if self.read_as_of().is_some() {
             self.news(now)
         } else if self.saw_return.load(Ordering::Relaxed) {
             NamingSource::AfterOutage
         } else {
             NamingSource::BeforeStart(self.started)
         };
-        let binding_from = lock(&self.namings).record(weights, told, now);
-        tell_named(weights, told, binding_from, now);
+        let binding_from = lock(&self.namings).record(weights, source, now);
+        tell_named(weights, source, binding_from, now);
     }
 
     /// Returns how weights that the registry names now are told.
@@ -87,7 +87,7 @@
         let after = self.read_as_of().unwrap_or(now);
         let unanswered = *lock(&self.unanswered);
         NamingSource::Registry {
-            heard: after.max(unanswered.unwrap_or(after)),
+            received_at: after.max(unanswered.unwrap_or(after)),
             after,
         }
     }
@@ -96,20 +96,20 @@
 /// Tells of weights from which on nothing older may begin; of nothing where they are no news.
 fn tell_named(
     weights: &NamedWeights,
-    told: NamingSource,
+    source: NamingSource,
     binding_from: Option<BootTime>,
     now: BootTime,
 ) {
     let Some(binding_from) = binding_from else {
         return;
     };
-    let age = told
+    let age = source
         .after()
         .map_or_else(|| "unknown".to_owned(), |after| millis(now.since(after)));
     events::WEIGHTS_NAMED.emit(&[
         ("model", &weights.model),
         ("version", &weights.version.to_string()),
-        ("told", &told.to_string()),
+        ("told", &source.to_string()),
         ("age_ms", &age),
         ("binding_in_ms", &millis(binding_from.since(now))),
     ]);
--- a/crates/route/src/direct/naming.rs
+++ b/crates/route/src/direct/naming.rs
@@ -34,7 +34,7 @@
     #[display("news")]
     Registry {
         /// The moment from which their bound counts.
-        heard: BootTime,
+        received_at: BootTime,
         /// The registry did not name them at this moment.
         after: BootTime,
     },
@@ -96,7 +96,7 @@
     /// When they were first heard of.
     at: BootTime,
     /// When another process first said that the registry names them.
-    told_at: Option<BootTime>,
+    reported_at: Option<BootTime>,
 }
 
 impl NamingBounds {
@@ -106,7 +106,7 @@
     fn passed_over(
         &self,
         named: Named,
-        told: NamingSource,
+        source: NamingSource,
         last: WeightsVersion,
         now: BootTime,
     ) -> Option<Named> {
@@ -114,7 +114,7 @@
         if version <= last {
             return None;
         }
-        if !matches!(told, NamingSource::Reported(_)) {
+        if !matches!(source, NamingSource::Reported(_)) {
             return Some(Named { version, ..named });
         }
         // It may have been named long before the moment that the word proves.
@@ -204,19 +204,21 @@
     pub fn record(
         &mut self,
         weights: &NamedWeights,
-        told: NamingSource,
+        source: NamingSource,
         now: BootTime,
     ) -> Option<BootTime> {
         let newest = self.newest_version(&weights.model);
         if newest.is_some_and(|newest| newest >= weights.version) {
             return None;
         }
-        let told_before = self.told_before(weights, told);
-        let told = told_before.unwrap_or(told);
+        let source_of_report = self.source_of_report(weights, source);
+        let source = source_of_report.unwrap_or(source);
         let waits = self.bounds.waits();
         let waits_at_start = waits.min(LAST_BEGIN_AT_START);
-        let (binding_from, waits) = match told {
-            NamingSource::Registry { heard, .. } => (heard.plus(self.bounds.begin), waits),
+        let (binding_from, waits) = match source {
+            NamingSource::Registry { received_at, .. } => {
+                (received_at.plus(self.bounds.begin), waits)
+            }
             NamingSource::AfterOutage => (now.plus(self.bounds.begin), waits),
             NamingSource::BeforeStart(started) => {
                 (started.plus(self.bounds.unknown), waits_at_start)
@@ -224,12 +226,12 @@
             NamingSource::Held => (now.plus(self.bounds.unknown), waits_at_start),
             NamingSource::Reported(after) => (after.plus(self.bounds.begin), waits),
         };
-        let since = match told {
-            NamingSource::Registry { heard, .. } => Some(heard),
-            _ => told.after(),
+        let since = match source {
+            NamingSource::Registry { received_at, .. } => Some(received_at),
+            _ => source.after(),
         };
         let mut last_begin = binding_from.plus(waits);
-        if told_before.is_some() {
+        if source_of_report.is_some() {
             // The bound may be over already; requests that wait keep their usual time.
             last_begin = last_begin.max(now.plus(waits));
         }
@@ -238,13 +240,13 @@
             binding_from,
             last_begin,
             since,
-            after: told.after(),
+            after: source.after(),
             known_at: now,
-            is_guess: matches!(told, NamingSource::BeforeStart(_) | NamingSource::Held),
+            is_guess: matches!(source, NamingSource::BeforeStart(_) | NamingSource::Held),
         };
         let all = self.named.entry(weights.model.clone()).or_default();
         let last = newest.unwrap_or(FIRST_VERSION);
-        all.extend(self.bounds.passed_over(named, told, last, now));
+        all.extend(self.bounds.passed_over(named, source, last, now));
         all.push(named);
         Some(binding_from)
     }
@@ -253,17 +255,21 @@
     ///
     /// The registry answered whoever told of them: no call that it left unanswered after that excuses this
     /// process.
-    fn told_before(&self, weights: &NamedWeights, told: NamingSource) -> Option<NamingSource> {
-        let NamingSource::Registry { heard, after } = told else {
+    fn source_of_report(
+        &self,
+        weights: &NamedWeights,
+        source: NamingSource,
+    ) -> Option<NamingSource> {
+        let NamingSource::Registry { received_at, after } = source else {
             return None;
         };
         let seen = self.seen.get(&weights.model)?;
-        let told_at = seen
-            .told_at
+        let reported_at = seen
+            .reported_at
             .filter(|_| seen.version >= weights.version)?
             .max(after);
-        (told_at < heard).then_some(NamingSource::Registry {
-            heard: told_at,
+        (reported_at < received_at).then_some(NamingSource::Registry {
+            received_at: reported_at,
             after,
         })
     }
@@ -289,32 +295,32 @@
     fn record_missed(
         &mut self,
         weights: &NamedWeights,
-        told: NamingSource,
+        source: NamingSource,
         read_as_of: Option<BootTime>,
         now: BootTime,
     ) -> Option<BootTime> {
         if self.newest_version(&weights.model)? >= weights.version {
             return None;
         }
-        let told_at = matches!(told, NamingSource::Reported(_)).then_some(now);
+        let reported_at = matches!(source, NamingSource::Reported(_)).then_some(now);
         let seen = self.seen.get_mut(&weights.model);
         let Some(seen) = seen.filter(|seen| seen.version >= weights.version) else {
             let seen = Seen {
                 version: weights.version,
                 at: now,
-                told_at,
+                reported_at,
             };
             self.seen.insert(weights.model.clone(), seen);
             self.is_read_due = true;
             return None;
         };
         if seen.version == weights.version {
-            seen.told_at = seen.told_at.or(told_at);
+            seen.reported_at = seen.reported_at.or(reported_at);
         }
         if read_as_of? <= seen.at {
             return None;
         }
-        self.record(weights, told, now)
+        self.record(weights, source, now)
     }
 
     /// Returns whether the registry is to be read now, to know if newer weights that others told of are news
--- a/crates/route/tests/naming.rs
+++ b/crates/route/tests/naming.rs
@@ -31,7 +31,7 @@
 /// Read in the registry at a moment, and not there at the one before.
 fn news(heard_ms: u64, after_ms: u64) -> NamingSource {
     NamingSource::Registry {
-        heard: at(heard_ms),
+        received_at: at(heard_ms),
         after: at(after_ms),
     }
 }
@@ -40,9 +40,9 @@
 #[case::news(news(9_000, 8_400), 16_000)]
 #[case::before_start(NamingSource::BeforeStart(at(9_500)), 12_000)]
 #[case::after_outage(NamingSource::AfterOutage, 17_000)]
-fn first_naming(#[case] told: NamingSource, #[case] binding_from: u64) {
+fn first_naming(#[case] source: NamingSource, #[case] binding_from: u64) {
     let mut namings = namings();
-    let binding = namings.record(&weights(2), told, at(10_000));
+    let binding = namings.record(&weights(2), source, at(10_000));
     assert_eq!(binding, Some(at(binding_from)));
     assert_eq!(namings.least_version(MODEL, at(binding_from - 1)), None);
     assert_eq!(namings.least_version(MODEL, at(binding_from)), Some(2));
@@ -97,9 +97,13 @@
 #[case::news(news(400, 350), Some(400), Some(350))]
 #[case::before_start(NamingSource::BeforeStart(at(400)), None, None)]
 #[case::after_outage(NamingSource::AfterOutage, None, None)]
-fn told_proof(#[case] told: NamingSource, #[case] since: Option<u64>, #[case] after: Option<u64>) {
+fn told_proof(
+    #[case] source: NamingSource,
+    #[case] since: Option<u64>,
+    #[case] after: Option<u64>,
+) {
     let mut namings = namings();
-    namings.record(&weights(2), told, at(500));
+    namings.record(&weights(2), source, at(500));
     let naming = namings.newest(MODEL).unwrap();
     assert_eq!((naming.since, naming.after), (since.map(at), after.map(at)));
 }
@@ -187,9 +191,9 @@
 #[rstest]
 #[case::news(news(8_000, 8_000))]
 #[case::guess(NamingSource::BeforeStart(at(9_000)))]
-fn proof_after_known(#[case] told: NamingSource) {
+fn proof_after_known(#[case] source: NamingSource) {
     let mut namings = namings();
-    let binding = namings.record(&weights(2), told, at(12_000)).unwrap();
+    let binding = namings.record(&weights(2), source, at(12_000)).unwrap();
     assert_eq!(namings.merge_proof(&weights(2), at(12_100)), None);
     assert_eq!(namings.least_version(MODEL, binding), Some(2));
 }
