--- a/crates/route/src/direct/hearsay.rs
+++ b/crates/route/src/direct/load_reports.rs
@@ -28,7 +28,7 @@
         let members = self.members();
         let members = members.filter(|it| it.upstream.data_centre == data_centre);
         let heard = members.filter(|it| it.heard_within(oldest, now));
-        let word = |member: &super::Member| {
+        let report = |member: &super::Member| {
             let (status, received_at) = member.status.clone()?;
             let ip = member.upstream.addr.ip();
             Some((
@@ -39,7 +39,7 @@
                 },
             ))
         };
-        heard.filter_map(word).collect()
+        heard.filter_map(report).collect()
     }
 
     /// Takes what another entry heard of upstreams; returns the newest version of the weights that one of
@@ -50,12 +50,12 @@
     pub fn merge_load_reports(&mut self, load_reports: &LoadReports) -> Option<WeightsVersion> {
         let mut newest = None;
         for member in self.members.values_mut().filter(|it| !it.is_gone) {
-            let Some(word) = load_reports.get(&member.upstream.addr.ip()) else {
+            let Some(report) = load_reports.get(&member.upstream.addr.ip()) else {
                 continue;
             };
-            newest = newest.max(word.status.version);
-            if !member.reported_since(word.received_at) {
-                member.take_status(&word.status, word.received_at);
+            newest = newest.max(report.status.version);
+            if !member.reported_since(report.received_at) {
+                member.take_status(&report.status, report.received_at);
             }
         }
         newest
--- a/crates/route/tests/hearsay.rs
+++ b/crates/route/tests/load_reports.rs
@@ -47,7 +47,7 @@
 }
 
 fn load_reports(all: &[(u8, u64, Instant)]) -> LoadReports {
-    let word = |(host, version, received_at): &(u8, u64, Instant)| {
+    let report = |(host, version, received_at): &(u8, u64, Instant)| {
         let status = status(*version, 3);
         let received_at = *received_at;
         (
@@ -58,7 +58,7 @@
             },
         )
     };
-    all.iter().map(word).collect()
+    all.iter().map(report).collect()
 }
 
 /// The engines of another service hold another model, whose versions say nothing of this one's.
