--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -55,12 +55,15 @@
         refusal_rate.count(is_short, Instant::now());
     }
 
-    /// Waits until an upstream can be chosen in place of the one that was lost; `shortage` is why none
+    /// Waits until an upstream can be chosen in place of the one that was lost; `reason` is why none
     /// could be at first.
-    async fn await_upstream(&self, shortage: Refusal) -> Result<Pick, Refusal> {
+    async fn await_upstream(&self, reason: Refusal) -> Result<Pick, Refusal> {
         let since = Instant::now();
         let until = self.admitted.deadline.checked_sub(LEAST_FOR_RETRY);
-        let obstacles = self.service.upstreams().obstacles(&self.needs(None), since);
+        let exclusions = self
+            .service
+            .upstreams()
+            .exclusions(&self.needs(None), since);
         let choosing = async {
             loop {
                 self.check_quarantine()?;
@@ -77,12 +80,12 @@
             None => None,
         };
         let chosen = chosen.unwrap_or(Err(Refusal::Unknown));
-        let obstacles = obstacles.iter().map(|(it, count)| format!("{it} {count}"));
+        let exclusions = exclusions.iter().map(|(it, count)| format!("{it} {count}"));
         events::UPSTREAM_AWAITED.emit(&[
             ("id", &self.admitted.id),
             ("service", &self.admitted.service),
-            ("shortage", &shortage.to_string()),
-            ("obstacles", &obstacles.collect::<Vec<_>>().join(", ")),
+            ("shortage", &reason.to_string()),
+            ("obstacles", &exclusions.collect::<Vec<_>>().join(", ")),
             ("waited_ms", &since.elapsed().as_millis().to_string()),
             ("upstream", chosen.as_ref().map_or("", |pick| &pick.id)),
         ]);
@@ -164,9 +167,9 @@
         let needs = self.needs(reported_since);
         let now = Instant::now();
         let chosen = self.service.upstreams().choose(&needs, now);
-        chosen.map_err(|shortage| {
-            let back_in = self.back_in(shortage, &needs, now);
-            match shortage {
+        chosen.map_err(|reason| {
+            let back_in = self.back_in(reason, &needs, now);
+            match reason {
                 Unavailable::NoUpstream => Refusal::NoUpstream { back_in },
                 Unavailable::Weights => Refusal::Weights { back_in },
                 Unavailable::Full => Refusal::Full { back_in },
@@ -175,8 +178,8 @@
     }
 
     /// Returns when a request that found no upstream is best sent again.
-    fn back_in(&self, shortage: Unavailable, needs: &Requirements<'_>, now: Instant) -> Duration {
-        let free_in = match shortage {
+    fn back_in(&self, reason: Unavailable, needs: &Requirements<'_>, now: Instant) -> Duration {
+        let free_in = match reason {
             Unavailable::Full => self.service.upstreams().free_in(needs, now),
             Unavailable::NoUpstream | Unavailable::Weights => Some(LONG_PAUSE),
         };
--- a/crates/route/src/direct/exclusion.rs
+++ b/crates/route/src/direct/exclusion.rs
@@ -33,7 +33,7 @@
 
 impl Upstreams {
     /// Counts the registered upstreams that `needs` can't be sent to, by what keeps it from them.
-    pub fn obstacles(&self, needs: &Requirements<'_>, now: Instant) -> BTreeMap<Exclusion, u32> {
+    pub fn exclusions(&self, needs: &Requirements<'_>, now: Instant) -> BTreeMap<Exclusion, u32> {
         let mut counts = BTreeMap::new();
         for exclusion in self
             .members()
@@ -59,10 +59,10 @@
         if member.limited_for(now) > Duration::ZERO {
             return Some(Exclusion::Limited);
         }
-        let shortage = self
+        let reason = self
             .candidate(member, needs, self.presumed(needs, now), now)
             .err()?;
-        Some(match shortage {
+        Some(match reason {
             Unavailable::NoUpstream => Exclusion::Failing,
             Unavailable::Weights => Exclusion::Weights,
             Unavailable::Full => Exclusion::Full,
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -280,7 +280,7 @@
     ///
     /// Returns the [`Unavailable`] if none can take the request now.
     pub fn choose(&mut self, needs: &Requirements<'_>, now: Instant) -> Result<Pick, Unavailable> {
-        let mut shortage = Unavailable::NoUpstream;
+        let mut reason = Unavailable::NoUpstream;
         let mut best: Option<(Rank, Pick)> = None;
         self.turn = self.turn.wrapping_add(1);
         let count = self.members.len().max(1) as u64;
@@ -288,8 +288,8 @@
         for (position, member) in self.members.values().enumerate() {
             let candidate = match self.candidate(member, needs, presumed, now) {
                 Ok(candidate) => candidate,
-                Err(reason) => {
-                    shortage = shortage.max_with(reason);
+                Err(lack) => {
+                    reason = reason.max_with(lack);
                     continue;
                 }
             };
@@ -302,7 +302,7 @@
                 best = Some((rank, candidate.pick));
             }
         }
-        best.map(|(_, pick)| pick).ok_or(shortage)
+        best.map(|(_, pick)| pick).ok_or(reason)
     }
 
     /// Returns what is thought of engines of which nothing was heard. Plain services have no agents
