--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -265,11 +265,11 @@
         let tokens = self.admitted.head.prompt_tokens;
         let lease = Lease::new(&self.service, &pick.id, tokens);
         if let Some(engine) = &self.admitted.engine {
-            let reading = Prediction::reading(engine, tokens);
+            let prefill_time = Prediction::prefill_time(engine, tokens);
             let mut upstreams = self.service.upstreams();
-            upstreams.reads(&pick.id, reading, Instant::now());
+            upstreams.add_prefill(&pick.id, prefill_time, Instant::now());
             drop(upstreams);
-            self.cx.agents.announce(pick.addr.ip(), reading);
+            self.cx.agents.announce(pick.addr.ip(), prefill_time);
         }
         lease
     }
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -8,7 +8,7 @@
 
 use super::limit::KnownLimit;
 use super::pick::Unavailable;
-use super::prediction::{Prediction, reading};
+use super::prediction::{Prediction, prefill_time};
 use super::prefill::PrefillQueue;
 
 /// How long an agent's word on its engine is used. Agents are asked several times a second; after
@@ -57,7 +57,7 @@
 pub(crate) struct Presumed {
     /// Requests for each slot.
     load: f64,
-    reading: Duration,
+    prefill_time: Duration,
 }
 
 impl Presumed {
@@ -72,11 +72,11 @@
             heard += 1;
             sum.load +=
                 f64::from(member.in_flight(now).0) / f64::from(member.upstream.slots.max(1));
-            sum.reading += member.reading.left(now);
+            sum.prefill_time += member.prefill_time.left(now);
         }
         (heard > 0).then(|| Self {
             load: sum.load / f64::from(heard),
-            reading: sum.reading / heard,
+            prefill_time: sum.prefill_time / heard,
         })
     }
 }
@@ -91,7 +91,7 @@
     /// Prompt tokens of those that have not begun to answer; exact.
     pub(crate) own_unread: u32,
     /// What the engine is to read, by its agent's last word and what was sent since.
-    pub(crate) reading: PrefillQueue,
+    pub(crate) prefill_time: PrefillQueue,
     /// Requests of others, as of the last word on its load; late.
     pub(crate) others: u32,
     pub(crate) others_at: Option<Instant>,
@@ -115,7 +115,7 @@
             upstream,
             own: 0,
             own_unread: 0,
-            reading: PrefillQueue::default(),
+            prefill_time: PrefillQueue::default(),
             others: 0,
             others_at: None,
             status: None,
@@ -254,12 +254,12 @@
         presumed: Option<Presumed>,
         now: Instant,
     ) -> Duration {
-        let own = reading(engine, self.own_unread);
+        let own = prefill_time(engine, self.own_unread);
         if self.fresh_status(now).is_none() {
-            let others = presumed.map(|presumed| presumed.reading);
+            let others = presumed.map(|presumed| presumed.prefill_time);
             return own.mul_f64(ENTRIES_AT_ONCE).max(others.unwrap_or_default());
         }
-        own.max(self.reading.left(now))
+        own.max(self.prefill_time.left(now))
     }
 
     /// Returns the same in steps of a usual prompt, within which load decides.
@@ -269,7 +269,7 @@
         presumed: Option<Presumed>,
         now: Instant,
     ) -> u128 {
-        let step = reading(engine, engine.usual_prompt).max(Duration::from_millis(1));
+        let step = prefill_time(engine, engine.usual_prompt).max(Duration::from_millis(1));
         self.prefill_left(engine, presumed, now).as_nanos() / step.as_nanos()
     }
 
@@ -330,7 +330,7 @@
         });
         self.take_load(status.queued.saturating_add(status.running), heard_at);
         let prefill_left = Duration::from_millis(status.reading_ms.into());
-        self.reading.set(prefill_left, heard_at);
+        self.prefill_time.set(prefill_left, heard_at);
         self.status = Some((status.clone(), heard_at));
         Some(changed)
     }
--- a/crates/route/src/direct/pending.rs
+++ b/crates/route/src/direct/pending.rs
@@ -22,14 +22,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct PendingArrivals {
     told: VecDeque<Instant>,
-    reading: PrefillQueue,
+    prefill_time: PrefillQueue,
 }
 
 impl PendingArrivals {
-    /// Takes that an entry sends a request whose prompt takes `reading`.
-    pub fn take(&mut self, reading: Duration, now: Instant) {
+    /// Takes that an entry sends a request whose prompt takes `prefill_time`.
+    pub fn take(&mut self, prefill_time: Duration, now: Instant) {
         self.told.push_back(now);
-        self.reading.add(reading, now);
+        self.prefill_time.add(prefill_time, now);
     }
 
     /// Takes that the engine's figures were read at `at`.
@@ -43,7 +43,7 @@
     /// Takes that the engine has no request at all, so that it reads nothing.
     pub fn idle(&mut self, now: Instant) {
         if self.told.is_empty() {
-            self.reading.set(Duration::ZERO, now);
+            self.prefill_time.set(Duration::ZERO, now);
         }
     }
 
@@ -56,6 +56,6 @@
 
     /// Returns how long the engine still reads prompts.
     pub fn prefill_left(&self, now: Instant) -> Duration {
-        self.reading.left(now)
+        self.prefill_time.left(now)
     }
 }
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -92,7 +92,7 @@
     pub(super) is_late: bool,
     pub(super) is_unsafe: bool,
     pub(super) distance: u8,
-    pub(super) reading: u128,
+    pub(super) prefill_time: u128,
     pub(super) load: u64,
     pub(super) turn: u64,
 }
--- a/crates/route/src/direct/prediction.rs
+++ b/crates/route/src/direct/prediction.rs
@@ -29,15 +29,15 @@
 
 impl Prediction<'_> {
     /// Returns how long an engine reads a prompt of `tokens`; nothing if its operator gives no rate.
-    pub fn reading(model: &EngineModel, tokens: u32) -> Duration {
-        reading(model, tokens)
+    pub fn prefill_time(model: &EngineModel, tokens: u32) -> Duration {
+        prefill_time(model, tokens)
     }
 
     /// Returns the time to the first event of a request with a prompt of `tokens`.
     pub fn first_event(&self, tokens: u32) -> Duration {
         let running = self.in_flight.min(self.slots).saturating_add(1);
         let pass = self.step(running) * f64::from(self.model.steps_per_pass.max(1));
-        let own = reading(self.model, tokens).as_secs_f64();
+        let own = prefill_time(self.model, tokens).as_secs_f64();
         let start = self.prefill_left.as_secs_f64() + own + PASSES * pass;
         seconds(self.slot_wait().as_secs_f64() + start * self.pace.max(1.0))
     }
@@ -92,7 +92,7 @@
     fn turnover(&self) -> f64 {
         let slots = self.slots.max(1);
         let writing = f64::from(self.model.usual_answer) * self.step(slots) / f64::from(slots);
-        writing + reading(self.model, self.model.usual_prompt).as_secs_f64()
+        writing + prefill_time(self.model, self.model.usual_prompt).as_secs_f64()
     }
 
     /// Returns the seconds of a step that writes for `running` requests.
@@ -107,7 +107,7 @@
 }
 
 /// Returns how long an engine reads a prompt of `tokens`; nothing if its operator gives no rate.
-pub(crate) fn reading(model: &EngineModel, tokens: u32) -> Duration {
+pub(crate) fn prefill_time(model: &EngineModel, tokens: u32) -> Duration {
     if model.read_per_second <= 0.0 {
         return Duration::ZERO;
     }
--- a/crates/route/src/direct/prefill.rs
+++ b/crates/route/src/direct/prefill.rs
@@ -12,9 +12,9 @@
 }
 
 impl PrefillQueue {
-    /// Adds a prompt that takes `reading`.
-    pub fn add(&mut self, reading: Duration, now: Instant) {
-        self.until = Some(now + self.left(now) + reading);
+    /// Adds a prompt that takes `prefill_time`.
+    pub fn add(&mut self, prefill_time: Duration, now: Instant) {
+        self.until = Some(now + self.left(now) + prefill_time);
     }
 
     /// Takes that `left` is left to read.
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -208,10 +208,10 @@
         member.upstream.started
     }
 
-    /// Takes that the prompt of a request which was just counted takes `reading`.
-    pub fn reads(&mut self, id: &str, reading: Duration, now: Instant) {
+    /// Takes that the prompt of a request which was just counted takes `prefill_time`.
+    pub fn add_prefill(&mut self, id: &str, prefill_time: Duration, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
-            member.reading.add(reading, now);
+            member.prefill_time.add(prefill_time, now);
         }
     }
 
@@ -357,7 +357,7 @@
             is_late,
             is_unsafe: expected.is_some_and(|it| likely(it) > room::safe(needs.objective)),
             distance,
-            reading: needs
+            prefill_time: needs
                 .engine
                 .map_or(0, |engine| member.prefill_step(engine, presumed, now)),
             load: u64::from(in_flight) * 1000 / u64::from(slots),
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -37,10 +37,10 @@
 }
 
 /// Makes an entry's view of one engine, as its agent tells.
-fn view(running: u32, reading: Duration, pace: f32, now: Instant) -> Upstreams {
+fn view(running: u32, prefill_time: Duration, pace: f32, now: Instant) -> Upstreams {
     let mut upstreams = Upstreams::new("hall".to_owned(), BTreeMap::new());
     upstreams.update(lab::upstream(0, SLOTS));
-    upstreams.status(ip(), &word(running, reading, pace), None, now);
+    upstreams.status(ip(), &word(running, prefill_time, pace), None, now);
     upstreams
 }
 
@@ -48,11 +48,11 @@
     Ipv4Addr::from(1).into()
 }
 
-fn word(running: u32, reading: Duration, pace: f32) -> LoadStatus {
+fn word(running: u32, prefill_time: Duration, pace: f32) -> LoadStatus {
     LoadStatus {
         version: Some(1),
         running,
-        reading_ms: u32::try_from(reading.as_millis()).unwrap(),
+        reading_ms: u32::try_from(prefill_time.as_millis()).unwrap(),
         pace,
         ..LoadStatus::default()
     }
@@ -63,9 +63,14 @@
 #[case::others_are_read(4, 100, 1.0, true)]
 #[case::crowded(4, 300, 1.0, false)]
 #[case::slow_by_itself(4, 300, 8.0, true)]
-fn free_slot(#[case] running: u32, #[case] reading: u64, #[case] pace: f32, #[case] takes: bool) {
+fn free_slot(
+    #[case] running: u32,
+    #[case] prefill_time: u64,
+    #[case] pace: f32,
+    #[case] takes: bool,
+) {
     let now = Instant::now();
-    let mut upstreams = view(running, Duration::from_millis(reading), pace, now);
+    let mut upstreams = view(running, Duration::from_millis(prefill_time), pace, now);
     let chosen = choose(&mut upstreams, 900, now);
     assert_eq!(chosen.is_ok(), takes, "{chosen:?}");
 }
@@ -75,7 +80,7 @@
 fn back_when_read() {
     let now = Instant::now();
     let engine = engine_model();
-    let free_in = |reading| {
+    let free_in = |prefill_time| {
         let needs = Requirements {
             model: Some(lab::MODEL),
             engine: Some(&engine),
@@ -83,7 +88,7 @@
             objective: OBJECTIVE,
             ..Requirements::default()
         };
-        let upstreams = view(4, Duration::from_millis(reading), 1.0, now);
+        let upstreams = view(4, Duration::from_millis(prefill_time), 1.0, now);
         upstreams.free_in(&needs, now).unwrap()
     };
     assert_eq!(free_in(100), Duration::ZERO);
@@ -108,9 +113,9 @@
         let now = start + Duration::from_millis(at);
         let mut upstreams = view(taken, places.prefill_left(now), 1.0, now);
         if choose(&mut upstreams, prompt, now).is_ok() {
-            let reading = Prediction::reading(&engine, prompt);
-            places.take(reading, now);
-            read += reading;
+            let prefill_time = Prediction::prefill_time(&engine, prompt);
+            places.take(prefill_time, now);
+            read += prefill_time;
             taken += 1;
         }
     }
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -228,14 +228,14 @@
             return;
         };
         let engine: usize = pick.id[1..].parse().unwrap();
-        let reading = Prediction::reading(&self.model, request.prompt);
+        let prefill_time = Prediction::prefill_time(&self.model, request.prompt);
         self.entries[entry].started(&pick.id, request.prompt);
-        self.entries[entry].reads(&pick.id, reading, now);
+        self.entries[entry].add_prefill(&pick.id, prefill_time, now);
         request.pick = Some(pick);
         let id = self.requests.len();
         self.requests.push(request);
         if self.pattern.keeps_places {
-            self.engines[engine].places.take(reading, now);
+            self.engines[engine].places.take(prefill_time, now);
             self.tell(engine);
         }
         self.admit(engine, id);
@@ -252,8 +252,8 @@
         }
         it.running += 1;
         let request = self.requests[id].clone();
-        let reading = Prediction::reading(&self.model, request.prompt);
-        it.read_until = it.read_until.max(now) + reading;
+        let prefill_time = Prediction::prefill_time(&self.model, request.prompt);
+        it.read_until = it.read_until.max(now) + prefill_time;
         let step = self.model.step + self.model.step_per_request * it.running;
         let pass = step * self.model.steps_per_pass;
         let begins = it.read_until + pass.mul_f64(0.5 + self.rng.random::<f64>());
