--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -256,7 +256,7 @@
         if let Some(pick) = &self.last_pick {
             let now = Instant::now();
             let seen = now.saturating_duration_since(self.sent_at);
-            self.service.upstreams().begun_after(pick, seen, now);
+            self.service.upstreams().record_first_event(pick, seen, now);
         }
     }
 
--- a/crates/direct/src/live.rs
+++ b/crates/direct/src/live.rs
@@ -37,7 +37,9 @@
     pub(crate) fn begun(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         if unread > 0 {
-            self.service.upstreams().begun(&self.id, self.start, unread);
+            self.service
+                .upstreams()
+                .prefilled(&self.id, self.start, unread);
         }
     }
 }
--- a/crates/direct/tests/members.rs
+++ b/crates/direct/tests/members.rs
@@ -283,7 +283,7 @@
         "far",
         "rather abroad than behind long prompts"
     );
-    fleet.begun("a", 0, 4000);
+    fleet.prefilled("a", 0, 4000);
     assert_eq!(choose(&mut fleet), "a");
 }
 
--- a/crates/direct/tests/restart.rs
+++ b/crates/direct/tests/restart.rs
@@ -63,7 +63,7 @@
     assert_eq!(choose(&mut fleet).unwrap().in_flight, 0);
     let new = fleet.started("a", 50);
     assert_eq!((start, new), (100, 200));
-    fleet.begun("a", start, 50);
+    fleet.prefilled("a", start, 50);
     fleet.finished("a", start);
     let pick = choose(&mut fleet).unwrap();
     assert_eq!(pick.in_flight, 1, "what ended was sent before the restart");
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -216,7 +216,7 @@
     }
 
     /// Counts that a prompt of `tokens` was read: its answer has begun, or never will.
-    pub fn begun(&mut self, id: &str, start: UpstreamStart, tokens: u32) {
+    pub fn prefilled(&mut self, id: &str, start: UpstreamStart, tokens: u32) {
         if let Some(member) = self.same_start(id, start) {
             member.own_unread = member.own_unread.saturating_sub(tokens);
         }
@@ -238,7 +238,7 @@
     }
 
     /// Takes that the first event of a request came `seen` after it was sent to `pick`.
-    pub fn begun_after(&mut self, pick: &Pick, seen: Duration, now: Instant) {
+    pub fn record_first_event(&mut self, pick: &Pick, seen: Duration, now: Instant) {
         if let Some(expected) = pick.expected {
             self.correction.learn(pick.waits, expected, seen, now);
         }
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -273,10 +273,10 @@
             self.outcome.late += 1;
         }
         let pick = request.pick.unwrap();
-        self.entries[entry].begun(&pick.id, 0, request.prompt);
+        self.entries[entry].prefilled(&pick.id, 0, request.prompt);
         if self.pattern.corrects {
             let now = self.instant();
-            self.entries[entry].begun_after(&pick, seen, now);
+            self.entries[entry].record_first_event(&pick, seen, now);
         }
     }
 
