--- a/crates/route/src/direct/pending.rs
+++ b/crates/route/src/direct/pending.rs
@@ -27,7 +27,7 @@
 
 impl PendingArrivals {
     /// Takes that an entry sends a request whose prompt takes `prefill_time`.
-    pub fn take(&mut self, prefill_time: Duration, now: Instant) {
+    pub fn add(&mut self, prefill_time: Duration, now: Instant) {
         self.told.push_back(now);
         self.prefill_time.add(prefill_time, now);
     }
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/crowded.rs
@@ -106,15 +106,15 @@
     ];
     let start = Instant::now();
     let engine = engine_model();
-    let mut places = PendingArrivals::default();
+    let mut arrivals = PendingArrivals::default();
     let mut read = Duration::ZERO;
     let mut taken = 0;
     for (at, prompt) in (0..).zip(prompts) {
         let now = start + Duration::from_millis(at);
-        let mut upstreams = view(taken, places.prefill_left(now), 1.0, now);
+        let mut upstreams = view(taken, arrivals.prefill_left(now), 1.0, now);
         if choose(&mut upstreams, prompt, now).is_ok() {
             let prefill_time = Prediction::prefill_time(&engine, prompt);
-            places.take(prefill_time, now);
+            arrivals.add(prefill_time, now);
             read += prefill_time;
             taken += 1;
         }
--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -31,7 +31,7 @@
     pub(crate) objective: Duration,
     pub(crate) span: Duration,
     /// Agents hear of requests on their way and tell the entries at once.
-    pub(crate) keeps_places: bool,
+    pub(crate) announces: bool,
     /// Entries learn how far predictions are off.
     pub(crate) corrects: bool,
 }
@@ -71,7 +71,7 @@
     running: u32,
     waiting: Vec<usize>,
     read_until: Duration,
-    places: PendingArrivals,
+    arrivals: PendingArrivals,
     word: LoadStatus,
 }
 
@@ -234,8 +234,8 @@
         request.pick = Some(pick);
         let id = self.requests.len();
         self.requests.push(request);
-        if self.pattern.keeps_places {
-            self.engines[engine].places.take(prefill_time, now);
+        if self.pattern.announces {
+            self.engines[engine].arrivals.add(prefill_time, now);
             self.tell(engine);
         }
         self.admit(engine, id);
@@ -292,7 +292,7 @@
 
     fn word(&mut self, engine: usize) {
         let now = self.instant();
-        self.engines[engine].places.figures_read(now);
+        self.engines[engine].arrivals.figures_read(now);
         self.tell(engine);
         self.at(self.now + WORD_EVERY, Step::Word(engine));
     }
@@ -305,8 +305,8 @@
         it.word = LoadStatus {
             version: Some(1),
             running: it.running,
-            queued: waiting + it.places.pending(now).min(1),
-            reading_ms: u32::try_from(it.places.prefill_left(now).as_millis()).unwrap(),
+            queued: waiting + it.arrivals.pending(now).min(1),
+            reading_ms: u32::try_from(it.arrivals.prefill_left(now).as_millis()).unwrap(),
             pace: 1.0,
             ..LoadStatus::default()
         };
--- a/crates/route/tests/placement.rs
+++ b/crates/route/tests/placement.rs
@@ -18,7 +18,7 @@
         rate,
         objective: Duration::from_millis(400),
         span: Duration::from_secs(12),
-        keeps_places: true,
+        announces: true,
         corrects: true,
     }
 }
@@ -40,7 +40,7 @@
 fn many_entries() {
     let kept = play(&pattern(210.0));
     let alone = play(&Pattern {
-        keeps_places: false,
+        announces: false,
         ..pattern(210.0)
     });
     println!("places kept: {kept:?}, by words alone: {alone:?}");
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -162,7 +162,7 @@
         let now = Instant::now();
         {
             let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-            known.places.take(reading, now);
+            known.places.add(reading, now);
         }
         let mut near = self.askers.near(now);
         near.retain(|entry| *entry != from);
