--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -89,7 +89,7 @@
         for account in told {
             let mut is_news = false;
             self.change(account.fingerprint, "heard", |known| {
-                is_news = known.hear(account, BootTime::now());
+                is_news = known.merge(account, BootTime::now());
             });
             if is_news || is_own {
                 news.insert(account.fingerprint);
@@ -136,7 +136,7 @@
         let before = known.suspicion(fingerprint, now);
         change(&mut known);
         let after = known.suspicion(fingerprint, now);
-        let account = known.account(fingerprint, now);
+        let account = known.crash_report(fingerprint, now);
         drop(known);
         let (Suspicion::Quarantined(left), Some(account)) = (after, account) else {
             return;
@@ -156,7 +156,7 @@
 
     /// Tells the agents at which accounts of the request meet what is known here.
     fn tell(&self, fingerprint: Fingerprint, repeats: &'static [Duration]) {
-        let Some(account) = lock(&self.known).account(fingerprint, BootTime::now()) else {
+        let Some(account) = lock(&self.known).crash_report(fingerprint, BootTime::now()) else {
             return;
         };
         let ips = self.view.meeting_agents(fingerprint.as_bytes());
--- a/crates/route/src/direct/quarantine.rs
+++ b/crates/route/src/direct/quarantine.rs
@@ -239,7 +239,7 @@
     }
 
     /// Takes what another process tells; returns whether that is news.
-    pub fn hear(&mut self, heard: &EndedUnder, now: BootTime) -> bool {
+    pub fn merge(&mut self, heard: &EndedUnder, now: BootTime) -> bool {
         let ago = |ms: u32| now.minus(Duration::from_millis(ms.into()));
         self.make_room(heard.fingerprint);
         let account = self.accounts.entry(heard.fingerprint).or_default();
@@ -262,7 +262,7 @@
     }
 
     /// Returns what is known of a request, to be told to others.
-    pub fn account(&self, fingerprint: Fingerprint, now: BootTime) -> Option<EndedUnder> {
+    pub fn crash_report(&self, fingerprint: Fingerprint, now: BootTime) -> Option<EndedUnder> {
         let account = self.accounts.get(&fingerprint)?;
         Some(account.told(fingerprint, now))
     }
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -115,10 +115,10 @@
     let (mut one, mut other) = (Quarantine::new(0.0), Quarantine::new(0.0));
     after(&mut one, "x", &["a"]);
     after(&mut other, "x", &["b", "c"]);
-    let told = one.account(request("x"), at(2000)).unwrap();
-    assert!(other.hear(&told, at(2000)));
+    let told = one.crash_report(request("x"), at(2000)).unwrap();
+    assert!(other.merge(&told, at(2000)));
     assert!(is_quarantined(other.suspicion(request("x"), at(2000))));
-    assert!(!other.hear(&told, at(2000)), "the same again is no news");
+    assert!(!other.merge(&told, at(2000)), "the same again is no news");
 }
 
 #[rstest]
@@ -132,7 +132,7 @@
         upstreams: ["b", "c", "d"].map(|id| (id.to_owned(), 3000)).into(),
         finished_ms: None,
     };
-    known.hear(&told, at(6000));
+    known.merge(&told, at(6000));
     let thought = known.suspicion(request("x"), at(6000));
     assert_eq!(
         thought,
--- a/crates/stage/src/suspects.rs
+++ b/crates/stage/src/suspects.rs
@@ -22,7 +22,7 @@
     pub(crate) fn hear(&self, told: &[EndedUnder]) -> Vec<EndedUnder> {
         let now = BootTime::now();
         let mut known = self.lock();
-        let news = told.iter().filter(|account| known.hear(account, now));
+        let news = told.iter().filter(|account| known.merge(account, now));
         let news: BTreeSet<Fingerprint> = news.map(|account| account.fingerprint).collect();
         if news.is_empty() {
             return Vec::new();
