--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -97,7 +97,7 @@
     pub(crate) others_at: Option<Instant>,
     pub(crate) status: Option<(LoadStatus, Instant)>,
     pub(crate) failures: u32,
-    pub(crate) shunned_until: Option<Instant>,
+    pub(crate) ejected_until: Option<Instant>,
     /// When the agent last answered a question of this entry.
     pub(crate) answered_at: Option<Instant>,
     /// Since when the agent owes an answer.
@@ -120,7 +120,7 @@
             others_at: None,
             status: None,
             failures: 0,
-            shunned_until: None,
+            ejected_until: None,
             answered_at: None,
             asked_since: None,
             round_trip: Duration::ZERO,
@@ -305,7 +305,7 @@
     pub(crate) fn takes_new(&self, now: Instant) -> bool {
         self.upstream.state == UpstreamState::Ready
             && !self.is_gone
-            && self.shunned_until.is_none_or(|until| now >= until)
+            && self.ejected_until.is_none_or(|until| now >= until)
             && !self.fresh_status(now).is_some_and(|it| it.is_switching)
     }
 
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -14,14 +14,14 @@
 use super::stall::Liveness;
 
 /// First time for which an upstream is passed over after failures in a row, doubled with each.
-const FIRST_SHUN: Duration = Duration::from_millis(500);
+const MIN_EJECTION: Duration = Duration::from_millis(500);
 
 /// Longest time for which an upstream is passed over. One that is well again is noticed within it.
-const LONGEST_SHUN: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// Failures in a row after which an upstream is passed over. A single one is usual where an
 /// upstream fails some requests of its own accord.
-const SHUN_AFTER: u32 = 2;
+const EJECT_AFTER_FAILURES: u32 = 2;
 
 /// Requests that an entry keeps at an upstream whose link is in doubt. Eight entries fill one batch
 /// of 16 if all do.
@@ -174,26 +174,26 @@
     pub fn failed(&mut self, id: &str, now: Instant) -> Option<Duration> {
         let member = self.members.get_mut(id)?;
         member.failures = member.failures.saturating_add(1);
-        let over = member.failures.checked_sub(SHUN_AFTER)?;
-        let shun = FIRST_SHUN
+        let over = member.failures.checked_sub(EJECT_AFTER_FAILURES)?;
+        let ejection = MIN_EJECTION
             .saturating_mul(1 << over.min(8))
-            .min(LONGEST_SHUN);
-        member.shunned_until = Some(now + shun);
-        Some(shun)
+            .min(MAX_EJECTION);
+        member.ejected_until = Some(now + ejection);
+        Some(ejection)
     }
 
     /// Takes that an upstream answered.
     pub fn answered(&mut self, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.failures = 0;
-            member.shunned_until = None;
+            member.ejected_until = None;
         }
     }
 
     /// Takes that an upstream turned out to be another one, or to have other weights.
     pub fn misdirected(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
-            member.shunned_until = Some(now + FIRST_SHUN);
+            member.ejected_until = Some(now + MIN_EJECTION);
         }
     }
 
