--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -20,11 +20,11 @@
 
 /// An agent that leaves questions open for longer is silent, or its link is choked: the same link
 /// carries the engine's answers. Agents abroad are asked each 500 ms.
-const OPEN_QUESTION: Duration = Duration::from_millis(700);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A question and its answer that take longer speak of a choked link. The longest way there and
 /// back takes 6 ms.
-const CHOKED: Duration = Duration::from_millis(120);
+const SLOW_LINK_RTT: Duration = Duration::from_millis(120);
 
 /// Entries that are thought to send to one engine at the same time: an engine that has just loaded
 /// is empty to all entries of its data centre, and gets the requests of each.
@@ -103,7 +103,7 @@
     /// Since when the agent owes an answer.
     pub(crate) asked_since: Option<Instant>,
     /// How long the last question and its answer took.
-    pub(crate) round_trip: Duration,
+    pub(crate) rtt: Duration,
     /// The requests a second that it takes from all entries together, while it names a limit.
     pub(crate) limit: Option<KnownLimit>,
     pub(crate) is_gone: bool,
@@ -123,7 +123,7 @@
             ejected_until: None,
             answered_at: None,
             asked_since: None,
-            round_trip: Duration::ZERO,
+            rtt: Duration::ZERO,
             limit: None,
             is_gone: false,
         }
@@ -164,7 +164,7 @@
 
     /// Says whether the agent answers: its last word is no older than a question may stay open.
     pub(crate) fn is_heard(&self, now: Instant) -> bool {
-        self.heard_within(OPEN_QUESTION, now)
+        self.heard_within(ANSWER_TIMEOUT, now)
     }
 
     /// Says whether the agent answered this entry within `age`.
@@ -297,9 +297,9 @@
     }
 
     /// Says whether the link to the upstream is in doubt.
-    pub(crate) fn is_doubted(&self, now: Instant) -> bool {
-        let owes = |since: Instant| now.saturating_duration_since(since) > OPEN_QUESTION;
-        self.round_trip > CHOKED || self.asked_since.is_some_and(owes)
+    pub(crate) fn is_link_suspect(&self, now: Instant) -> bool {
+        let owes = |since: Instant| now.saturating_duration_since(since) > ANSWER_TIMEOUT;
+        self.rtt > SLOW_LINK_RTT || self.asked_since.is_some_and(owes)
     }
 
     pub(crate) fn takes_new(&self, now: Instant) -> bool {
@@ -312,7 +312,7 @@
     /// Says whether an entry abroad has to hear of the upstream itself, whatever others tell: it has
     /// requests there, or doubts the link.
     pub fn needs_direct_report(&self, now: Instant) -> bool {
-        self.own > 0 || self.is_doubted(now)
+        self.own > 0 || self.is_link_suspect(now)
     }
 
     /// Takes what was heard of the engine at `heard_at`; returns whether its weights changed, or none if it
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -88,7 +88,7 @@
 /// Order in which upstreams are preferred, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    pub(super) is_doubted: bool,
+    pub(super) is_link_suspect: bool,
     pub(super) is_late: bool,
     pub(super) is_unsafe: bool,
     pub(super) distance: u8,
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -25,7 +25,7 @@
 
 /// Requests that an entry keeps at an upstream whose link is in doubt. Eight entries fill one batch
 /// of 16 if all do.
-const DOUBTED_REQUESTS: u32 = 2;
+const MAX_SUSPECT_LINK_REQUESTS: u32 = 2;
 
 /// How long the answer of an upstream abroad counts. Near ones tell of each request at once; far ones are asked
 /// twice a second, in which time an engine takes five requests.
@@ -122,7 +122,7 @@
         &mut self,
         ip: IpAddr,
         status: &LoadStatus,
-        round_trip: Option<Duration>,
+        rtt: Option<Duration>,
         now: Instant,
     ) -> bool {
         let members = self.members.values_mut();
@@ -136,8 +136,8 @@
             return false;
         };
         member.asked_since = None;
-        if let Some(round_trip) = round_trip {
-            member.round_trip = round_trip;
+        if let Some(rtt) = rtt {
+            member.rtt = rtt;
             member.answered_at = Some(now);
         }
         changed
@@ -260,7 +260,7 @@
     pub fn liveness(&self, pick: &Pick, now: Instant) -> Liveness {
         let member = self.members.get(&pick.id);
         let member = member.filter(|it| it.upstream.started == pick.started);
-        let Some(member) = member.filter(|it| it.is_heard(now) && !it.is_doubted(now)) else {
+        let Some(member) = member.filter(|it| it.is_heard(now) && !it.is_link_suspect(now)) else {
             return Liveness::Silent;
         };
         if member.in_flight(now).0 >= member.upstream.slots {
@@ -348,12 +348,12 @@
         if needs.reported_since.is_some_and(is_unheard) {
             return Err(Unavailable::Full);
         }
-        let is_doubted = member.is_doubted(now);
-        if is_full || (is_doubted && member.own >= DOUBTED_REQUESTS) {
+        let is_link_suspect = member.is_link_suspect(now);
+        if is_full || (is_link_suspect && member.own >= MAX_SUSPECT_LINK_REQUESTS) {
             return Err(Unavailable::Full);
         }
         let rank = Rank {
-            is_doubted,
+            is_link_suspect,
             is_late,
             is_unsafe: expected.is_some_and(|it| likely(it) > room::safe(needs.objective)),
             distance,
