--- a/crates/route/src/direct/exclusion.rs
+++ b/crates/route/src/direct/exclusion.rs
@@ -60,7 +60,7 @@
             return Some(Exclusion::Limited);
         }
         let reason = self
-            .candidate(member, needs, self.presumed(needs, now), now)
+            .candidate(member, needs, self.estimate(needs, now), now)
             .err()?;
         Some(match reason {
             Unavailable::NoUpstream => Exclusion::Failing,
--- a/crates/route/src/direct/load_reports.rs
+++ b/crates/route/src/direct/load_reports.rs
@@ -72,10 +72,10 @@
         ticket: u64,
         now: Instant,
     ) -> Vec<IpAddr> {
-        let presumed = self.presumed(needs, now);
+        let estimate = self.estimate(needs, now);
         let candidates = self.members.values();
         let candidates =
-            candidates.filter_map(|member| self.candidate(member, needs, presumed, now).ok());
+            candidates.filter_map(|member| self.candidate(member, needs, estimate, now).ok());
         let mut known: Vec<(bool, u64, IpAddr)> = candidates
             .filter(|candidate| candidate.pick.is_unconfirmed)
             .map(|candidate| {
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -54,13 +54,13 @@
 /// engines single engines refused 1,000 requests a second for three seconds each, their links were
 /// full of them, and so their agents stayed silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Presumed {
+pub(crate) struct Estimate {
     /// Requests for each slot.
     load: f64,
     prefill_time: Duration,
 }
 
-impl Presumed {
+impl Estimate {
     /// Returns the mean of the members that take requests and were heard of; none if there is none.
     pub(crate) fn of<'a, I>(members: I, now: Instant) -> Option<Self>
     where
@@ -202,20 +202,20 @@
         (self.own.saturating_add(self.others), source)
     }
 
-    /// Returns the same, and where nothing was heard no less than what is `presumed`.
-    pub(crate) fn thought_in_flight(
+    /// Returns the same, and where nothing was heard no less than what is `estimate`.
+    pub(crate) fn estimated_in_flight(
         &self,
-        presumed: Option<Presumed>,
+        estimate: Option<Estimate>,
         now: Instant,
     ) -> (u32, LoadSource) {
         let (known, source) = self.in_flight(now);
-        match presumed {
-            Some(presumed) if source == LoadSource::Own => {
-                let thought = presumed.load * f64::from(self.upstream.slots.max(1));
+        match estimate {
+            Some(estimate) if source == LoadSource::Own => {
+                let estimated = estimate.load * f64::from(self.upstream.slots.max(1));
                 // A load of a few slots fits into any integer.
                 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-                let thought = thought.round() as u32;
-                (known.max(thought), LoadSource::Others)
+                let estimated = estimated.round() as u32;
+                (known.max(estimated), LoadSource::Others)
             }
             _ => (known, source),
         }
@@ -251,12 +251,12 @@
     pub(crate) fn prefill_left(
         &self,
         engine: &EngineModel,
-        presumed: Option<Presumed>,
+        estimate: Option<Estimate>,
         now: Instant,
     ) -> Duration {
         let own = prefill_time(engine, self.own_unread);
         if self.fresh_status(now).is_none() {
-            let others = presumed.map(|presumed| presumed.prefill_time);
+            let others = estimate.map(|estimate| estimate.prefill_time);
             return own.mul_f64(ENTRIES_AT_ONCE).max(others.unwrap_or_default());
         }
         own.max(self.prefill_time.left(now))
@@ -266,26 +266,26 @@
     pub(crate) fn prefill_step(
         &self,
         engine: &EngineModel,
-        presumed: Option<Presumed>,
+        estimate: Option<Estimate>,
         now: Instant,
     ) -> u128 {
         let step = prefill_time(engine, engine.usual_prompt).max(Duration::from_millis(1));
-        self.prefill_left(engine, presumed, now).as_nanos() / step.as_nanos()
+        self.prefill_left(engine, estimate, now).as_nanos() / step.as_nanos()
     }
 
     /// Returns what is known of the engine for a prediction.
     pub(crate) fn predict<'a>(
         &self,
         engine: &'a EngineModel,
-        presumed: Option<Presumed>,
+        estimate: Option<Estimate>,
         now: Instant,
     ) -> Prediction<'a> {
         let pace = self.fresh_status(now).map_or(1.0, |status| status.pace);
         Prediction {
             model: engine,
             slots: self.upstream.slots.max(1),
-            in_flight: self.thought_in_flight(presumed, now).0,
-            prefill_left: self.prefill_left(engine, presumed, now),
+            in_flight: self.estimated_in_flight(estimate, now).0,
+            prefill_left: self.prefill_left(engine, estimate, now),
             pace: f64::from(pace),
         }
     }
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -8,7 +8,7 @@
 use wagtailreel_fleet::{LoadStatus, Upstream, UpstreamId, UpstreamStart, UpstreamState};
 
 use super::correction::Correction;
-use super::member::{LoadSource, Member, Presumed};
+use super::member::{Estimate, LoadSource, Member};
 use super::pick::{Candidate, Pick, Rank, Requirements, Unavailable};
 use super::room;
 use super::stall::Liveness;
@@ -284,9 +284,9 @@
         let mut best: Option<(Rank, Pick)> = None;
         self.turn = self.turn.wrapping_add(1);
         let count = self.members.len().max(1) as u64;
-        let presumed = self.presumed(needs, now);
+        let estimate = self.estimate(needs, now);
         for (position, member) in self.members.values().enumerate() {
-            let candidate = match self.candidate(member, needs, presumed, now) {
+            let candidate = match self.candidate(member, needs, estimate, now) {
                 Ok(candidate) => candidate,
                 Err(lack) => {
                     reason = reason.max_with(lack);
@@ -307,8 +307,8 @@
 
     /// Returns what is thought of engines of which nothing was heard. Plain services have no agents
     /// that could tell of them.
-    pub(super) fn presumed(&self, needs: &Requirements<'_>, now: Instant) -> Option<Presumed> {
-        needs.engine.and_then(|_| Presumed::of(self.members(), now))
+    pub(super) fn estimate(&self, needs: &Requirements<'_>, now: Instant) -> Option<Estimate> {
+        needs.engine.and_then(|_| Estimate::of(self.members(), now))
     }
 
     /// Says what `member` has to offer to a request, or what it lacks.
@@ -316,7 +316,7 @@
         &self,
         member: &Member,
         needs: &Requirements<'_>,
-        presumed: Option<Presumed>,
+        estimate: Option<Estimate>,
         now: Instant,
     ) -> Result<Candidate, Unavailable> {
         if !member.takes_new(now) || needs.tried.contains(&member.upstream.id) {
@@ -329,11 +329,11 @@
             None => None,
             Some(model) => Some(member.serves(model, needs.least_version, now)?),
         };
-        let (in_flight, source) = member.thought_in_flight(presumed, now);
+        let (in_flight, source) = member.estimated_in_flight(estimate, now);
         let slots = member.upstream.slots.max(1);
         let waits = in_flight >= slots;
         let engine = needs.engine;
-        let prediction = engine.map(|engine| member.predict(engine, presumed, now));
+        let prediction = engine.map(|engine| member.predict(engine, estimate, now));
         let expected = prediction.map(|it| it.first_event(needs.prompt));
         let likely = |expected| self.correction.apply(waits, expected, now);
         let is_late = expected.map_or(waits, |expected| likely(expected) > needs.objective);
@@ -359,7 +359,7 @@
             distance,
             prefill_time: needs
                 .engine
-                .map_or(0, |engine| member.prefill_step(engine, presumed, now)),
+                .map_or(0, |engine| member.prefill_step(engine, estimate, now)),
             load: u64::from(in_flight) * 1000 / u64::from(slots),
             turn: 0,
         };
--- a/crates/route/src/direct/waits.rs
+++ b/crates/route/src/direct/waits.rs
@@ -9,7 +9,7 @@
 impl Upstreams {
     /// Returns when the first place for a request gets free; none where that can't be told.
     pub fn free_in(&self, needs: &Requirements<'_>, now: Instant) -> Option<Duration> {
-        let presumed = self.presumed(needs, now);
+        let estimate = self.estimate(needs, now);
         let objective = room::safe(needs.objective);
         let takes_new = self.members.values().filter(|it| it.takes_new(now));
         let waits = takes_new.map(|member| {
@@ -18,7 +18,7 @@
                 // Nobody can predict the answers of a plain service.
                 return Some(limited).filter(|it| !it.is_zero());
             };
-            let engine = member.predict(engine, presumed, now);
+            let engine = member.predict(engine, estimate, now);
             let full = engine
                 .slot_wait()
                 .max(engine.crowd_wait(needs.prompt, objective));
