--- a/crates/route/src/direct/load_reports.rs
+++ b/crates/route/src/direct/load_reports.rs
@@ -27,7 +27,7 @@
     pub fn load_reports(&self, data_centre: &str, oldest: Duration, now: Instant) -> LoadReports {
         let members = self.members();
         let members = members.filter(|it| it.upstream.data_centre == data_centre);
-        let heard = members.filter(|it| it.heard_within(oldest, now));
+        let heard = members.filter(|it| it.reported_within(oldest, now));
         let report = |member: &super::Member| {
             let (status, received_at) = member.status.clone()?;
             let ip = member.upstream.addr.ip();
@@ -55,7 +55,7 @@
             };
             newest = newest.max(report.status.version);
             if !member.reported_since(report.received_at) {
-                member.take_status(&report.status, report.received_at);
+                member.apply_status(&report.status, report.received_at);
             }
         }
         newest
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -68,7 +68,7 @@
     {
         let mut heard = 0_u32;
         let mut sum = Self::default();
-        for member in members.filter(|it| it.takes_new(now) && it.fresh_status(now).is_some()) {
+        for member in members.filter(|it| it.accepts_new(now) && it.fresh_status(now).is_some()) {
             heard += 1;
             sum.load +=
                 f64::from(member.in_flight(now).0) / f64::from(member.upstream.slots.max(1));
@@ -87,14 +87,14 @@
     /// What it says of itself in the registry.
     pub upstream: Upstream,
     /// Requests of this entry that are there now; exact.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// Prompt tokens of those that have not begun to answer; exact.
-    pub(crate) own_unread: u32,
+    pub(crate) own_prefill_tokens: u32,
     /// What the engine is to read, by its agent's last word and what was sent since.
     pub(crate) prefill_time: PrefillQueue,
     /// Requests of others, as of the last word on its load; late.
-    pub(crate) others: u32,
-    pub(crate) others_at: Option<Instant>,
+    pub(crate) other_in_flight: u32,
+    pub(crate) others_reported_at: Option<Instant>,
     pub(crate) status: Option<(LoadStatus, Instant)>,
     pub(crate) failures: u32,
     pub(crate) ejected_until: Option<Instant>,
@@ -113,11 +113,11 @@
     pub(crate) fn new(upstream: Upstream) -> Self {
         Self {
             upstream,
-            own: 0,
-            own_unread: 0,
+            own_in_flight: 0,
+            own_prefill_tokens: 0,
             prefill_time: PrefillQueue::default(),
-            others: 0,
-            others_at: None,
+            other_in_flight: 0,
+            others_reported_at: None,
             status: None,
             failures: 0,
             ejected_until: None,
@@ -157,14 +157,14 @@
     }
 
     /// Says whether the agent's last word is younger than `age`.
-    pub(crate) fn heard_within(&self, age: Duration, now: Instant) -> bool {
+    pub(crate) fn reported_within(&self, age: Duration, now: Instant) -> bool {
         let heard = self.status.as_ref().map(|(_, at)| *at);
         heard.is_some_and(|at| now.saturating_duration_since(at) <= age)
     }
 
     /// Says whether the agent answers: its last word is no older than a question may stay open.
-    pub(crate) fn is_heard(&self, now: Instant) -> bool {
-        self.heard_within(ANSWER_TIMEOUT, now)
+    pub(crate) fn is_responsive(&self, now: Instant) -> bool {
+        self.reported_within(ANSWER_TIMEOUT, now)
     }
 
     /// Says whether the agent answered this entry within `age`.
@@ -191,15 +191,18 @@
             LOAD_VALID
         };
         let is_fresh = |at: Instant| now.saturating_duration_since(at) <= valid;
-        if !self.others_at.is_some_and(is_fresh) {
-            return (self.own, LoadSource::Own);
+        if !self.others_reported_at.is_some_and(is_fresh) {
+            return (self.own_in_flight, LoadSource::Own);
         }
         let source = if self.fresh_status(now).is_some() {
             LoadSource::Agent
         } else {
             LoadSource::Answers
         };
-        (self.own.saturating_add(self.others), source)
+        (
+            self.own_in_flight.saturating_add(self.other_in_flight),
+            source,
+        )
     }
 
     /// Returns the same, and where nothing was heard no less than what is `estimate`.
@@ -254,7 +257,7 @@
         estimate: Option<Estimate>,
         now: Instant,
     ) -> Duration {
-        let own = prefill_time(engine, self.own_unread);
+        let own = prefill_time(engine, self.own_prefill_tokens);
         if self.fresh_status(now).is_none() {
             let others = estimate.map(|estimate| estimate.prefill_time);
             return own.mul_f64(ENTRIES_AT_ONCE).max(others.unwrap_or_default());
@@ -302,7 +305,7 @@
         self.rtt > SLOW_LINK_RTT || self.asked_since.is_some_and(owes)
     }
 
-    pub(crate) fn takes_new(&self, now: Instant) -> bool {
+    pub(crate) fn accepts_new(&self, now: Instant) -> bool {
         self.upstream.state == UpstreamState::Ready
             && !self.is_gone
             && self.ejected_until.is_none_or(|until| now >= until)
@@ -312,12 +315,16 @@
     /// Says whether an entry abroad has to hear of the upstream itself, whatever others tell: it has
     /// requests there, or doubts the link.
     pub fn needs_direct_report(&self, now: Instant) -> bool {
-        self.own > 0 || self.is_link_suspect(now)
+        self.own_in_flight > 0 || self.is_link_suspect(now)
     }
 
-    /// Takes what was heard of the engine at `heard_at`; returns whether its weights changed, or none if it
+    /// Takes what was heard of the engine at `received_at`; returns whether its weights changed, or none if it
     /// is of an earlier start and nothing was taken.
-    pub(crate) fn take_status(&mut self, status: &LoadStatus, heard_at: Instant) -> Option<bool> {
+    pub(crate) fn apply_status(
+        &mut self,
+        status: &LoadStatus,
+        received_at: Instant,
+    ) -> Option<bool> {
         if status.started != 0 && self.is_before(status.started) {
             return None;
         }
@@ -328,15 +335,15 @@
         let changed = before.is_none_or(|(before, _)| {
             before.version != status.version || before.is_switching != status.is_switching
         });
-        self.take_load(status.queued.saturating_add(status.running), heard_at);
+        self.apply_load(status.queued.saturating_add(status.running), received_at);
         let prefill_left = Duration::from_millis(status.reading_ms.into());
-        self.prefill_time.set(prefill_left, heard_at);
-        self.status = Some((status.clone(), heard_at));
+        self.prefill_time.set(prefill_left, received_at);
+        self.status = Some((status.clone(), received_at));
         Some(changed)
     }
 
-    pub(crate) fn take_load(&mut self, total: u32, at: Instant) {
-        self.others = total.saturating_sub(self.own);
-        self.others_at = Some(at);
+    pub(crate) fn apply_load(&mut self, total: u32, at: Instant) {
+        self.other_in_flight = total.saturating_sub(self.own_in_flight);
+        self.others_reported_at = Some(at);
     }
 }
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -132,7 +132,7 @@
         else {
             return false;
         };
-        let Some(changed) = member.take_status(status, now) else {
+        let Some(changed) = member.apply_status(status, now) else {
             return false;
         };
         member.asked_since = None;
@@ -158,7 +158,7 @@
         if let Some(member) = self.members.get_mut(id)
             && member.fresh_status(now).is_none()
         {
-            member.take_load(total, now);
+            member.apply_load(total, now);
         }
     }
 
@@ -166,7 +166,7 @@
     pub fn full(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
             let slots = member.upstream.slots.saturating_add(QUEUE);
-            member.take_load(slots.max(member.own), now);
+            member.apply_load(slots.max(member.own_in_flight), now);
         }
     }
 
@@ -203,8 +203,8 @@
         let Some(member) = self.members.get_mut(id) else {
             return 0;
         };
-        member.own = member.own.saturating_add(1);
-        member.own_unread = member.own_unread.saturating_add(tokens);
+        member.own_in_flight = member.own_in_flight.saturating_add(1);
+        member.own_prefill_tokens = member.own_prefill_tokens.saturating_add(tokens);
         member.upstream.started
     }
 
@@ -218,14 +218,14 @@
     /// Counts that a prompt of `tokens` was read: its answer has begun, or never will.
     pub fn prefilled(&mut self, id: &str, start: UpstreamStart, tokens: u32) {
         if let Some(member) = self.same_start(id, start) {
-            member.own_unread = member.own_unread.saturating_sub(tokens);
+            member.own_prefill_tokens = member.own_prefill_tokens.saturating_sub(tokens);
         }
     }
 
     /// Counts a request that is over at an upstream.
     pub fn finished(&mut self, id: &str, start: UpstreamStart) {
         if let Some(member) = self.same_start(id, start) {
-            member.own = member.own.saturating_sub(1);
+            member.own_in_flight = member.own_in_flight.saturating_sub(1);
         }
         self.forget();
     }
@@ -260,7 +260,8 @@
     pub fn liveness(&self, pick: &Pick, now: Instant) -> Liveness {
         let member = self.members.get(&pick.id);
         let member = member.filter(|it| it.upstream.started == pick.started);
-        let Some(member) = member.filter(|it| it.is_heard(now) && !it.is_link_suspect(now)) else {
+        let Some(member) = member.filter(|it| it.is_responsive(now) && !it.is_link_suspect(now))
+        else {
             return Liveness::Silent;
         };
         if member.in_flight(now).0 >= member.upstream.slots {
@@ -319,7 +320,7 @@
         estimate: Option<Estimate>,
         now: Instant,
     ) -> Result<Candidate, Unavailable> {
-        if !member.takes_new(now) || needs.tried.contains(&member.upstream.id) {
+        if !member.accepts_new(now) || needs.tried.contains(&member.upstream.id) {
             return Err(Unavailable::NoUpstream);
         }
         if member.limited_for(now) > Duration::ZERO {
@@ -349,7 +350,7 @@
             return Err(Unavailable::Full);
         }
         let is_link_suspect = member.is_link_suspect(now);
-        if is_full || (is_link_suspect && member.own >= MAX_SUSPECT_LINK_REQUESTS) {
+        if is_full || (is_link_suspect && member.own_in_flight >= MAX_SUSPECT_LINK_REQUESTS) {
             return Err(Unavailable::Full);
         }
         let rank = Rank {
@@ -389,6 +390,6 @@
 
     fn forget(&mut self) {
         self.members
-            .retain(|_, member| !member.is_gone || member.own > 0);
+            .retain(|_, member| !member.is_gone || member.own_in_flight > 0);
     }
 }
--- a/crates/route/src/direct/waits.rs
+++ b/crates/route/src/direct/waits.rs
@@ -11,8 +11,8 @@
     pub fn free_in(&self, needs: &Requirements<'_>, now: Instant) -> Option<Duration> {
         let estimate = self.estimate(needs, now);
         let objective = room::safe(needs.objective);
-        let takes_new = self.members.values().filter(|it| it.takes_new(now));
-        let waits = takes_new.map(|member| {
+        let accepts_new = self.members.values().filter(|it| it.accepts_new(now));
+        let waits = accepts_new.map(|member| {
             let limited = member.limited_for(now);
             let Some(engine) = needs.engine else {
                 // Nobody can predict the answers of a plain service.
