--- a/crates/route/src/direct/room.rs
+++ b/crates/route/src/direct/capacity.rs
@@ -9,11 +9,11 @@
 /// before one abroad, and for a request to join others' prompts. The rest is for what a mean doesn't say: the
 /// turn of a pass, longer answers, prompts that come in the same moment. With the whole objective 329 of 698
 /// requests that came to engines in the first 0.15 s after their load began late, with this share 158 of 603.
-const SAFE_SHARE: f64 = 0.7;
+const SAFETY_MARGIN: f64 = 0.7;
 
 /// Returns the time to the first event that is expected to keep to `objective`, whatever a mean doesn't say.
 pub(super) fn safe(objective: Duration) -> Duration {
-    objective.mul_f64(SAFE_SHARE)
+    objective.mul_f64(SAFETY_MARGIN)
 }
 
 /// Says whether the engine of `prediction` has no room for a request.
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -6,6 +6,7 @@
 //! for; [`Permits`] keeps all entries together to the limits that upstreams name; [`RefusalRate`] says when a refused caller is to come back; [`Quarantine`] knows requests under
 //! which upstreams end; [`next_step`] says what follows from the end of an attempt.
 
+mod capacity;
 mod correction;
 mod ending;
 mod exclusion;
@@ -20,10 +21,9 @@
 mod prefill;
 mod quarantine;
 mod refusal_rate;
-mod room;
+mod retry;
 mod stall;
 mod upstreams;
-mod waits;
 
 pub use correction::Correction;
 pub use ending::{Attempt, Ending, Next, next_step};
--- a/crates/route/src/direct/waits.rs
+++ b/crates/route/src/direct/retry.rs
@@ -2,15 +2,15 @@
 
 use std::time::{Duration, Instant};
 
+use super::capacity;
 use super::pick::Requirements;
-use super::room;
 use super::upstreams::Upstreams;
 
 impl Upstreams {
     /// Returns when the first place for a request gets free; none where that can't be told.
     pub fn free_in(&self, needs: &Requirements<'_>, now: Instant) -> Option<Duration> {
         let estimate = self.estimate(needs, now);
-        let objective = room::safe(needs.objective);
+        let objective = capacity::safe(needs.objective);
         let accepts_new = self.members.values().filter(|it| it.accepts_new(now));
         let waits = accepts_new.map(|member| {
             let limited = member.limited_for(now);
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -7,10 +7,10 @@
 use wagtailreel_core::{DataCentre, Region};
 use wagtailreel_fleet::{LoadStatus, Upstream, UpstreamId, UpstreamStart, UpstreamState};
 
+use super::capacity;
 use super::correction::Correction;
 use super::member::{Estimate, LoadSource, Member};
 use super::pick::{Candidate, Pick, Rank, Requirements, Unavailable};
-use super::room;
 use super::stall::Liveness;
 
 /// First time for which an upstream is passed over after failures in a row, doubled with each.
@@ -339,7 +339,7 @@
         let likely = |expected| self.correction.apply(waits, expected, now);
         let is_late = expected.map_or(waits, |expected| likely(expected) > needs.objective);
         let is_full = match &prediction {
-            Some(it) => room::is_full(it, needs, waits, source == LoadSource::Agent, likely),
+            Some(it) => capacity::is_full(it, needs, waits, source == LoadSource::Agent, likely),
             None => in_flight >= slots.saturating_add(QUEUE),
         };
         let distance = self.distance(&member.upstream.data_centre);
@@ -356,7 +356,7 @@
         let rank = Rank {
             is_link_suspect,
             is_late,
-            is_unsafe: expected.is_some_and(|it| likely(it) > room::safe(needs.objective)),
+            is_unsafe: expected.is_some_and(|it| likely(it) > capacity::safe(needs.objective)),
             distance,
             prefill_time: needs
                 .engine
