--- a/crates/route/src/direct/naming.rs
+++ b/crates/route/src/direct/naming.rs
@@ -1,59 +1,60 @@
-//! Which versions of a model's weights a request may begin on.
+//! Namings: which versions of a model's weights a request may begin on.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use wagtailreel_fleet::{BootTime, ModelName, NamedWeights, WeightsVersion};
 
-/// How long a request may wait to begin on weights whose naming was missed, beyond their bound: both
-/// together stay below the 3 s that a new process is given.
-const LAST_BEGIN_AT_START: Duration = Duration::from_millis(250);
+/// Longest time past the bound that a request may wait to begin on weights whose naming was missed. Bound and
+/// wait together stay below the 3 s that a new process is given.
+const MAX_WAIT_FOR_MISSED_NAMING: Duration = Duration::from_millis(250);
 
-/// Proofs on one naming that differ by less differ only by the time of their way.
-const SAME: Duration = Duration::from_millis(20);
+/// Proofs of one naming that differ by less than this differ only in network delay.
+const PROOF_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// The first version of a model's weights.
 const FIRST_VERSION: WeightsVersion = 1;
 
-/// How long older weights may still be used.
+/// How long requests may still begin on older weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NamingBounds {
-    /// How long requests may begin on older weights after newer ones were named.
+    /// Time after a naming in which requests may begin on older weights.
     pub begin: Duration,
-    /// How long a request that was sent to older weights may still wait to begin.
+    /// Time after a naming in which a request that was sent to older weights may still wait to begin.
     pub last_begin: Duration,
-    /// How long requests may begin on older weights where it is not known since when newer ones are
-    /// named.
+    /// Time in which requests may begin on older weights if the time of the naming is unknown.
     pub unknown: Duration,
 }
 
-/// How a process comes to know that weights are named.
+/// How a process learned of a naming.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum NamingSource {
-    /// The registry names them now.
+    /// This process read the naming from the registry.
     #[display("news")]
     Registry {
-        /// The moment from which their bound counts.
+        /// Start of the bound.
         received_at: BootTime,
-        /// The registry did not name them at this moment.
+        /// Latest time at which the registry did not name the weights yet.
         after: BootTime,
     },
-    /// The registry already named them when the process, started at this moment, read it first.
+    /// The registry already named the weights at the first read of this process, which started at this time.
     #[display("before-start")]
     BeforeStart(BootTime),
-    /// The same, but the registry was away since the start, and the bound counts from its return.
+    /// As `BeforeStart`, but the registry was unreachable since the start. The bound counts from the first
+    /// answer.
     #[display("after-outage")]
     AfterOutage,
-    /// An engine holds them, so that they must have been named.
+    /// An engine holds the weights, so they must have been named.
     #[display("held")]
     Held,
-    /// Another process heard the registry name them, and not at this moment yet.
+    /// Another process reported the naming, and that the registry did not name the weights yet at this time.
     #[display("word")]
     Reported(BootTime),
 }
 
 impl NamingSource {
-    /// Returns a moment at which the registry is proved not to have named the weights; none where none is.
+    /// Returns the latest time at which the registry is proved not to have named the weights, or `None` if
+    /// nothing is proved.
     pub const fn after(&self) -> Option<BootTime> {
         match *self {
             Self::Registry { after, .. } | Self::Reported(after) => Some(after),
@@ -62,14 +63,14 @@
     }
 }
 
-/// Weights that are named, and when they were not yet, if that is proved.
+/// A naming, with its time as far as it is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Naming {
     /// The weights.
     pub weights: NamedWeights,
-    /// Since when they are taken to be named; none where that is a guess.
+    /// Time from which the weights count as named, or `None` if that time is an estimate.
     pub since: Option<BootTime>,
-    /// A moment at which they were not named; none where none is proved.
+    /// Latest time at which the weights are proved not to have been named, or `None` if nothing is proved.
     pub after: Option<BootTime>,
 }
 
@@ -77,33 +78,35 @@
 struct Named {
     version: WeightsVersion,
     binding_from: BootTime,
-    /// Requests that wait to begin on older weights are taken back at this moment.
+    /// Time at which requests that wait to begin on older weights are withdrawn.
     last_begin: BootTime,
-    /// Since when they are taken to be named, where that is no guess.
+    /// Time from which the weights count as named, unless that time is an estimate.
     since: Option<BootTime>,
-    /// The latest moment at which the registry is proved not to have named them.
+    /// Latest time at which the registry is proved not to have named the weights.
     after: Option<BootTime>,
-    /// When this process heard of them; a proof of a later moment is false.
+    /// Time at which this process learned of the naming. A proof of a later time is false.
     known_at: BootTime,
-    /// The bound was guessed, and counts from `after` once that is known.
-    is_guess: bool,
+    /// The bound is an estimate, and counts from `after` as soon as `after` is known.
+    is_estimate: bool,
 }
 
-/// Newer weights than the registry names to this process.
+/// Weights newer than those that this process read from the registry.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     version: WeightsVersion,
-    /// When they were first heard of.
+    /// Time of the first report.
     at: BootTime,
-    /// When another process first said that the registry names them.
+    /// Time at which another process first reported the naming.
     reported_at: Option<BootTime>,
 }
 
 impl NamingBounds {
-    /// Returns the version before `named`, if it came after `last`, the newest that this process knew.
+    /// Returns the version before `named` if this process skipped it, that is if it is newer than `last`, the
+    /// newest version known so far.
     ///
-    /// It was named before `named`, and what is proved of that one later says nothing of when.
-    fn passed_over(
+    /// The skipped version was named before `named`. A later proof of the time of `named` does not apply to
+    /// the skipped version.
+    fn skipped_version(
         &self,
         named: Named,
         source: NamingSource,
@@ -117,43 +120,43 @@
         if !matches!(source, NamingSource::Reported(_)) {
             return Some(Named { version, ..named });
         }
-        // It may have been named long before the moment that the word proves.
-        let guess = now.plus(self.unknown).min(named.binding_from);
-        let waits = self.waits().min(LAST_BEGIN_AT_START);
+        // The skipped version may have been named long before the time that the report proves.
+        let estimate = now.plus(self.unknown).min(named.binding_from);
+        let waits = self.waits().min(MAX_WAIT_FOR_MISSED_NAMING);
         Some(Named {
             version,
-            binding_from: guess,
-            last_begin: guess.plus(waits),
+            binding_from: estimate,
+            last_begin: estimate.plus(waits),
             since: None,
             after: None,
-            is_guess: true,
+            is_estimate: true,
             ..named
         })
     }
 
-    /// Returns how long a request that was sent in time may still wait to begin, beyond the bound.
+    /// Returns how long past the bound a request that was sent in time may still wait to begin.
     const fn waits(&self) -> Duration {
         self.last_begin.saturating_sub(self.begin)
     }
 }
 
-/// The weights of each model that are named, and from when on nothing older may begin.
+/// The namings of each model, and the times from which requests may no longer begin on older weights.
 ///
-/// Invariant: of each model the versions only grow. The newest record of the registry may name an
-/// older version than one before it, since a write whose answer was lost may be done seconds later; a
-/// process that starts after that hears of the newer version from engines that hold it.
+/// Invariant: the versions of each model only grow. The newest record of the registry may name an older
+/// version than an earlier record, since a write whose answer was lost may take effect seconds later. A
+/// process that starts after such a write learns of the newer version from engines that hold it.
 #[derive(Clone, Debug)]
 pub struct Namings {
     bounds: NamingBounds,
     named: BTreeMap<ModelName, Vec<Named>>,
-    /// Newer weights than the registry names.
+    /// Versions newer than those read from the registry.
     seen: BTreeMap<ModelName, Seen>,
-    /// A read of the registry has to begin after what was seen last.
+    /// Whether the registry has to be read again because of the latest entry of `seen`.
     is_read_due: bool,
 }
 
 impl Namings {
-    /// Makes the account of a process that knows of no weights.
+    /// Creates an empty set of namings.
     pub const fn new(bounds: NamingBounds) -> Self {
         Self {
             bounds,
@@ -163,14 +166,15 @@
         }
     }
 
-    /// Returns the oldest version of `model` on which a request may begin at `now`.
+    /// Returns the oldest version of `model` on which a request may begin at `now`, or `None` if every
+    /// version may be used.
     pub fn least_version(&self, model: &str, now: BootTime) -> Option<WeightsVersion> {
         let named = self.named.get(model)?.iter();
         let binding = named.filter(|named| named.binding_from <= now);
         binding.map(|named| named.version).max()
     }
 
-    /// Returns the newest weights of `model` that are named.
+    /// Returns the newest naming of `model`.
     pub fn newest(&self, model: &str) -> Option<Naming> {
         let newest = self.named.get(model)?.iter().max_by_key(|it| it.version)?;
         Some(Naming {
@@ -183,8 +187,8 @@
         })
     }
 
-    /// Returns how much longer a request may wait to begin on `version` of `model`; none if nothing
-    /// newer is named.
+    /// Returns how much longer a request may wait to begin on `version` of `model`, or `None` if no newer
+    /// version is named.
     pub fn begin_within(
         &self,
         model: &str,
@@ -199,8 +203,8 @@
         newer.map(|named| named.last_begin.since(now)).min()
     }
 
-    /// Takes that `weights` are named; returns from when on nothing older may begin, or none if they
-    /// are no news.
+    /// Records a naming. Returns the time from which no request may begin on older weights, or `None` if the
+    /// version is not newer than those known.
     pub fn record(
         &mut self,
         weights: &NamedWeights,
@@ -211,10 +215,10 @@
         if newest.is_some_and(|newest| newest >= weights.version) {
             return None;
         }
-        let source_of_report = self.source_of_report(weights, source);
-        let source = source_of_report.unwrap_or(source);
+        let backdated = self.backdated(weights, source);
+        let source = backdated.unwrap_or(source);
         let waits = self.bounds.waits();
-        let waits_at_start = waits.min(LAST_BEGIN_AT_START);
+        let waits_at_start = waits.min(MAX_WAIT_FOR_MISSED_NAMING);
         let (binding_from, waits) = match source {
             NamingSource::Registry { received_at, .. } => {
                 (received_at.plus(self.bounds.begin), waits)
@@ -231,8 +235,8 @@
             _ => source.after(),
         };
         let mut last_begin = binding_from.plus(waits);
-        if source_of_report.is_some() {
-            // The bound may be over already; requests that wait keep their usual time.
+        if backdated.is_some() {
+            // The bound may have passed already. Waiting requests keep their usual time.
             last_begin = last_begin.max(now.plus(waits));
         }
         let named = Named {
@@ -242,24 +246,21 @@
             since,
             after: source.after(),
             known_at: now,
-            is_guess: matches!(source, NamingSource::BeforeStart(_) | NamingSource::Held),
+            is_estimate: matches!(source, NamingSource::BeforeStart(_) | NamingSource::Held),
         };
         let all = self.named.entry(weights.model.clone()).or_default();
         let last = newest.unwrap_or(FIRST_VERSION);
-        all.extend(self.bounds.passed_over(named, source, last, now));
+        all.extend(self.bounds.skipped_version(named, source, last, now));
         all.push(named);
         Some(binding_from)
     }
 
-    /// Returns how news of `weights` is told where others told of them sooner; none where nothing was sooner.
+    /// Returns `source` with the time of the first report by another process, or `None` if no such report
+    /// came before `source` was received.
     ///
-    /// The registry answered whoever told of them: no call that it left unanswered after that excuses this
-    /// process.
-    fn source_of_report(
-        &self,
-        weights: &NamedWeights,
-        source: NamingSource,
-    ) -> Option<NamingSource> {
+    /// The registry answered the process that sent the report, so this process may not extend the bound
+    /// because its own calls to the registry went unanswered.
+    fn backdated(&self, weights: &NamedWeights, source: NamingSource) -> Option<NamingSource> {
         let NamingSource::Registry { received_at, after } = source else {
             return None;
         };
@@ -274,13 +275,14 @@
         })
     }
 
-    /// Takes that an engine holds `weights`, and the moment of which the last read of the registry
-    /// speaks; returns from when on nothing older may begin, or none if that is no news.
+    /// Records that an engine holds `weights`. `read_as_of` is the time whose state the last read of the
+    /// registry shows. Returns the time from which no request may begin on older weights, or `None` if
+    /// nothing changed.
     ///
-    /// Only a read that began after the engine was heard of, and still names an older version, says that
-    /// the naming was missed. An entry that was cut off hears of engines first, and of the naming a moment
-    /// later: taken at once, the streams of a whole data centre were cut when its links came back.
-    /// Without any naming there is nothing that engines are to be brought to.
+    /// The naming counts as missed only if a read of the registry that began after the engine was first seen
+    /// still names an older version. An entry that was disconnected hears from engines first and reads the
+    /// naming a moment later. Recording the version at once would cut the streams of a whole data centre when
+    /// its links come back. Without any naming there is no version that engines have to load.
     pub fn record_held(
         &mut self,
         weights: &NamedWeights,
@@ -290,8 +292,9 @@
         self.record_missed(weights, NamingSource::Held, read_as_of, now)
     }
 
-    /// Takes `weights` that others know of, if the naming was missed: the last read of the registry, which
-    /// speaks of `read_as_of`, began after they were heard of first, and still names an older version.
+    /// Records `weights` that other processes know of, if this process missed the naming: the last read of
+    /// the registry, which shows the state at `read_as_of`, began after the weights were first seen, and
+    /// still names an older version.
     fn record_missed(
         &mut self,
         weights: &NamedWeights,
@@ -323,17 +326,18 @@
         self.record(weights, source, now)
     }
 
-    /// Returns whether the registry is to be read now, to know if newer weights that others told of are news
-    /// to come; says so once for each version.
+    /// Returns whether the registry has to be read now, to find out whether the naming of newer weights that
+    /// others reported is still to come. Returns `true` once for each version.
     pub const fn take_read_due(&mut self) -> bool {
         std::mem::replace(&mut self.is_read_due, false)
     }
 
-    /// Takes that another process heard the registry name `weights`, and proved that it did not at `after`;
-    /// returns from when on nothing older may begin, or none if that is no news.
+    /// Records the report of another process that the registry names `weights` and did not name them at
+    /// `after`. Returns the time from which no request may begin on older weights, or `None` if nothing
+    /// changed.
     ///
-    /// A version that the registry has not named to this process is left to it, as in
-    /// [`record_held`](Self::take_held).
+    /// A version that this process has not read from the registry yet is recorded only if its naming was
+    /// missed, as in [`record_held`](Self::record_held).
     pub fn merge_report(
         &mut self,
         weights: &NamedWeights,
@@ -348,22 +352,22 @@
         self.merge_proof(weights, after)
     }
 
-    /// Takes that another process proved `weights` not to be named at `after`; returns from when on
-    /// nothing older may begin, or none if that is no news.
+    /// Records the proof of another process that `weights` were not named yet at `after`. Returns the time
+    /// from which no request may begin on older weights, or `None` if the bound does not change.
     ///
-    /// The naming came after each moment that is proved, so the latest of them counts: by the earliest,
-    /// an entry that had just started refused its callers 9 s before it had to. A guess gives way to
-    /// it. The registry's word on its return from an outage stands: the bound counts from it, and what
-    /// waits to begin is not cut by an older one.
+    /// The naming came after every time that is proved, so the latest proof counts. With the earliest proof,
+    /// an entry that has just started refuses requests 9 s too early. An estimate is replaced by a
+    /// proof. A naming that the registry reported after an outage stays: its bound counts from the end of the
+    /// outage, and an older proof does not cut requests that wait to begin.
     pub fn merge_proof(&mut self, weights: &NamedWeights, after: BootTime) -> Option<BootTime> {
         let mut named = self.named.get_mut(&weights.model)?.iter_mut();
         let named = named.find(|it| it.version == weights.version)?;
-        let is_later = |known: BootTime| known.plus(SAME) < after;
+        let is_later = |known: BootTime| known.plus(PROOF_TOLERANCE) < after;
         if after > named.known_at || !named.after.is_none_or(is_later) {
             return None;
         }
         named.after = Some(after);
-        if !named.is_guess && named.since.is_none_or(|since| since >= after) {
+        if !named.is_estimate && named.since.is_none_or(|since| since >= after) {
             return None;
         }
         named.since = Some(after);
@@ -372,7 +376,7 @@
         Some(named.binding_from)
     }
 
-    /// Returns the newest version of `model` that is named.
+    /// Returns the newest named version of `model`.
     pub fn newest_version(&self, model: &str) -> Option<WeightsVersion> {
         let named = self.named.get(model)?.iter();
         named.map(|named| named.version).max()
