--- a/crates/route/src/direct/capacity.rs
+++ b/crates/route/src/direct/capacity.rs
@@ -9,16 +9,16 @@
 /// before one abroad, and for a request to join others' prompts. The rest is for what a mean doesn't say: the
 /// turn of a pass, longer answers, prompts that come in the same moment. With the whole objective 329 of 698
 /// requests that came to engines in the first 0.15 s after their load began late, with this share 158 of 603.
-const SAFETY_MARGIN: f64 = 0.7;
+const SAFE_OBJECTIVE_SHARE: f64 = 0.7;
 
 /// Returns the time to the first event that is expected to keep to `objective`, whatever a mean doesn't say.
-pub(super) fn safe(objective: Duration) -> Duration {
-    objective.mul_f64(SAFETY_MARGIN)
+pub(super) fn safe_objective(objective: Duration) -> Duration {
+    objective.mul_f64(SAFE_OBJECTIVE_SHARE)
 }
 
 /// Says whether the engine of `prediction` has no room for a request.
 ///
-/// One that has a slot is served, though late, unless others' prompts make it so: `is_told` says that the agent tells
+/// One that has a slot is served, though late, unless others' prompts make it so: `has_report` says that the agent tells
 /// what the engine reads, of which a guess would refuse too many. One that also waits for a slot is better off
 /// elsewhere, or told so at once.
 ///
@@ -28,8 +28,8 @@
 pub(super) fn is_full<F>(
     prediction: &Prediction<'_>,
     needs: &Requirements<'_>,
-    waits: bool,
-    is_told: bool,
+    is_queued: bool,
+    has_report: bool,
     likely: F,
 ) -> bool
 where
@@ -38,5 +38,6 @@
     let beyond = needs.prompt.saturating_sub(prediction.model.usual_prompt);
     let prompt = needs.prompt - beyond / 2;
     let is_late = || likely(prediction.first_event(prompt)) > needs.objective;
-    (waits && is_late()) || (is_told && prediction.is_crowded(prompt, safe(needs.objective)))
+    (is_queued && is_late())
+        || (has_report && prediction.is_crowded(prompt, safe_objective(needs.objective)))
 }
--- a/crates/route/src/direct/correction.rs
+++ b/crates/route/src/direct/correction.rs
@@ -70,11 +70,11 @@
 }
 
 impl Correction {
-    /// Takes that a first event that was predicted for `expected` came after `seen`; `waits` says
+    /// Takes that a first event that was predicted for `expected` came after `seen`; `is_queued` says
     /// whether the request had to wait for a slot.
-    pub fn learn(&mut self, waits: bool, expected: Duration, seen: Duration, now: Instant) {
+    pub fn learn(&mut self, is_queued: bool, expected: Duration, seen: Duration, now: Instant) {
         let over = seen.as_secs_f64() - expected.as_secs_f64();
-        if waits {
+        if is_queued {
             self.waiting.learn(over, now);
         } else {
             self.at_once.learn(over, now);
@@ -82,8 +82,12 @@
     }
 
     /// Returns within what time a first event that was predicted for `expected` most likely comes.
-    pub fn apply(&self, waits: bool, expected: Duration, now: Instant) -> Duration {
-        let quantile = if waits { self.waiting } else { self.at_once };
+    pub fn apply(&self, is_queued: bool, expected: Duration, now: Instant) -> Duration {
+        let quantile = if is_queued {
+            self.waiting
+        } else {
+            self.at_once
+        };
         expected + Duration::from_secs_f64(quantile.at(now))
     }
 }
--- a/crates/route/src/direct/exclusion.rs
+++ b/crates/route/src/direct/exclusion.rs
@@ -56,7 +56,7 @@
         if member.upstream.state != UpstreamState::Ready {
             return Some(Exclusion::NotReady);
         }
-        if member.limited_for(now) > Duration::ZERO {
+        if member.limited_time(now) > Duration::ZERO {
             return Some(Exclusion::Limited);
         }
         let reason = self
--- a/crates/route/src/direct/limit.rs
+++ b/crates/route/src/direct/limit.rs
@@ -53,7 +53,7 @@
 
 impl KnownLimit {
     /// Returns how long the upstream has no room yet.
-    pub(crate) fn full_for(&self, now: Instant) -> Duration {
+    pub(crate) fn wait_time(&self, now: Instant) -> Duration {
         let until = self.full_until;
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
@@ -99,10 +99,10 @@
     }
 
     /// Takes that an upstream with a limit has no room for that long.
-    pub fn limited(&mut self, id: &str, full_for: Duration, now: Instant) {
+    pub fn limited(&mut self, id: &str, wait_time: Duration, now: Instant) {
         let member = self.members.get_mut(id);
         if let Some(known) = member.and_then(|member| member.limit.as_mut()) {
-            known.full_until = Some(now + full_for);
+            known.full_until = Some(now + wait_time);
         }
     }
 }
--- a/crates/route/src/direct/member.rs
+++ b/crates/route/src/direct/member.rs
@@ -11,72 +11,73 @@
 use super::prediction::{Prediction, prefill_time};
 use super::prefill::PrefillQueue;
 
-/// How long an agent's word on its engine is used. Agents are asked several times a second; after
-/// this time only the entry's own count and the registry are left.
-const STATUS_VALID: Duration = Duration::from_millis(1500);
+/// How long an agent's load report is used. Agents are polled several times a second. After this time only
+/// the entry's own count and the registry record are left.
+const STATUS_TTL: Duration = Duration::from_millis(1500);
 
-/// How long an upstream's load, told with an answer, is used.
-const LOAD_VALID: Duration = Duration::from_millis(500);
+/// How long the load that an upstream reports with an answer is used.
+const ANSWER_LOAD_TTL: Duration = Duration::from_millis(500);
 
-/// An agent that leaves questions open for longer is silent, or its link is choked: the same link
-/// carries the engine's answers. Agents abroad are asked each 500 ms.
+/// Time after which an unanswered poll means that the agent is silent or its link congested. The same link
+/// carries the engine's answers. Remote agents are polled every 500 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A question and its answer that take longer speak of a choked link. The longest way there and
-/// back takes 6 ms.
+/// Round trip time of a poll above which the link counts as congested. The longest regular round trip takes 6
+/// ms.
 const SLOW_LINK_RTT: Duration = Duration::from_millis(120);
 
-/// Entries that are thought to send to one engine at the same time: an engine that has just loaded
-/// is empty to all entries of its data centre, and gets the requests of each.
-const ENTRIES_AT_ONCE: f64 = 2.0;
+/// Entries assumed to send to one engine at the same time: an engine that has just loaded looks empty to all
+/// entries of its data centre, and gets requests from each.
+const CONCURRENT_ENTRIES: f64 = 2.0;
 
-/// Where a figure on an upstream's load comes from.
+/// Source of a figure on an upstream's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum LoadSource {
     /// The entry's own count.
     #[display("own")]
     Own,
-    /// The upstream's answers.
+    /// Load reported with the upstream's answers.
     #[display("answers")]
     Answers,
-    /// The agent beside it.
+    /// Load report of the upstream's agent.
     #[display("agent")]
     Agent,
-    /// What is known of the others, since nothing was heard of it.
+    /// The mean of the other upstreams, as there is no report on this one.
     #[display("others")]
     Others,
 }
 
-/// What is thought of an engine of which nothing was heard: as much as of the others on the mean.
+/// Estimated load of an engine without a fresh report: the mean of the others.
 ///
-/// Load pattern: more is asked than can be served, and one agent's words are lost. An engine that counts
-/// as empty while it is silent then gets the requests of all entries: with 99 entries before 120
-/// engines single engines refused 1,000 requests a second for three seconds each, their links were
-/// full of them, and so their agents stayed silent.
+/// Load pattern: under overload one agent's reports are lost. Without this, the silent engine counts as empty
+/// and gets the requests of all entries. With 99 entries and 120 engines, single engines refused 1,000
+/// requests a second for three seconds each, and the requests filled their links, so that their agents stayed
+/// silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Estimate {
-    /// Requests for each slot.
+    /// Requests per slot.
     load: f64,
     prefill_time: Duration,
 }
 
 impl Estimate {
-    /// Returns the mean of the members that take requests and were heard of; none if there is none.
+    /// Returns the mean of the members that accept requests and have a fresh report, or `None` if there are
+    /// none.
     pub(crate) fn of<'a, I>(members: I, now: Instant) -> Option<Self>
     where
         I: Iterator<Item = &'a Member>,
     {
-        let mut heard = 0_u32;
+        let mut reported = 0_u32;
         let mut sum = Self::default();
         for member in members.filter(|it| it.accepts_new(now) && it.fresh_status(now).is_some()) {
-            heard += 1;
+            reported += 1;
             sum.load +=
                 f64::from(member.in_flight(now).0) / f64::from(member.upstream.slots.max(1));
-            sum.prefill_time += member.prefill_time.left(now);
+            sum.prefill_time += member.prefill_queue.left(now);
         }
-        (heard > 0).then(|| Self {
-            load: sum.load / f64::from(heard),
-            prefill_time: sum.prefill_time / heard,
+        (reported > 0).then(|| Self {
+            load: sum.load / f64::from(reported),
+            prefill_time: sum.prefill_time / reported,
         })
     }
 }
@@ -84,27 +85,27 @@
 /// One upstream as this entry knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What it says of itself in the registry.
+    /// Its registry record.
     pub upstream: Upstream,
-    /// Requests of this entry that are there now; exact.
+    /// Requests of this entry at the upstream, an exact count.
     pub own_in_flight: u32,
-    /// Prompt tokens of those that have not begun to answer; exact.
+    /// Prompt tokens of this entry's requests whose answers have not begun, an exact count.
     pub(crate) own_prefill_tokens: u32,
-    /// What the engine is to read, by its agent's last word and what was sent since.
-    pub(crate) prefill_time: PrefillQueue,
-    /// Requests of others, as of the last word on its load; late.
+    /// Prefill work of the engine, by its agent's last report and the requests sent since.
+    pub(crate) prefill_queue: PrefillQueue,
+    /// Requests of other entries at the time of the last report, which lags behind.
     pub(crate) other_in_flight: u32,
     pub(crate) others_reported_at: Option<Instant>,
     pub(crate) status: Option<(LoadStatus, Instant)>,
     pub(crate) failures: u32,
     pub(crate) ejected_until: Option<Instant>,
-    /// When the agent last answered a question of this entry.
+    /// When the agent last answered a poll of this entry.
     pub(crate) answered_at: Option<Instant>,
-    /// Since when the agent owes an answer.
-    pub(crate) asked_since: Option<Instant>,
-    /// How long the last question and its answer took.
+    /// When the oldest unanswered poll was sent.
+    pub(crate) poll_pending_since: Option<Instant>,
+    /// Round trip time of the last poll.
     pub(crate) rtt: Duration,
-    /// The requests a second that it takes from all entries together, while it names a limit.
+    /// The rate limit that the upstream names for all entries together, if any.
     pub(crate) limit: Option<KnownLimit>,
     pub(crate) is_gone: bool,
 }
@@ -115,32 +116,32 @@
             upstream,
             own_in_flight: 0,
             own_prefill_tokens: 0,
-            prefill_time: PrefillQueue::default(),
+            prefill_queue: PrefillQueue::default(),
             other_in_flight: 0,
             others_reported_at: None,
             status: None,
             failures: 0,
             ejected_until: None,
             answered_at: None,
-            asked_since: None,
+            poll_pending_since: None,
             rtt: Duration::ZERO,
             limit: None,
             is_gone: false,
         }
     }
 
-    /// Says whether `start` is an earlier one than the start that is known.
-    pub(crate) const fn is_before(&self, start: UpstreamStart) -> bool {
+    /// Returns whether `start` is earlier than the known start.
+    pub(crate) const fn is_older_start(&self, start: UpstreamStart) -> bool {
         start < self.upstream.started
     }
 
-    /// Says whether `start` is a later one than the start that is known.
+    /// Returns whether `start` is later than the known start.
     pub(crate) const fn is_restart(&self, start: UpstreamStart) -> bool {
         start > self.upstream.started
     }
 
-    /// Takes that the upstream started again: it holds and knows nothing of before, and nothing that
-    /// was believed of it counts.
+    /// Resets the member after a restart of the upstream: the upstream has lost its weights and requests, and
+    /// its earlier state no longer counts.
     pub(crate) fn restart(&mut self, start: UpstreamStart) {
         let upstream = Upstream {
             started: start,
@@ -150,45 +151,45 @@
         *self = Self::new(upstream);
     }
 
-    /// Returns the agent's word while it is fresh.
+    /// Returns the agent's last load report while it is fresh.
     pub(crate) fn fresh_status(&self, now: Instant) -> Option<&LoadStatus> {
         let (status, at) = self.status.as_ref()?;
-        (now.saturating_duration_since(*at) <= STATUS_VALID).then_some(status)
+        (now.saturating_duration_since(*at) <= STATUS_TTL).then_some(status)
     }
 
-    /// Says whether the agent's last word is younger than `age`.
+    /// Returns whether the agent's last report is no older than `age`.
     pub(crate) fn reported_within(&self, age: Duration, now: Instant) -> bool {
-        let heard = self.status.as_ref().map(|(_, at)| *at);
-        heard.is_some_and(|at| now.saturating_duration_since(at) <= age)
+        let reported = self.status.as_ref().map(|(_, at)| *at);
+        reported.is_some_and(|at| now.saturating_duration_since(at) <= age)
     }
 
-    /// Says whether the agent answers: its last word is no older than a question may stay open.
+    /// Returns whether the agent responds: its last report is no older than the time allowed for a poll.
     pub(crate) fn is_responsive(&self, now: Instant) -> bool {
         self.reported_within(ANSWER_TIMEOUT, now)
     }
 
-    /// Says whether the agent answered this entry within `age`.
+    /// Returns whether the agent answered this entry within `age`.
     pub(crate) fn answered_within(&self, age: Duration, now: Instant) -> bool {
         self.answered_at
             .is_some_and(|at| now.saturating_duration_since(at) <= age)
     }
 
-    /// Says whether the agent answered this entry after `since`.
+    /// Returns whether the agent answered this entry after `since`.
     pub(crate) fn answered_since(&self, since: Instant) -> bool {
         self.answered_at.is_some_and(|at| at > since)
     }
 
-    /// Says whether the agent's last word came after `since`.
+    /// Returns whether the agent's last report came after `since`.
     pub(crate) fn reported_since(&self, since: Instant) -> bool {
         self.status.as_ref().is_some_and(|(_, at)| *at > since)
     }
 
-    /// Returns the requests that are thought to be there, and whose word it is.
+    /// Returns the requests at the upstream as far as they are known, and the source of the figure.
     pub fn in_flight(&self, now: Instant) -> (u32, LoadSource) {
         let valid = if self.fresh_status(now).is_some() {
-            STATUS_VALID
+            STATUS_TTL
         } else {
-            LOAD_VALID
+            ANSWER_LOAD_TTL
         };
         let is_fresh = |at: Instant| now.saturating_duration_since(at) <= valid;
         if !self.others_reported_at.is_some_and(is_fresh) {
@@ -205,7 +206,7 @@
         )
     }
 
-    /// Returns the same, and where nothing was heard no less than what is `estimate`.
+    /// Returns the requests at the upstream, at least `estimate` if only the entry's own count is known.
     pub(crate) fn estimated_in_flight(
         &self,
         estimate: Option<Estimate>,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Returns the version of `model` that the upstream holds whole.
+    /// Returns the version of `model` that the upstream holds completely.
     pub(crate) fn version_of(&self, model: &str, now: Instant) -> Option<WeightsVersion> {
         match self.fresh_status(now) {
             Some(status) => status.version,
@@ -232,11 +233,11 @@
         }
     }
 
-    /// Returns the version of `model` on which a request may run there.
+    /// Returns the version of `model` on which a request may run at the upstream.
     ///
     /// # Errors
     ///
-    /// Returns [`Unavailable::Weights`] if there is none, or only one that is older than `least`.
+    /// Returns [`Unavailable::Weights`] if the upstream holds no version, or only one older than `least`.
     pub(crate) fn serves(
         &self,
         model: &str,
@@ -250,7 +251,7 @@
         Ok(held)
     }
 
-    /// Returns how long the engine is thought to read the prompts that it has.
+    /// Returns the estimated time that the engine needs for the prefill of its queued prompts.
     pub(crate) fn prefill_left(
         &self,
         engine: &EngineModel,
@@ -260,12 +261,14 @@
         let own = prefill_time(engine, self.own_prefill_tokens);
         if self.fresh_status(now).is_none() {
             let others = estimate.map(|estimate| estimate.prefill_time);
-            return own.mul_f64(ENTRIES_AT_ONCE).max(others.unwrap_or_default());
+            return own
+                .mul_f64(CONCURRENT_ENTRIES)
+                .max(others.unwrap_or_default());
         }
-        own.max(self.prefill_time.left(now))
+        own.max(self.prefill_queue.left(now))
     }
 
-    /// Returns the same in steps of a usual prompt, within which load decides.
+    /// Returns the prefill time in steps of a usual prompt. Within one step, load decides between upstreams.
     pub(crate) fn prefill_step(
         &self,
         engine: &EngineModel,
@@ -276,7 +279,7 @@
         self.prefill_left(engine, estimate, now).as_nanos() / step.as_nanos()
     }
 
-    /// Returns what is known of the engine for a prediction.
+    /// Returns the prediction for the engine from its known state.
     pub(crate) fn predict<'a>(
         &self,
         engine: &'a EngineModel,
@@ -293,16 +296,16 @@
         }
     }
 
-    /// Returns how long the upstream's own limit leaves no room for another request.
-    pub(crate) fn limited_for(&self, now: Instant) -> Duration {
+    /// Returns how long the upstream's rate limit still blocks another request.
+    pub(crate) fn limited_time(&self, now: Instant) -> Duration {
         let limit = self.limit.as_ref();
-        limit.map_or(Duration::ZERO, |limit| limit.full_for(now))
+        limit.map_or(Duration::ZERO, |limit| limit.wait_time(now))
     }
 
-    /// Says whether the link to the upstream is in doubt.
+    /// Returns whether the link to the upstream is suspect: the last poll was slow, or a poll is overdue.
     pub(crate) fn is_link_suspect(&self, now: Instant) -> bool {
-        let owes = |since: Instant| now.saturating_duration_since(since) > ANSWER_TIMEOUT;
-        self.rtt > SLOW_LINK_RTT || self.asked_since.is_some_and(owes)
+        let is_overdue = |since: Instant| now.saturating_duration_since(since) > ANSWER_TIMEOUT;
+        self.rtt > SLOW_LINK_RTT || self.poll_pending_since.is_some_and(is_overdue)
     }
 
     pub(crate) fn accepts_new(&self, now: Instant) -> bool {
@@ -312,20 +315,20 @@
             && !self.fresh_status(now).is_some_and(|it| it.is_switching)
     }
 
-    /// Says whether an entry abroad has to hear of the upstream itself, whatever others tell: it has
-    /// requests there, or doubts the link.
+    /// Returns whether a remote entry needs reports from the upstream's agent itself, because it has requests
+    /// there or suspects the link. Relayed reports are not enough then.
     pub fn needs_direct_report(&self, now: Instant) -> bool {
         self.own_in_flight > 0 || self.is_link_suspect(now)
     }
 
-    /// Takes what was heard of the engine at `received_at`; returns whether its weights changed, or none if it
-    /// is of an earlier start and nothing was taken.
+    /// Applies a load report that was received at `received_at`. Returns whether the weights changed, or
+    /// `None` if the report is of an earlier start and was ignored.
     pub(crate) fn apply_status(
         &mut self,
         status: &LoadStatus,
         received_at: Instant,
     ) -> Option<bool> {
-        if status.started != 0 && self.is_before(status.started) {
+        if status.started != 0 && self.is_older_start(status.started) {
             return None;
         }
         if self.is_restart(status.started) {
@@ -337,7 +340,7 @@
         });
         self.apply_load(status.queued.saturating_add(status.running), received_at);
         let prefill_left = Duration::from_millis(status.reading_ms.into());
-        self.prefill_time.set(prefill_left, received_at);
+        self.prefill_queue.set(prefill_left, received_at);
         self.status = Some((status.clone(), received_at));
         Some(changed)
     }
--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the choice of an upstream, and what it gets.
+//! What a request requires of an upstream, and the result of the choice.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -8,22 +8,22 @@
 
 use super::member::LoadSource;
 
-/// What one request asks of the choice.
+/// What one request requires of an upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Requirements<'a> {
-    /// The model that the request needs; none at a plain service.
+    /// The model that the request needs, or `None` at a plain service.
     pub model: Option<&'a str>,
-    /// Oldest version of the model's weights that may begin the request.
+    /// Oldest version of the model's weights on which the request may begin.
     pub least_version: Option<WeightsVersion>,
-    /// Upstreams that the request was sent to or that it did not reach.
+    /// Upstreams that the request was already sent to or failed to reach.
     pub tried: BTreeSet<UpstreamId>,
-    /// What the service's engines take for an answer; none at a plain service.
+    /// Timing model of the service's engines, or `None` at a plain service.
     pub engine: Option<&'a EngineModel>,
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// Time to the first event within which the answer is wanted.
+    /// Wanted time to the first event.
     pub objective: Duration,
-    /// Only upstreams of which there is a word since then, or that are nearby, are chosen from.
+    /// If set, a remote upstream is a candidate only if its agent answered this entry since then.
     pub reported_since: Option<Instant>,
 }
 
@@ -32,7 +32,7 @@
 pub struct Pick {
     /// Id of the upstream.
     pub id: UpstreamId,
-    /// Which start of it was chosen.
+    /// Start of the upstream that was chosen.
     pub started: UpstreamStart,
     /// Its address.
     pub addr: std::net::SocketAddr,
@@ -40,27 +40,28 @@
     pub data_centre: DataCentre,
     /// The version of the weights that the request is to run on.
     pub version: Option<WeightsVersion>,
-    /// Requests that were thought to be there.
+    /// Requests at the upstream, as known or estimated.
     pub in_flight: u32,
-    /// Whose word that is.
+    /// Source of `in_flight`.
     pub source: LoadSource,
-    /// 0 in the own data centre, 1 in its region, 2 beyond.
+    /// 0 in the own data centre, 1 in its region, 2 elsewhere.
     pub distance: u8,
-    /// Time to the first event that was expected; none at a plain service.
+    /// Expected time to the first event, or `None` at a plain service.
     pub expected: Option<Duration>,
-    /// All its slots were thought to be taken.
-    pub waits: bool,
-    /// What is known of it is hearsay: it stands abroad, from where words come seldom.
+    /// Whether all slots of the upstream counted as taken, so that the request waits for one.
+    pub is_queued: bool,
+    /// Whether the load is known only from relayed or unsolicited reports, as the upstream is remote and its
+    /// agent did not just answer this entry.
     pub is_unconfirmed: bool,
 }
 
-/// Why no upstream was chosen.
+/// Why no upstream could be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Unavailable {
-    /// None is registered, or all are leaving or failing.
+    /// No upstream is registered, or all are leaving or failing.
     #[display("no-upstream")]
     NoUpstream,
-    /// None holds the weights.
+    /// No upstream holds the weights.
     #[display("weights")]
     Weights,
     /// All are full.
@@ -69,7 +70,7 @@
 }
 
 impl Unavailable {
-    /// Keeps the shortage that comes nearer to serving.
+    /// Returns the more specific of two reasons: full, then missing weights, then no upstream.
     pub(super) fn max_with(self, other: Self) -> Self {
         match (self, other) {
             (Self::Full, _) | (_, Self::Full) => Self::Full,
@@ -79,7 +80,7 @@
     }
 }
 
-/// What an upstream has to offer to a request.
+/// An upstream that can take a request, with its rank.
 pub(super) struct Candidate {
     pub(super) rank: Rank,
     pub(super) pick: Pick,
@@ -90,7 +91,7 @@
 pub(super) struct Rank {
     pub(super) is_link_suspect: bool,
     pub(super) is_late: bool,
-    pub(super) is_unsafe: bool,
+    pub(super) is_risky: bool,
     pub(super) distance: u8,
     pub(super) prefill_time: u128,
     pub(super) load: u64,
--- a/crates/route/src/direct/retry.rs
+++ b/crates/route/src/direct/retry.rs
@@ -10,10 +10,10 @@
     /// Returns when the first place for a request gets free; none where that can't be told.
     pub fn free_in(&self, needs: &Requirements<'_>, now: Instant) -> Option<Duration> {
         let estimate = self.estimate(needs, now);
-        let objective = capacity::safe(needs.objective);
+        let objective = capacity::safe_objective(needs.objective);
         let accepts_new = self.members.values().filter(|it| it.accepts_new(now));
         let waits = accepts_new.map(|member| {
-            let limited = member.limited_for(now);
+            let limited = member.limited_time(now);
             let Some(engine) = needs.engine else {
                 // Nobody can predict the answers of a plain service.
                 return Some(limited).filter(|it| !it.is_zero());
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one service: what is known of each, and which one a request goes to.
+//! The upstreams of one service: the known state of each, and the choice of one for a request.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -13,33 +13,35 @@
 use super::pick::{Candidate, Pick, Rank, Requirements, Unavailable};
 use super::stall::Liveness;
 
-/// First time for which an upstream is passed over after failures in a row, doubled with each.
+/// First duration of an ejection after consecutive failures. The duration doubles with each further failure.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest time for which an upstream is passed over. One that is well again is noticed within it.
+/// Longest duration of an ejection. A recovered upstream is used again within this time.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
-/// Failures in a row after which an upstream is passed over. A single one is usual where an
-/// upstream fails some requests of its own accord.
+/// Consecutive failures after which an upstream is ejected. A single failure is usual where an upstream
+/// rejects some requests by itself.
 const EJECT_AFTER_FAILURES: u32 = 2;
 
-/// Requests that an entry keeps at an upstream whose link is in doubt. Eight entries fill one batch
-/// of 16 if all do.
+/// Requests that an entry keeps at an upstream whose link is suspect. Eight entries that all do so fill one
+/// batch of 16.
 const MAX_SUSPECT_LINK_REQUESTS: u32 = 2;
 
-/// How long the answer of an upstream abroad counts. Near ones tell of each request at once; far ones are asked
-/// twice a second, in which time an engine takes five requests.
+/// How long the answer of the agent of a remote upstream confirms its load. Local agents report each request
+/// at once. Remote agents are polled twice a second, in which time an engine accepts five requests.
 ///
-/// What they tell unasked is hearsay from the start: all entries hear it in the same moment. An engine that had
-/// just loaded got 30 requests for its 12 slots in 53 ms, and of the first 530 at 66 such engines 216 began late.
-const FRESH: Duration = Duration::from_millis(50);
+/// Unsolicited reports of remote agents are unconfirmed from the start, because all entries receive them at
+/// the same moment. Without this, an engine that had just loaded got 30 requests for its 12 slots in 53 ms,
+/// and of the first 530 requests at 66 such engines 216 began late.
+const ANSWER_TTL: Duration = Duration::from_millis(50);
 
-/// Requests that may wait at a full upstream whose answers nobody can predict.
-const QUEUE: u32 = 1;
+/// Requests that may wait at a full upstream of a plain service, whose answer times cannot be predicted.
+const PLAIN_QUEUE_DEPTH: u32 = 1;
 
 /// The upstreams of one service.
 ///
-/// Invariant: an upstream that drains or is gone is never chosen, also by a request that waited.
+/// Invariant: an upstream that drains or is gone is never chosen, not even for a request that waited for an
+/// upstream.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
     data_centre: DataCentre,
@@ -51,7 +53,7 @@
 }
 
 impl Upstreams {
-    /// Makes the empty set of an entry in `data_centre`.
+    /// Creates an empty set for an entry in `data_centre`.
     pub fn new(data_centre: DataCentre, regions: BTreeMap<DataCentre, Region>) -> Self {
         let region = regions.get(&data_centre).cloned().unwrap_or_default();
         Self {
@@ -64,13 +66,13 @@
         }
     }
 
-    /// Takes what an upstream says of itself; returns whether its state or weights changed.
+    /// Applies the registry record of an upstream. Returns whether its state or weights changed.
     pub fn update(&mut self, upstream: Upstream) -> bool {
         let addr = upstream.addr;
         let id = upstream.id.clone();
         let changed = match self.members.get_mut(&upstream.id) {
-            // Said before the restart that is known already.
-            Some(member) if member.is_before(upstream.started) => return false,
+            // The record is older than the restart that is known already.
+            Some(member) if member.is_older_start(upstream.started) => return false,
             Some(member) if member.is_restart(upstream.started) => {
                 *member = Member::new(upstream);
                 true
@@ -88,36 +90,36 @@
             }
         };
         if changed {
-            // An address belongs to whoever registered it last.
+            // An address belongs to the upstream that registered it last.
             for member in self.members.values_mut() {
                 member.is_gone |= member.upstream.addr == addr && member.upstream.id != id;
             }
-            self.forget();
+            self.prune();
         }
         changed
     }
 
-    /// Takes that an upstream is no longer registered; returns whether it was known.
+    /// Records that an upstream is no longer registered. Returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return false;
         };
         member.is_gone = true;
-        self.forget();
+        self.prune();
         true
     }
 
-    /// Takes that the agent beside the engine at `ip` was asked.
+    /// Records that the agent of the engine at `ip` was polled.
     pub fn asked(&mut self, ip: IpAddr, now: Instant) {
         for member in self.members.values_mut() {
             if member.upstream.addr.ip() == ip {
-                member.asked_since.get_or_insert(now);
+                member.poll_pending_since.get_or_insert(now);
             }
         }
     }
 
-    /// Takes an agent's word on the engine at `ip`, and how long it took if it was asked for;
-    /// returns whether its weights changed.
+    /// Applies the load report of the agent of the engine at `ip`. `rtt` is the round trip time if this entry
+    /// polled the agent. Returns whether the weights changed.
     pub fn status(
         &mut self,
         ip: IpAddr,
@@ -135,7 +137,7 @@
         let Some(changed) = member.apply_status(status, now) else {
             return false;
         };
-        member.asked_since = None;
+        member.poll_pending_since = None;
         if let Some(rtt) = rtt {
             member.rtt = rtt;
             member.answered_at = Some(now);
@@ -143,8 +145,8 @@
         changed
     }
 
-    /// Takes that the agent on the VM `ip` answered a question of this entry that was asked out of turn, so that
-    /// its way there and back is not known.
+    /// Records that the agent on the VM `ip` answered an extra poll of this entry, whose round trip time is
+    /// not known.
     pub fn answered_by(&mut self, ip: IpAddr, now: Instant) {
         for member in self.members.values_mut() {
             if member.upstream.addr.ip() == ip {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Takes the load that an upstream told with an answer.
+    /// Applies the load that an upstream reported with an answer.
     pub fn load(&mut self, id: &str, total: u32, now: Instant) {
         if let Some(member) = self.members.get_mut(id)
             && member.fresh_status(now).is_none()
@@ -162,15 +164,16 @@
         }
     }
 
-    /// Takes that an upstream says it is full.
+    /// Records that an upstream answered that it is full.
     pub fn full(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
-            let slots = member.upstream.slots.saturating_add(QUEUE);
+            let slots = member.upstream.slots.saturating_add(PLAIN_QUEUE_DEPTH);
             member.apply_load(slots.max(member.own_in_flight), now);
         }
     }
 
-    /// Takes that an attempt failed through the upstream; returns how long it is passed over.
+    /// Records an attempt that failed because of the upstream. Returns the duration of the ejection, or
+    /// `None` if the upstream is not ejected.
     pub fn failed(&mut self, id: &str, now: Instant) -> Option<Duration> {
         let member = self.members.get_mut(id)?;
         member.failures = member.failures.saturating_add(1);
@@ -182,7 +185,7 @@
         Some(ejection)
     }
 
-    /// Takes that an upstream answered.
+    /// Records that an upstream answered, which ends its ejection.
     pub fn answered(&mut self, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.failures = 0;
@@ -190,15 +193,16 @@
         }
     }
 
-    /// Takes that an upstream turned out to be another one, or to have other weights.
+    /// Records that the address of an upstream belongs to another one, or that the upstream holds other
+    /// weights than expected. Ejects it.
     pub fn misdirected(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
             member.ejected_until = Some(now + MIN_EJECTION);
         }
     }
 
-    /// Counts a request with a prompt of `tokens` that goes to an upstream; returns which start of it
-    /// the count is of.
+    /// Counts a request with a prompt of `tokens` that is sent to an upstream. Returns the start of the
+    /// upstream that the request is counted for.
     pub fn started(&mut self, id: &str, tokens: u32) -> UpstreamStart {
         let Some(member) = self.members.get_mut(id) else {
             return 0;
@@ -208,55 +212,54 @@
         member.upstream.started
     }
 
-    /// Takes that the prompt of a request which was just counted takes `prefill_time`.
+    /// Adds the prefill time of a request that was just counted.
     pub fn add_prefill(&mut self, id: &str, prefill_time: Duration, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
-            member.prefill_time.add(prefill_time, now);
+            member.prefill_queue.add(prefill_time, now);
         }
     }
 
-    /// Counts that a prompt of `tokens` was read: its answer has begun, or never will.
+    /// Records that the prefill of a prompt of `tokens` is over: its answer has begun, or never will.
     pub fn prefilled(&mut self, id: &str, start: UpstreamStart, tokens: u32) {
         if let Some(member) = self.same_start(id, start) {
             member.own_prefill_tokens = member.own_prefill_tokens.saturating_sub(tokens);
         }
     }
 
-    /// Counts a request that is over at an upstream.
+    /// Records that a request is over at an upstream.
     pub fn finished(&mut self, id: &str, start: UpstreamStart) {
         if let Some(member) = self.same_start(id, start) {
             member.own_in_flight = member.own_in_flight.saturating_sub(1);
         }
-        self.forget();
+        self.prune();
     }
 
-    /// Returns the member if it has not been restarted since: what went to it before is counted no
-    /// more.
+    /// Returns the member unless it restarted after `start`: requests sent before a restart no longer count.
     fn same_start(&mut self, id: &str, start: UpstreamStart) -> Option<&mut Member> {
         let member = self.members.get_mut(id)?;
         (member.upstream.started == start).then_some(member)
     }
 
-    /// Takes that the first event of a request came `seen` after it was sent to `pick`.
+    /// Records that the first event of a request came `seen` after it was sent to `pick`.
     pub fn record_first_event(&mut self, pick: &Pick, seen: Duration, now: Instant) {
         if let Some(expected) = pick.expected {
-            self.correction.learn(pick.waits, expected, seen, now);
+            self.correction.learn(pick.is_queued, expected, seen, now);
         }
     }
 
-    /// Returns the members that are registered.
+    /// Returns the registered members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| !member.is_gone)
     }
 
-    /// Says whether `id` may still get a request; asked again just before it is sent.
+    /// Returns whether `id` may still get a request. Checked again just before the request is sent.
     pub fn may_send(&self, id: &str) -> bool {
         self.members
             .get(id)
             .is_some_and(|member| !member.is_gone && member.upstream.state == UpstreamState::Ready)
     }
 
-    /// Returns what is known of the upstream that has a request: whether it lives, and has room.
+    /// Returns whether the upstream that has a request responds, and whether it has a free slot.
     pub fn liveness(&self, pick: &Pick, now: Instant) -> Liveness {
         let member = self.members.get(&pick.id);
         let member = member.filter(|it| it.upstream.started == pick.started);
@@ -273,13 +276,13 @@
 
     /// Chooses an upstream for a request.
     ///
-    /// One that is expected to begin in time goes first. Of those the own data centre's go before its
-    /// region's and others: a request abroad costs bytes of narrow links. Then the one with the least
-    /// to read and the least load goes first, and equals take turns.
+    /// An upstream that is expected to begin the request in time comes first. Among those, upstreams of the
+    /// own data centre come before those of its region and others, because a remote request uses narrow
+    /// links. Next come the shortest prefill and the lowest load. Equal upstreams take turns.
     ///
     /// # Errors
     ///
-    /// Returns the [`Unavailable`] if none can take the request now.
+    /// Returns the [`Unavailable`] reason if no upstream can take the request now.
     pub fn choose(&mut self, needs: &Requirements<'_>, now: Instant) -> Result<Pick, Unavailable> {
         let mut reason = Unavailable::NoUpstream;
         let mut best: Option<(Rank, Pick)> = None;
@@ -306,13 +309,13 @@
         best.map(|(_, pick)| pick).ok_or(reason)
     }
 
-    /// Returns what is thought of engines of which nothing was heard. Plain services have no agents
-    /// that could tell of them.
+    /// Returns the estimate for engines without a fresh report. Plain services have no agents that report, so
+    /// there is no estimate for them.
     pub(super) fn estimate(&self, needs: &Requirements<'_>, now: Instant) -> Option<Estimate> {
         needs.engine.and_then(|_| Estimate::of(self.members(), now))
     }
 
-    /// Says what `member` has to offer to a request, or what it lacks.
+    /// Returns `member` as a candidate for a request, or the reason why it cannot take the request.
     pub(super) fn candidate(
         &self,
         member: &Member,
@@ -323,7 +326,7 @@
         if !member.accepts_new(now) || needs.tried.contains(&member.upstream.id) {
             return Err(Unavailable::NoUpstream);
         }
-        if member.limited_for(now) > Duration::ZERO {
+        if member.limited_time(now) > Duration::ZERO {
             return Err(Unavailable::Full);
         }
         let version = match needs.model {
@@ -332,21 +335,23 @@
         };
         let (in_flight, source) = member.estimated_in_flight(estimate, now);
         let slots = member.upstream.slots.max(1);
-        let waits = in_flight >= slots;
+        let is_queued = in_flight >= slots;
         let engine = needs.engine;
         let prediction = engine.map(|engine| member.predict(engine, estimate, now));
         let expected = prediction.map(|it| it.first_event(needs.prompt));
-        let likely = |expected| self.correction.apply(waits, expected, now);
-        let is_late = expected.map_or(waits, |expected| likely(expected) > needs.objective);
+        let likely = |expected| self.correction.apply(is_queued, expected, now);
+        let is_late = expected.map_or(is_queued, |expected| likely(expected) > needs.objective);
         let is_full = match &prediction {
-            Some(it) => capacity::is_full(it, needs, waits, source == LoadSource::Agent, likely),
-            None => in_flight >= slots.saturating_add(QUEUE),
+            Some(it) => {
+                capacity::is_full(it, needs, is_queued, source == LoadSource::Agent, likely)
+            }
+            None => in_flight >= slots.saturating_add(PLAIN_QUEUE_DEPTH),
         };
         let distance = self.distance(&member.upstream.data_centre);
         let is_unconfirmed =
-            distance > 0 && needs.engine.is_some() && !member.answered_within(FRESH, now);
-        let is_unheard = |since| is_unconfirmed && !member.answered_since(since);
-        if needs.reported_since.is_some_and(is_unheard) {
+            distance > 0 && needs.engine.is_some() && !member.answered_within(ANSWER_TTL, now);
+        let lacks_answer = |since| is_unconfirmed && !member.answered_since(since);
+        if needs.reported_since.is_some_and(lacks_answer) {
             return Err(Unavailable::Full);
         }
         let is_link_suspect = member.is_link_suspect(now);
@@ -356,7 +361,8 @@
         let rank = Rank {
             is_link_suspect,
             is_late,
-            is_unsafe: expected.is_some_and(|it| likely(it) > capacity::safe(needs.objective)),
+            is_risky: expected
+                .is_some_and(|it| likely(it) > capacity::safe_objective(needs.objective)),
             distance,
             prefill_time: needs
                 .engine
@@ -374,7 +380,7 @@
             source,
             distance,
             expected,
-            waits,
+            is_queued,
             is_unconfirmed,
         };
         Ok(Candidate { rank, pick })
@@ -388,7 +394,7 @@
         if region == Some(&self.region) { 1 } else { 2 }
     }
 
-    fn forget(&mut self) {
+    fn prune(&mut self) {
         self.members
             .retain(|_, member| !member.is_gone || member.own_in_flight > 0);
     }
--- a/crates/route/tests/correction.rs
+++ b/crates/route/tests/correction.rs
@@ -8,10 +8,15 @@
 const EXPECTED: Duration = Duration::from_millis(200);
 
 /// Returns a correction that has seen first events 500 ms late for a while.
-fn after_overload(waits: bool, now: Instant) -> Correction {
+fn after_overload(is_queued: bool, now: Instant) -> Correction {
     let mut correction = Correction::default();
     for _ in 0..200 {
-        correction.learn(waits, EXPECTED, EXPECTED + Duration::from_millis(500), now);
+        correction.learn(
+            is_queued,
+            EXPECTED,
+            EXPECTED + Duration::from_millis(500),
+            now,
+        );
     }
     correction
 }
