--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -124,7 +124,7 @@
 
     /// Forgets what no longer counts.
     pub(crate) fn forget(&self) {
-        lock(&self.known).forget(BootTime::now());
+        lock(&self.known).prune(BootTime::now());
     }
 
     fn change<F>(&self, fingerprint: Fingerprint, source: &str, change: F)
--- a/crates/route/src/direct/quarantine.rs
+++ b/crates/route/src/direct/quarantine.rs
@@ -1,111 +1,116 @@
-//! Requests under which upstreams end, told apart by their fingerprints.
+//! Quarantine of requests that crash upstreams, identified by their fingerprints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use wagtailreel_fleet::{BootTime, EndedUnder, Fingerprint, UpstreamId, UpstreamStart};
 
-/// Upstreams that have to end under a request before it is quarantined. Whoever is on an upstream when it
-/// ends is suspected with the request that ended it, and seldom a third time.
-const QUARANTINED_AFTER: usize = 3;
+/// Upstreams that have to crash under a request before it is quarantined. All requests on an upstream that
+/// crashes are suspected together with the one that crashed it; a harmless request is seldom suspected a
+/// third time.
+const QUARANTINE_AFTER_CRASHES: usize = 3;
 
-/// Upstreams that have to end under a request before it is told to all entries, and sent to no
-/// second upstream by itself.
-const TOLD_AFTER: usize = 2;
+/// Upstreams that have to crash under a request before the request is reported to all entries, and no longer
+/// resent to a second upstream automatically.
+const REPORT_AFTER_CRASHES: usize = 2;
 
-/// How long the end of an upstream counts against a request: a service team has time to mend the engine
-/// that the request ends.
-const REMEMBERED: Duration = Duration::from_secs(3600);
+/// How long a crash counts against a request. A service team has this time to fix the engine that the request
+/// crashes.
+const CRASH_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Shortest time after the last end in which a quarantined request is tried again, doubled with each
-/// further end.
-const TRIED_AFTER: Duration = Duration::from_secs(60);
+/// Shortest delay after the last crash until a quarantined request is retried, doubled with each further
+/// crash.
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(60);
 
-/// The same for a request that ran to its end here before.
-const TRIED_SOON: Duration = Duration::from_secs(5);
+/// Delay until a retry of a quarantined request that has completed here before.
+const TRUSTED_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Span after it over which entries begin to try, each at a time of its own: the first one finds out
-/// for all of them.
-const TRIED_WITHIN: Duration = Duration::from_secs(600);
+/// Span after the delay over which the entries spread their retries. The first retry gives the result for all
+/// entries.
+const RETRY_SPREAD: Duration = Duration::from_secs(600);
 
-/// How long a request that ran to its end is not suspected. Those that many callers send alike are under way on every upstream that ends.
-const TRUSTED_FOR: Duration = Duration::from_secs(10);
+/// How long a request that completed is not suspected. Requests that many callers send alike are under way on
+/// every upstream that crashes.
+const TRUST_TTL: Duration = Duration::from_secs(10);
 
-/// Requests that are remembered. At 200 bytes each they take 0.8 MB of an entry.
-const MOST_REQUESTS: usize = 4096;
+/// Requests that are kept. At 200 bytes each they take 0.8 MB of an entry.
+const MAX_REQUESTS: usize = 4096;
 
-/// Upstreams that are remembered for a request.
-const MOST_ENDS: usize = 6;
+/// Crashed upstreams that are kept for a request.
+const MAX_CRASHES: usize = 6;
 
-/// How long word of an end may be under way: a request that was cleared is remembered for as long, so
-/// that no earlier word counts against it.
-const SETTLED_AFTER: Duration = Duration::from_secs(10);
+/// How long the report of a crash may be under way. The record of a cleared request is kept for this time, so
+/// that no older report counts against it.
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(10);
 
-/// Difference within which two words tell of the same moment.
-const SLACK: Duration = Duration::from_millis(200);
+/// Difference within which two reports mean the same moment.
+const TIME_TOLERANCE: Duration = Duration::from_millis(200);
 
-/// How often a request that comes again is told of again.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+/// Shortest interval between reports on a request that is received again.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is thought of a request.
+/// Suspicion against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It is a request like any other.
+    /// The request is not suspected.
     None,
-    /// Upstreams ended under it: it is not sent on to another one by itself.
+    /// Upstreams crashed under the request, so it is not resent to another one automatically.
     Suspected,
-    /// It is sent to no upstream for that long, and then to one.
+    /// The request is sent to no upstream for this time, and then to one.
     Quarantined(Duration),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Account {
-    /// The upstreams that ended, and when.
-    ends: BTreeMap<UpstreamId, BootTime>,
-    /// When it last ran to its end: no upstream that ended before counts.
+struct CrashRecord {
+    /// The upstreams that crashed, and when.
+    crashes: BTreeMap<UpstreamId, BootTime>,
+    /// When the request last completed. Earlier crashes do not count.
     finished: Option<BootTime>,
-    /// When an end was last heard of.
-    heard: Option<BootTime>,
-    told: Option<BootTime>,
-    tried: Option<BootTime>,
+    /// When the last report of a crash was received.
+    received_at: Option<BootTime>,
+    reported_at: Option<BootTime>,
+    retried_at: Option<BootTime>,
 }
 
-impl Account {
-    /// Keeps the latest ends that count; returns when the last one was.
+impl CrashRecord {
+    /// Keeps the latest crashes that count. Returns the time of the last one.
     fn trim(&mut self, now: BootTime) -> Option<BootTime> {
         let finished = self.finished;
-        self.ends
-            .retain(|_, at| now.since(*at) <= REMEMBERED && finished.is_none_or(|it| *at > it));
-        while self.ends.len() > MOST_ENDS {
-            let first = self.ends.iter().min_by_key(|(_, at)| **at);
+        self.crashes.retain(|_, at| {
+            now.since(*at) <= CRASH_RETENTION && finished.is_none_or(|it| *at > it)
+        });
+        while self.crashes.len() > MAX_CRASHES {
+            let first = self.crashes.iter().min_by_key(|(_, at)| **at);
             let Some(first) = first.map(|(upstream, _)| upstream.clone()) else {
                 break;
             };
-            self.ends.remove(&first);
+            self.crashes.remove(&first);
         }
-        self.ends.values().max().copied()
+        self.crashes.values().max().copied()
     }
 
-    /// Says what is thought of the request by a process that tries it again `tried_after` the third end.
-    fn suspicion(&self, tried_after: Duration, now: BootTime) -> Suspicion {
-        let last = self.ends.values().copied().chain(self.tried).max();
-        match (self.ends.len(), last) {
-            (ends @ QUARANTINED_AFTER.., Some(last)) => {
-                let wait = tried_after * (1 << (ends - QUARANTINED_AFTER).min(MOST_ENDS));
+    /// Returns the suspicion against the request in a process that retries `retry_delay` after the third
+    /// crash.
+    fn suspicion(&self, retry_delay: Duration, now: BootTime) -> Suspicion {
+        let last = self.crashes.values().copied().chain(self.retried_at).max();
+        match (self.crashes.len(), last) {
+            (crashes @ QUARANTINE_AFTER_CRASHES.., Some(last)) => {
+                let wait =
+                    retry_delay * (1 << (crashes - QUARANTINE_AFTER_CRASHES).min(MAX_CRASHES));
                 Suspicion::Quarantined(wait.saturating_sub(now.since(last)))
             }
-            (TOLD_AFTER.., _) => Suspicion::Suspected,
+            (REPORT_AFTER_CRASHES.., _) => Suspicion::Suspected,
             _ => Suspicion::None,
         }
     }
 
-    fn last_change(&self) -> Option<BootTime> {
-        self.ends.values().copied().chain(self.finished).max()
+    fn changed_at(&self) -> Option<BootTime> {
+        self.crashes.values().copied().chain(self.finished).max()
     }
 
-    fn told(&self, fingerprint: Fingerprint, now: BootTime) -> EndedUnder {
+    fn report(&self, fingerprint: Fingerprint, now: BootTime) -> EndedUnder {
         let ms = |at: BootTime| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
-        let upstreams = self.ends.iter();
+        let upstreams = self.crashes.iter();
         EndedUnder {
             fingerprint,
             upstreams: upstreams.map(|(id, at)| (id.clone(), ms(*at))).collect(),
@@ -114,19 +119,19 @@
     }
 }
 
-/// Requests under which upstreams ended.
+/// Requests under which upstreams crashed.
 ///
-/// Any request that was on an upstream when it ended is suspected. One that ends every upstream is found
-/// out by its third; one that runs to its end is cleared. A quarantined request is tried again, seldom
-/// and one at a time, for the case that it was taken for another one.
+/// Every request that was on an upstream when it crashed is suspected. A request that crashes every upstream
+/// is identified at its third crash. A request that completes is cleared. A quarantined request is retried,
+/// seldom and once at a time, in case it is suspected wrongly.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    accounts: BTreeMap<Fingerprint, Account>,
-    tried_after: Duration,
+    records: BTreeMap<Fingerprint, CrashRecord>,
+    retry_delay: Duration,
     trusted: Trusted,
 }
 
-/// Requests that ran to their ends, in two generations: those that come often stay.
+/// Requests that completed, in two generations, so that those that come often are kept.
 #[derive(Clone, Debug, Default)]
 struct Trusted {
     finished: BTreeMap<Fingerprint, BootTime>,
@@ -135,13 +140,13 @@
 
 impl Trusted {
     fn insert(&mut self, fingerprint: Fingerprint, now: BootTime) {
-        if self.finished.len() >= MOST_REQUESTS && !self.finished.contains_key(&fingerprint) {
+        if self.finished.len() >= MAX_REQUESTS && !self.finished.contains_key(&fingerprint) {
             self.before = std::mem::take(&mut self.finished);
         }
         self.finished.insert(fingerprint, now);
     }
 
-    /// Returns when a request last ran to its end.
+    /// Returns when a request last completed.
     fn last(&self, fingerprint: Fingerprint) -> Option<BootTime> {
         let last = self.finished.get(&fingerprint);
         last.or_else(|| self.before.get(&fingerprint)).copied()
@@ -149,22 +154,22 @@
 }
 
 impl Quarantine {
-    /// Makes the account of a process that tries requests again in its own turn: `turn` is drawn at
-    /// random from 0 to 1.
-    pub fn new(turn: f64) -> Self {
+    /// Creates the quarantine of a process. `phase`, drawn at random from 0 to 1, spreads the retries of
+    /// processes.
+    pub fn new(phase: f64) -> Self {
         Self {
-            tried_after: TRIED_AFTER + TRIED_WITHIN.mul_f64(turn.clamp(0.0, 1.0)),
+            retry_delay: MIN_RETRY_DELAY + RETRY_SPREAD.mul_f64(phase.clamp(0.0, 1.0)),
             ..Self::default()
         }
     }
 
-    /// Says whether no request is remembered.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
-        self.accounts.is_empty()
+        self.records.is_empty()
     }
 
-    /// Takes that the start `start` of an upstream ended under a request; it counts only if the request has
-    /// not run to its end lately.
+    /// Records that the start `start` of an upstream crashed under a request. The crash counts only if the
+    /// request has not completed recently.
     pub fn ended(
         &mut self,
         fingerprint: Fingerprint,
@@ -178,131 +183,135 @@
             format!("{id}@{start}")
         };
         let last = self.trusted.last(fingerprint);
-        if last.is_some_and(|at| now.since(at) <= TRUSTED_FOR) {
+        if last.is_some_and(|at| now.since(at) <= TRUST_TTL) {
             return;
         }
-        self.make_room(fingerprint);
-        let account = self.accounts.entry(fingerprint).or_default();
-        account.ends.entry(upstream).or_insert(now);
-        account.heard = Some(now);
-        account.trim(now);
+        self.evict_oldest(fingerprint);
+        let record = self.records.entry(fingerprint).or_default();
+        record.crashes.entry(upstream).or_insert(now);
+        record.received_at = Some(now);
+        record.trim(now);
     }
 
-    /// Takes that a request ran to its end; returns whether others have to be told.
+    /// Records that a request completed. Returns whether others have to be informed.
     pub fn finished(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
         self.trusted.insert(fingerprint, now);
-        let Some(account) = self.accounts.get_mut(&fingerprint) else {
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
-        account.finished = Some(now);
-        account.trim(now);
+        record.finished = Some(now);
+        record.trim(now);
         self.should_report_again(fingerprint, now)
     }
 
-    /// Returns what is thought of a request.
+    /// Returns the suspicion against a request.
     pub fn suspicion(&mut self, fingerprint: Fingerprint, now: BootTime) -> Suspicion {
-        let Some(account) = self.accounts.get_mut(&fingerprint) else {
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return Suspicion::None;
         };
-        account.trim(now);
+        record.trim(now);
         let ran_before = self.trusted.last(fingerprint).is_some();
-        let tried_after = if ran_before {
-            TRIED_SOON
+        let retry_delay = if ran_before {
+            TRUSTED_RETRY_DELAY
         } else {
-            self.tried_after
+            self.retry_delay
         };
-        account.suspicion(tried_after, now)
+        record.suspicion(retry_delay, now)
     }
 
-    /// Returns the same for a request that has come; one that is due to be tried again is only suspected.
+    /// Returns the suspicion against a request that was received. A request that is due for a retry is only
+    /// suspected.
     pub fn admit(&mut self, fingerprint: Fingerprint, now: BootTime) -> Suspicion {
-        let thought = self.suspicion(fingerprint, now);
-        if thought != Suspicion::Quarantined(Duration::ZERO) {
-            return thought;
+        let suspicion = self.suspicion(fingerprint, now);
+        if suspicion != Suspicion::Quarantined(Duration::ZERO) {
+            return suspicion;
         }
-        if let Some(account) = self.accounts.get_mut(&fingerprint) {
-            account.tried = Some(now);
+        if let Some(record) = self.records.get_mut(&fingerprint) {
+            record.retried_at = Some(now);
         }
         Suspicion::Suspected
     }
 
-    /// Says whether a request that comes again is to be told of again, and takes that it is.
+    /// Returns whether a request that was received again has to be reported again, and if so records the
+    /// report.
     pub fn should_report_again(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
-        let Some(account) = self.accounts.get_mut(&fingerprint) else {
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
-        let is_due = account.told.is_none_or(|at| now.since(at) >= TOLD_EVERY);
+        let is_due = record
+            .reported_at
+            .is_none_or(|at| now.since(at) >= REPORT_INTERVAL);
         if is_due {
-            account.told = Some(now);
+            record.reported_at = Some(now);
         }
         is_due
     }
 
-    /// Takes what another process tells; returns whether that is news.
-    pub fn merge(&mut self, heard: &EndedUnder, now: BootTime) -> bool {
+    /// Merges the crash report of another process. Returns whether the report contains anything new.
+    pub fn merge(&mut self, report: &EndedUnder, now: BootTime) -> bool {
         let ago = |ms: u32| now.minus(Duration::from_millis(ms.into()));
-        self.make_room(heard.fingerprint);
-        let account = self.accounts.entry(heard.fingerprint).or_default();
-        account.heard.get_or_insert(now);
-        let before = account.clone();
-        for (upstream, ms) in &heard.upstreams {
-            if !account.ends.contains_key(upstream) {
-                account.ends.insert(upstream.clone(), ago(*ms));
-                account.heard = Some(now);
+        self.evict_oldest(report.fingerprint);
+        let record = self.records.entry(report.fingerprint).or_default();
+        record.received_at.get_or_insert(now);
+        let before = record.clone();
+        for (upstream, ms) in &report.upstreams {
+            if !record.crashes.contains_key(upstream) {
+                record.crashes.insert(upstream.clone(), ago(*ms));
+                record.received_at = Some(now);
             }
         }
-        let finished = heard.finished_ms.map(ago);
-        // The same end of a run is a little later each time that it is told of.
-        if finished > before.finished.map(|at| at.plus(SLACK)) {
-            account.finished = finished;
+        let finished = report.finished_ms.map(ago);
+        // Each report dates the same completion a little later.
+        if finished > before.finished.map(|at| at.plus(TIME_TOLERANCE)) {
+            record.finished = finished;
         }
-        account.finished = account.finished.max(self.trusted.last(heard.fingerprint));
-        account.trim(now);
-        !account.ends.keys().eq(before.ends.keys()) || account.finished != before.finished
+        record.finished = record.finished.max(self.trusted.last(report.fingerprint));
+        record.trim(now);
+        !record.crashes.keys().eq(before.crashes.keys()) || record.finished != before.finished
     }
 
-    /// Returns what is known of a request, to be told to others.
+    /// Returns the crash report on a request for other processes.
     pub fn crash_report(&self, fingerprint: Fingerprint, now: BootTime) -> Option<EndedUnder> {
-        let account = self.accounts.get(&fingerprint)?;
-        Some(account.told(fingerprint, now))
+        let record = self.records.get(&fingerprint)?;
+        Some(record.report(fingerprint, now))
     }
 
-    /// Returns the requests that all entries are to know of, and of which something was learned within
-    /// `age`.
+    /// Returns the crash reports that all entries need, on requests with a crash or completion within `age`,
+    /// and records that they are reported.
     pub fn to_report(&mut self, age: Duration, now: BootTime) -> Vec<EndedUnder> {
-        let mut told = Vec::new();
-        for (fingerprint, account) in &mut self.accounts {
-            let is_young = account.last_change().is_some_and(|at| now.since(at) <= age);
-            let was_told = account.told.is_some() && account.finished.is_some();
-            if is_young && (account.ends.len() >= TOLD_AFTER || was_told) {
-                account.told = Some(now);
-                told.push(account.told(*fingerprint, now));
+        let mut due = Vec::new();
+        for (fingerprint, record) in &mut self.records {
+            let is_young = record.changed_at().is_some_and(|at| now.since(at) <= age);
+            let was_reported = record.reported_at.is_some() && record.finished.is_some();
+            if is_young && (record.crashes.len() >= REPORT_AFTER_CRASHES || was_reported) {
+                record.reported_at = Some(now);
+                due.push(record.report(*fingerprint, now));
             }
         }
-        told
+        due
     }
 
-    /// Forgets what no longer counts.
-    pub fn forget(&mut self, now: BootTime) {
-        self.accounts.retain(|_, account| {
-            let is_settled = |at: BootTime| now.since(at) > SETTLED_AFTER;
-            account.trim(now).is_some() || !account.heard.is_none_or(is_settled)
+    /// Removes records that no longer count.
+    pub fn prune(&mut self, now: BootTime) {
+        self.records.retain(|_, record| {
+            let is_settled = |at: BootTime| now.since(at) > MAX_REPORT_DELAY;
+            record.trim(now).is_some() || !record.received_at.is_none_or(is_settled)
         });
     }
 
-    /// Forgets an eighth of the requests if there is no room for another one: those that the fewest
-    /// upstreams ended under, and of these the oldest.
-    fn make_room(&mut self, fingerprint: Fingerprint) {
-        if self.accounts.len() < MOST_REQUESTS || self.accounts.contains_key(&fingerprint) {
+    /// Evicts an eighth of the records if there is no space for another one: those with the fewest crashes
+    /// first, and of these the oldest.
+    fn evict_oldest(&mut self, fingerprint: Fingerprint) {
+        if self.records.len() < MAX_REQUESTS || self.records.contains_key(&fingerprint) {
             return;
         }
-        let accounts = self.accounts.iter();
-        let mut ranked: Vec<_> = accounts
-            .map(|(fingerprint, it)| (it.ends.len(), it.last_change(), *fingerprint))
+        let records = self.records.iter();
+        let mut ranked: Vec<_> = records
+            .map(|(fingerprint, it)| (it.crashes.len(), it.changed_at(), *fingerprint))
             .collect();
         ranked.sort_unstable();
-        for (_, _, fingerprint) in ranked.into_iter().take(MOST_REQUESTS / 8) {
-            self.accounts.remove(&fingerprint);
+        for (_, _, fingerprint) in ranked.into_iter().take(MAX_REQUESTS / 8) {
+            self.records.remove(&fingerprint);
         }
     }
 }
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -168,10 +168,10 @@
 fn forgotten() {
     let mut known = Quarantine::new(0.0);
     after(&mut known, "x", &["a", "b", "c"]);
-    known.forget(at(0));
+    known.prune(at(0));
     assert!(!known.is_empty());
     let later = at(3000).plus(HOUR);
     assert_eq!(known.suspicion(request("x"), later), Suspicion::None);
-    known.forget(later);
+    known.prune(later);
     assert!(known.is_empty());
 }
--- a/crates/stage/src/suspects.rs
+++ b/crates/stage/src/suspects.rs
@@ -41,7 +41,7 @@
     pub(crate) fn again(&self) -> Vec<EndedUnder> {
         let now = BootTime::now();
         let mut known = self.lock();
-        known.forget(now);
+        known.prune(now);
         known.to_report(TOLD_FOR, now)
     }
 
