--- a/crates/route/src/direct/naming.rs
+++ b/crates/route/src/direct/naming.rs
@@ -280,8 +280,8 @@
     /// nothing changed.
     ///
     /// The naming counts as missed only if a read of the registry that began after the engine was first seen
-    /// still names an older version. An entry that was disconnected receives engine reports first and reads the
-    /// naming a moment later. Recording the version at once would cut the streams of a whole data centre when
+    /// still names an older version. An entry that was disconnected receives engine reports first and reads
+    /// the naming a moment later. Recording the version at once would cut the streams of a whole data centre when
     /// its links come back. Without any naming there is no version that engines have to load.
     pub fn record_held(
         &mut self,
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -23,8 +23,7 @@
 /// rejects some requests by itself.
 const EJECT_AFTER_FAILURES: u32 = 2;
 
-/// Requests that an entry keeps at an upstream whose link is suspect. Eight entries that all do so fill one
-/// batch of 16.
+/// Requests that an entry keeps at an upstream with a suspect link. Eight such entries fill one batch of 16.
 const MAX_SUSPECT_LINK_REQUESTS: u32 = 2;
 
 /// How long the answer of the agent of a remote upstream confirms its load. Local agents report each request
@@ -193,8 +192,7 @@
         }
     }
 
-    /// Records that the address of an upstream belongs to another one, or that the upstream holds other
-    /// weights than expected. Ejects it.
+    /// Ejects an upstream whose address belongs to another one, or which holds other weights than expected.
     pub fn misdirected(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
             member.ejected_until = Some(now + MIN_EJECTION);
