--- a/crates/route/tests/lab/mod.rs
+++ b/crates/route/tests/lab/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time that drives the decisions of [`wagtailreel_route::direct`]: entries, agents
-//! and engines that read prompts one after the other and write in batches.
+//! A fleet in virtual time that drives the decisions of [`wagtailreel_route::direct`]: entries, agents, and
+//! engines that run the prefill of prompts one after the other and decode in batches.
 #![allow(dead_code, reason = "each test program uses a part")]
 
 use std::cmp::Reverse;
@@ -14,29 +14,29 @@
 
 pub(crate) const MODEL: &str = "epitaph";
 
-/// Time between two words of an agent that nobody asked for out of turn.
-const WORD_EVERY: Duration = Duration::from_millis(100);
+/// Interval of an agent's regular load reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Way of a datagram between an entry and an agent.
-const WAY: Duration = Duration::from_micros(600);
+/// Network delay of a datagram between an entry and an agent.
+const NETWORK_DELAY: Duration = Duration::from_micros(600);
 
-/// A load pattern and how the entries learn of it.
+/// A load pattern, and which mechanisms the entries use.
 #[derive(Clone, Debug)]
 pub(crate) struct Pattern {
     pub(crate) entries: usize,
     pub(crate) engines: usize,
     pub(crate) slots: u32,
-    /// Requests in a second.
+    /// Requests per second.
     pub(crate) rate: f64,
     pub(crate) objective: Duration,
     pub(crate) span: Duration,
-    /// Agents hear of requests on their way and tell the entries at once.
+    /// Entries announce requests to agents, which report them to all entries at once.
     pub(crate) announces: bool,
-    /// Entries learn how far predictions are off.
+    /// Entries correct their predictions.
     pub(crate) corrects: bool,
 }
 
-/// What became of the requests.
+/// Outcome of the requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Outcome {
     pub(crate) in_time: u32,
@@ -45,34 +45,34 @@
 }
 
 impl Outcome {
-    /// Returns the share of those that were let in which began late.
+    /// Returns the share of the admitted requests that began late.
     pub(crate) fn late_share(&self) -> f64 {
         f64::from(self.late) / f64::from((self.in_time + self.late).max(1))
     }
 }
 
-/// What happens next.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrival,
-    /// An agent looks at its engine and tells all entries.
-    Word(usize),
-    /// An agent's word reaches the entries.
-    Heard(usize),
+    /// An agent reads its engine's figures and reports to all entries.
+    Report(usize),
+    /// An agent's report reaches the entries.
+    Received(usize),
     /// A request begins: entry, engine, request.
     Begins(usize, usize, usize),
     /// A request ends.
     Ends(usize, usize, usize),
 }
 
-/// One engine: prompts are read one after the other, writers share its steps.
+/// One engine: prefill runs one prompt at a time, and decoding requests share the steps.
 #[derive(Debug, Default)]
 struct Engine {
     running: u32,
     waiting: Vec<usize>,
-    read_until: Duration,
+    prefill_until: Duration,
     arrivals: PendingArrivals,
-    word: LoadStatus,
+    report: LoadStatus,
 }
 
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
     outcome: Outcome,
 }
 
-/// Returns what the engines take for an answer.
+/// Returns the timing model of the engines.
 pub(crate) fn engine_model(slots: u32) -> EngineModel {
     EngineModel {
         model: MODEL.to_owned(),
@@ -161,14 +161,14 @@
         }
         for engine in 0..lab.pattern.engines {
             lab.engines.push(Engine::default());
-            let first = WORD_EVERY.mul_f64(lab.rng.random());
-            lab.at(first, Step::Word(engine));
+            let first = REPORT_INTERVAL.mul_f64(lab.rng.random());
+            lab.at(first, Step::Report(engine));
         }
         lab.at(Duration::ZERO, Step::Arrival);
         lab
     }
 
-    /// Plays the pattern and returns what became of the requests.
+    /// Runs the pattern and returns the outcome of the requests.
     pub(crate) fn run(mut self) -> Outcome {
         while let Some(Reverse((at, _, step))) = self.steps.pop() {
             if at > self.pattern.span {
@@ -177,8 +177,8 @@
             self.now = at;
             match step {
                 Step::Arrival => self.arrival(),
-                Step::Word(engine) => self.word(engine),
-                Step::Heard(engine) => self.heard(engine),
+                Step::Report(engine) => self.load_report(engine),
+                Step::Received(engine) => self.receive_report(engine),
                 Step::Begins(entry, engine, request) => self.begins(entry, engine, request),
                 Step::Ends(entry, engine, request) => self.ends(entry, engine, request),
             }
@@ -195,7 +195,7 @@
         self.start + self.now
     }
 
-    /// Draws a length with a long tail, as prompts and answers have.
+    /// Draws a length with a long tail, as of prompts and answers.
     fn length(&mut self, mean: f64, most: f64) -> u32 {
         let drawn = -mean * (1.0 - self.rng.random::<f64>()).ln();
         // Lengths are small and positive.
@@ -236,12 +236,12 @@
         self.requests.push(request);
         if self.pattern.announces {
             self.engines[engine].arrivals.add(prefill_time, now);
-            self.tell(engine);
+            self.send_report(engine);
         }
         self.admit(engine, id);
     }
 
-    /// Takes a request into the batch, or lets it wait for a slot.
+    /// Adds a request to the batch, or queues it for a slot.
     fn admit(&mut self, engine: usize, id: usize) {
         let slots = self.pattern.slots;
         let now = self.now;
@@ -253,11 +253,11 @@
         it.running += 1;
         let request = self.requests[id].clone();
         let prefill_time = Prediction::prefill_time(&self.model, request.prompt);
-        it.read_until = it.read_until.max(now) + prefill_time;
+        it.prefill_until = it.prefill_until.max(now) + prefill_time;
         let step = self.model.step + self.model.step_per_request * it.running;
         let pass = step * self.model.steps_per_pass;
-        let begins = it.read_until + pass.mul_f64(0.5 + self.rng.random::<f64>());
-        // Reading takes its share of the steps of those that write.
+        let begins = it.prefill_until + pass.mul_f64(0.5 + self.rng.random::<f64>());
+        // Prefill takes its share of the steps of decoding requests.
         let share = (self.pattern.rate / self.pattern.engines as f64) * 0.047;
         let writing = step.mul_f64(f64::from(request.answer) / (1.0 - share.min(0.6)));
         self.at(begins, Step::Begins(request.entry, engine, id));
@@ -290,19 +290,19 @@
         }
     }
 
-    fn word(&mut self, engine: usize) {
+    fn load_report(&mut self, engine: usize) {
         let now = self.instant();
         self.engines[engine].arrivals.figures_read(now);
-        self.tell(engine);
-        self.at(self.now + WORD_EVERY, Step::Word(engine));
+        self.send_report(engine);
+        self.at(self.now + REPORT_INTERVAL, Step::Report(engine));
     }
 
-    /// Tells all entries of an engine, by the figures that its agent last read.
-    fn tell(&mut self, engine: usize) {
+    /// Reports the load of an engine to all entries, from the figures that its agent read last.
+    fn send_report(&mut self, engine: usize) {
         let now = self.instant();
         let it = &mut self.engines[engine];
         let waiting = u32::try_from(it.waiting.len()).unwrap();
-        it.word = LoadStatus {
+        it.report = LoadStatus {
             version: Some(1),
             running: it.running,
             queued: waiting + it.arrivals.pending(now).min(1),
@@ -310,15 +310,15 @@
             pace: 1.0,
             ..LoadStatus::default()
         };
-        self.at(self.now + WAY, Step::Heard(engine));
+        self.at(self.now + NETWORK_DELAY, Step::Received(engine));
     }
 
-    fn heard(&mut self, engine: usize) {
+    fn receive_report(&mut self, engine: usize) {
         let now = self.instant();
-        let word = self.engines[engine].word.clone();
+        let report = self.engines[engine].report.clone();
         let ip = std::net::Ipv4Addr::from(u32::try_from(engine).unwrap() + 1).into();
         for entry in &mut self.entries {
-            entry.status(ip, &word, None, now);
+            entry.status(ip, &report, None, now);
         }
     }
 }
--- a/crates/route/tests/placement.rs
+++ b/crates/route/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Load patterns that placement and admission answer, replayed in virtual time with and without them.
+//! Load patterns in virtual time, with and without the mechanisms of placement and admission.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod lab;
@@ -23,8 +23,8 @@
     }
 }
 
-/// Plays a pattern with several seeds and adds up what became of the requests.
-fn play(pattern: &Pattern) -> Outcome {
+/// Runs a pattern with several seeds and sums up the outcomes.
+fn run_seeds(pattern: &Pattern) -> Outcome {
     let mut sum = Outcome::default();
     for seed in SEEDS {
         let outcome = Lab::new(pattern.clone(), seed).run();
@@ -35,24 +35,27 @@
     sum
 }
 
-/// Many entries before many engines: each sees the same engines as the least loaded.
+/// Many entries see the same engines as the least loaded. Without announcements, all send to the same ones.
 #[rstest]
 fn many_entries() {
-    let kept = play(&pattern(210.0));
-    let alone = play(&Pattern {
+    let announced = run_seeds(&pattern(210.0));
+    let reports_only = run_seeds(&Pattern {
         announces: false,
         ..pattern(210.0)
     });
-    println!("places kept: {kept:?}, by words alone: {alone:?}");
-    assert!(kept.late_share() < 0.05, "{kept:?}");
-    assert!(kept.late_share() < alone.late_share() / 2.0, "{alone:?}");
+    println!("with announcements: {announced:?}, by reports alone: {reports_only:?}");
+    assert!(announced.late_share() < 0.05, "{announced:?}");
+    assert!(
+        announced.late_share() < reports_only.late_share() / 2.0,
+        "{reports_only:?}"
+    );
 }
 
-/// More is asked than can be served: what is let in begins in time.
+/// Under overload, admitted requests begin in time.
 #[rstest]
 fn more_than_capacity() {
-    let corrected = play(&pattern(420.0));
-    let plain = play(&Pattern {
+    let corrected = run_seeds(&pattern(420.0));
+    let plain = run_seeds(&Pattern {
         corrects: false,
         ..pattern(420.0)
     });
