--- a/crates/route/tests/correction.rs
+++ b/crates/route/tests/correction.rs
@@ -1,4 +1,4 @@
-//! What is learned of predictions, and forgotten.
+//! The correction of predictions follows observed delays, and decays.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 const EXPECTED: Duration = Duration::from_millis(200);
 
-/// Returns a correction that has seen first events 500 ms late for a while.
+/// Returns a correction that has observed first events 500 ms late for a while.
 fn after_overload(is_queued: bool, now: Instant) -> Correction {
     let mut correction = Correction::default();
     for _ in 0..200 {
@@ -22,17 +22,20 @@
 }
 
 #[rstest]
-fn learned() {
+fn follows_delay() {
     let now = Instant::now();
     let correction = after_overload(true, now);
     assert!(correction.apply(true, EXPECTED, now) >= Duration::from_millis(690));
     let other = correction.apply(false, EXPECTED, now);
-    assert_eq!(other, EXPECTED, "who finds a slot is learned of apart");
+    assert_eq!(
+        other, EXPECTED,
+        "requests that find a free slot have a correction of their own"
+    );
 }
 
-/// Where nobody is let in to wait any more, nothing new is learned of waiting.
+/// If no request may wait any more, nothing new is observed of waiting requests, and the correction decays.
 #[rstest]
-fn forgotten() {
+fn decays() {
     let now = Instant::now();
     let correction = after_overload(true, now);
     let later = now + Duration::from_secs(12);
@@ -49,7 +52,8 @@
     assert!(correction.apply(false, EXPECTED, now) < Duration::from_millis(220));
 }
 
-/// An entry of many sees few requests, and has to follow a change as fast as one that sees all.
+/// One of many entries sees few requests, and its correction has to follow a change as fast as that of an
+/// entry that sees all.
 #[rstest]
 #[case::few(150)]
 #[case::many(20)]
--- a/crates/route/tests/stall.rs
+++ b/crates/route/tests/stall.rs
@@ -1,4 +1,4 @@
-//! How long a stream is waited for.
+//! How long a stream may stall.
 
 use std::time::Duration;
 
@@ -12,27 +12,27 @@
 #[rstest]
 #[case::least(100, None, 1000)]
 #[case::by_objective(800, Some(100), 1600)]
-#[case::by_pauses(400, Some(300), 1200)]
-fn half_of_the_gap(#[case] objective: u64, #[case] gap: Option<u64>, #[case] usual: u64) {
+#[case::by_gap(400, Some(300), 1200)]
+fn stall_timeout(#[case] objective: u64, #[case] gap: Option<u64>, #[case] timeout: u64) {
     let stall_policy = StallPolicy::new(ms(objective), gap.map(ms));
     assert_eq!(
         stall_policy.next_check(ms(0), Liveness::Silent),
-        Some(ms(usual))
+        Some(ms(timeout))
     );
-    assert_eq!(stall_policy.next_check(ms(usual), Liveness::Silent), None);
+    assert_eq!(stall_policy.next_check(ms(timeout), Liveness::Silent), None);
 }
 
-/// Only an upstream that lives and is full is waited for longer.
+/// After the stall timeout, a stream stays only at an upstream that responds and is full.
 #[rstest]
 #[case::silent(Liveness::Silent, false)]
-#[case::room(Liveness::Free, false)]
+#[case::free_slot(Liveness::Free, false)]
 #[case::full(Liveness::Full, true)]
-fn after_the_usual(#[case] liveness: Liveness, #[case] waits: bool) {
+fn after_stall_timeout(#[case] liveness: Liveness, #[case] keeps_waiting: bool) {
     let stall_policy = StallPolicy::new(ms(400), Some(ms(300)));
     for waited in [1200, 1300, 5000] {
         assert_eq!(
             stall_policy.next_check(ms(waited), liveness).is_some(),
-            waits
+            keeps_waiting
         );
     }
 }
