--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -14,7 +14,7 @@
     Digest::of(b"weights")
 }
 
-/// A report of an open agent in quito-hall with room for 4.
+/// A report of an open agent in quito-hall with 4 slots.
 pub(crate) fn report(vm: &str, incarnation: u64, sequence: u64) -> Report {
     Report {
         vm: vm.to_owned(),
--- a/crates/route/tests/load_reports.rs
+++ b/crates/route/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What others say of upstreams abroad.
+//! Load reports on remote upstreams.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod lab;
@@ -17,7 +17,7 @@
     Ipv4Addr::new(10, 0, 0, host).into()
 }
 
-/// Returns the upstreams of a service with one engine abroad.
+/// Returns the upstreams of a service with one remote engine.
 fn service(host: u8) -> Upstreams {
     let mut upstreams = Upstreams::new("hall".to_owned(), BTreeMap::new());
     upstreams.update(Upstream {
@@ -61,7 +61,8 @@
     all.iter().map(report).collect()
 }
 
-/// The engines of another service hold another model, whose versions say nothing of this one's.
+/// The engines of another service hold another model, whose versions say nothing about the model of this
+/// service.
 #[rstest]
 fn other_service() {
     let now = Instant::now();
@@ -72,7 +73,7 @@
 }
 
 #[rstest]
-fn told_on() {
+fn relayed() {
     let now = Instant::now();
     let all = load_reports(&[(1, 2, now)]);
     let mut upstreams = service(1);
@@ -87,23 +88,23 @@
     assert_eq!(
         upstreams.load_reports("hall", OLDEST, now),
         LoadReports::new(),
-        "near"
+        "local"
     );
 }
 
-/// What was heard later from the agent itself stands.
+/// A later report from the agent itself stays.
 #[rstest]
-fn own_word() {
+fn own_report_wins() {
     let now = Instant::now();
     let mut upstreams = service(1);
-    let heard = now + Duration::from_millis(20);
-    upstreams.status(ip(1), &status(2, 1), Some(Duration::ZERO), heard);
+    let received = now + Duration::from_millis(20);
+    upstreams.status(ip(1), &status(2, 1), Some(Duration::ZERO), received);
     upstreams.merge_load_reports(&load_reports(&[(1, 2, now)]));
-    let known = upstreams.load_reports("quay", OLDEST, heard);
+    let known = upstreams.load_reports("quay", OLDEST, received);
     assert_eq!(known.get(&ip(1)).unwrap().status.running, 1);
 }
 
-/// Returns the choice for a request that any engine may take.
+/// Returns the choice for a request that any engine may take, as whether the load is unconfirmed.
 fn choose(
     upstreams: &mut Upstreams,
     reported_since: Option<Instant>,
@@ -124,27 +125,39 @@
         .map(|pick| pick.is_unconfirmed)
 }
 
-/// An engine that opens tells all entries of all data centres at once. Those abroad ask before they send, and
-/// only what comes as an answer lets them.
+/// An engine that has just loaded reports to all entries of all data centres at once. Remote entries poll it
+/// before they send requests, and only an answer to the poll confirms its load. Otherwise the requests of all
+/// entries arrive at the same moment.
 #[rstest]
-fn opened_abroad() {
+fn remote_engine_just_loaded() {
     let now = Instant::now();
     let mut upstreams = service(1);
     upstreams.status(ip(1), &status(2, 0), None, now);
-    assert_eq!(choose(&mut upstreams, None, now), Some(true), "to be asked");
-    let asked = now + Duration::from_millis(1);
-    let told = asked + Duration::from_millis(1);
-    upstreams.status(ip(1), &status(2, 0), None, told);
-    assert_eq!(choose(&mut upstreams, Some(asked), told), None, "unasked");
-    assert_eq!(upstreams.answers_of(&[ip(1)], asked), 0);
-    upstreams.answered_by(ip(1), told);
-    assert_eq!(upstreams.answers_of(&[ip(1)], asked), 1);
-    assert_eq!(choose(&mut upstreams, Some(asked), told), Some(false));
+    assert_eq!(
+        choose(&mut upstreams, None, now),
+        Some(true),
+        "to be polled"
+    );
+    let polled_at = now + Duration::from_millis(1);
+    let reported_at = polled_at + Duration::from_millis(1);
+    upstreams.status(ip(1), &status(2, 0), None, reported_at);
+    assert_eq!(
+        choose(&mut upstreams, Some(polled_at), reported_at),
+        None,
+        "unsolicited"
+    );
+    assert_eq!(upstreams.answers_of(&[ip(1)], polled_at), 0);
+    upstreams.answered_by(ip(1), reported_at);
+    assert_eq!(upstreams.answers_of(&[ip(1)], polled_at), 1);
+    assert_eq!(
+        choose(&mut upstreams, Some(polled_at), reported_at),
+        Some(false)
+    );
 }
 
-/// An answer in turn counts too, for a while.
+/// An answer to a regular poll confirms the load too, for a short time.
 #[rstest]
-fn answered_in_turn() {
+fn answer_to_regular_poll() {
     let now = Instant::now();
     let mut upstreams = service(1);
     upstreams.status(ip(1), &status(2, 0), Some(Duration::from_millis(6)), now);
--- a/crates/route/tests/permits.rs
+++ b/crates/route/tests/permits.rs
@@ -1,4 +1,4 @@
-//! All entries together keep to the limits that upstreams name.
+//! All entries together keep to the rate limits that upstreams name.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
     Limit::new(per_second).unwrap()
 }
 
-/// Returns an entry's question about an upstream that named `per_second` so long ago.
-fn ask(per_second: f64, age_ms: u32) -> AskPermit {
+/// Returns an entry's request for a permit, for an upstream that named `per_second` `age_ms` ago.
+fn permit_request(per_second: f64, age_ms: u32) -> AskPermit {
     AskPermit {
         nonce: 0,
         upstream: "u".to_owned(),
@@ -30,73 +30,79 @@
     }
 }
 
-/// Returns the most permits that were given in any span.
-fn most_in_span(given: &[Instant]) -> usize {
+/// Returns the largest number of permits issued in any span.
+fn max_in_span(issued: &[Instant]) -> usize {
     let within = |from: Instant| {
-        let within = given.iter().filter(|at| **at >= from && **at < from + SPAN);
+        let within = issued
+            .iter()
+            .filter(|at| **at >= from && **at < from + SPAN);
         within.count()
     };
-    given.iter().map(|at| within(*at)).max().unwrap_or_default()
+    issued
+        .iter()
+        .map(|at| within(*at))
+        .max()
+        .unwrap_or_default()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Any number of entries, each of which asks again as soon as it was told or earlier, gets no more than
-    /// the promise in any span, and most of the limit.
+    /// Any number of entries, each of which retries when it was told to or earlier, get no more permits than
+    /// guaranteed in any span, and most of the limit.
     #[test]
-    fn any_entries(per_second in 0.2_f64..20.0, entries in 1_usize..120, hurry in 0.0_f64..1.0) {
+    fn any_entries(per_second in 0.2_f64..20.0, entries in 1_usize..120, haste in 0.0_f64..1.0) {
         let start = Instant::now();
         let mut permits = Permits::default();
         let mut next = vec![start; entries];
-        let mut given: Vec<Instant> = Vec::new();
+        let mut issued: Vec<Instant> = Vec::new();
         let end = start + SPAN * 5;
         for ms in 0..u64::try_from((SPAN * 5).as_millis()).unwrap() {
             let now = start + Duration::from_millis(ms);
             for due in next.iter_mut().filter(|due| **due <= now) {
                 let wait = permits.acquire("u", limit(per_second), start, now);
                 if wait.is_zero() {
-                    given.push(now);
+                    issued.push(now);
                 }
-                *due = now + wait.mul_f64(hurry).max(Duration::from_millis(5));
+                *due = now + wait.mul_f64(haste).max(Duration::from_millis(5));
             }
         }
-        let worst = most_in_span(&given);
+        let max_issued = max_in_span(&issued);
         let allowed = 1.5 * per_second * SPAN.as_secs_f64() + 5.0;
-        prop_assert!(worst as f64 <= allowed, "{worst} of {allowed}");
-        let used = given.len() as f64;
+        prop_assert!(max_issued as f64 <= allowed, "{max_issued} of {allowed}");
+        let used = issued.len() as f64;
         let could = per_second * end.duration_since(start).as_secs_f64();
         prop_assert!(used >= 0.9 * could - 1.0, "{used} of {could}");
     }
 
-    /// Where entries reach different agents, all that give permits for an upstream together keep the promise,
-    /// after a time without requests too.
+    /// If entries reach different agents, all issuers of an upstream's permits together keep the guarantee,
+    /// also after a time without requests.
     #[test]
-    fn all_givers(per_second in 0.1_f64..20.0, idle_s in 0_u64..50) {
+    fn all_issuers(per_second in 0.1_f64..20.0, idle_s in 0_u64..50) {
         let start = Instant::now();
-        let mut givers = ISSUER_SHARES.map(|share| (share, Permits::default()));
-        let mut given: Vec<Instant> = Vec::new();
-        let mut ask_all = |at: Duration| {
+        let mut issuers = ISSUER_SHARES.map(|share| (share, Permits::default()));
+        let mut issued: Vec<Instant> = Vec::new();
+        let mut request_all = |at: Duration| {
             let now = start + at;
-            for (place, (share, permits)) in givers.iter_mut().enumerate() {
+            for (place, (share, permits)) in issuers.iter_mut().enumerate() {
                 let age_ms = u32::try_from(at.as_millis()).unwrap();
-                let ask = AskPermit {
+                let permit_request = AskPermit {
                     is_stand_in: place > 0,
-                    ..ask(per_second * *share, age_ms)
+                    ..permit_request(per_second * *share, age_ms)
                 };
-                while permits.answer(&ask, now).unwrap().wait_ms == 0 {
-                    given.push(now);
+                while permits.answer(&permit_request, now).unwrap().wait_ms == 0 {
+                    issued.push(now);
                 }
             }
         };
-        ask_all(Duration::ZERO);
+        request_all(Duration::ZERO);
         let from = Duration::from_secs(idle_s);
         for ms in 0..u64::try_from((SPAN * 3).as_millis()).unwrap() {
-            ask_all(from + Duration::from_millis(ms));
+            request_all(from + Duration::from_millis(ms));
         }
-        let worst = most_in_span(&given);
+        let max_issued = max_in_span(&issued);
         let allowed = 1.5 * per_second * SPAN.as_secs_f64() + 5.0;
-        prop_assert!(worst as f64 <= allowed, "{worst} of {allowed}");
+        prop_assert!(max_issued as f64 <= allowed, "{max_issued} of {allowed}");
     }
 }
 
@@ -109,18 +115,18 @@
     assert!(!permits.acquire("u", limit(10.0), later, later).is_zero());
     let later = start + Duration::from_millis(200);
     let wait = permits.acquire("u", limit(1.0), start, later);
-    assert!(wait.is_zero(), "it was raised since, {wait:?}");
+    assert!(wait.is_zero(), "the limit was raised meanwhile, {wait:?}");
 }
 
-/// A token that is all but earned is no permit.
+/// A token that has almost accumulated is no permit.
 #[rstest]
 fn nearly_earned() {
     let start = Instant::now();
     let mut permits = Permits::default();
     assert!(permits.acquire("u", limit(1.0), start, start).is_zero());
     let early = start + Duration::from_nanos(999_999_500);
-    let ask = ask(1.0, 1000);
-    assert_eq!(permits.answer(&ask, early).unwrap().wait_ms, 1);
+    let permit_request = permit_request(1.0, 1000);
+    assert_eq!(permits.answer(&permit_request, early).unwrap().wait_ms, 1);
 }
 
 #[rstest]
@@ -136,7 +142,7 @@
     assert!(!permits.acquire("u", limit(0.5), again, again).is_zero());
 }
 
-/// An answer that was under way while a limit was named does not let every entry send without leave.
+/// An answer that was under way while a limit was named does not let every entry send without a permit.
 #[rstest]
 fn late_withdrawal() {
     let start = Instant::now();
@@ -146,12 +152,12 @@
     let now = start + Duration::from_millis(600);
     let withdrawal = AskPermit {
         is_withdrawn: true,
-        ..ask(2.7, 600)
+        ..permit_request(2.7, 600)
     };
     assert_eq!(permits.answer(&withdrawal, now), None);
-    let asks = (0..60).filter(|_| permits.acquire("u", limit(2.7), named, now).is_zero());
-    let given = asks.count();
-    assert!(given <= 2, "{given} of 60 may send at once");
+    let acquired = (0..60).filter(|_| permits.acquire("u", limit(2.7), named, now).is_zero());
+    let issued = acquired.count();
+    assert!(issued <= 2, "{issued} of 60 may send at once");
 }
 
 fn upstreams() -> Upstreams {
@@ -171,7 +177,7 @@
 }
 
 #[rstest]
-fn no_room() {
+fn limit_blocks() {
     let mut upstreams = upstreams();
     let now = Instant::now();
     upstreams.named_limit("u", NamedLimit::Limit(limit(2.0)), now, now);
--- a/crates/route/tests/crowded.rs
+++ b/crates/route/tests/prefill_bound.rs
@@ -1,4 +1,4 @@
-//! Engines that read others' prompts when a request comes.
+//! Engines with queued prefill when a request arrives.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod lab;
@@ -16,7 +16,7 @@
 const OBJECTIVE: Duration = Duration::from_millis(400);
 const SLOTS: u32 = 12;
 
-/// Returns an engine that reads 31.9 tokens a millisecond.
+/// Returns an engine with a prefill rate of 31.9 tokens per millisecond.
 fn engine_model() -> EngineModel {
     EngineModel {
         read_per_second: 31_900.0,
@@ -36,11 +36,11 @@
     upstreams.choose(&needs, now).map(|pick| pick.id)
 }
 
-/// Makes an entry's view of one engine, as its agent tells.
+/// Returns an entry's view of one engine, as its agent reports it.
 fn view(running: u32, prefill_time: Duration, pace: f32, now: Instant) -> Upstreams {
     let mut upstreams = Upstreams::new("hall".to_owned(), BTreeMap::new());
     upstreams.update(lab::upstream(0, SLOTS));
-    upstreams.status(ip(), &word(running, prefill_time, pace), None, now);
+    upstreams.status(ip(), &report(running, prefill_time, pace), None, now);
     upstreams
 }
 
@@ -48,7 +48,7 @@
     Ipv4Addr::from(1).into()
 }
 
-fn word(running: u32, prefill_time: Duration, pace: f32) -> LoadStatus {
+fn report(running: u32, prefill_time: Duration, pace: f32) -> LoadStatus {
     LoadStatus {
         version: Some(1),
         running,
@@ -60,24 +60,24 @@
 
 #[rstest]
 #[case::idle(0, 0, 1.0, true)]
-#[case::others_are_read(4, 100, 1.0, true)]
-#[case::crowded(4, 300, 1.0, false)]
+#[case::short_prefill(4, 100, 1.0, true)]
+#[case::prefill_bound(4, 300, 1.0, false)]
 #[case::slow_by_itself(4, 300, 8.0, true)]
 fn free_slot(
     #[case] running: u32,
     #[case] prefill_time: u64,
     #[case] pace: f32,
-    #[case] takes: bool,
+    #[case] accepts: bool,
 ) {
     let now = Instant::now();
     let mut upstreams = view(running, Duration::from_millis(prefill_time), pace, now);
     let chosen = choose(&mut upstreams, 900, now);
-    assert_eq!(chosen.is_ok(), takes, "{chosen:?}");
+    assert_eq!(chosen.is_ok(), accepts, "{chosen:?}");
 }
 
-/// Who is refused comes back when so much is read that it would begin in time.
+/// A refused caller is told to retry once enough prefill is done for the request to begin in time.
 #[rstest]
-fn back_when_read() {
+fn retry_after_prefill() {
     let now = Instant::now();
     let engine = engine_model();
     let free_in = |prefill_time| {
@@ -97,29 +97,35 @@
     assert_eq!(later - sooner, Duration::from_millis(100));
 }
 
-/// An engine has just loaded, and the requests of all entries of its data centre come at once. Those that are let in
-/// are read in time, and there is work for the engine until the next ones come.
+/// An engine has just loaded, and requests of all entries of its data centre arrive at once. The prefill of
+/// the admitted requests ends in time, and leaves the engine work until the next requests arrive.
 #[rstest]
-fn opened_engine() {
+fn engine_just_loaded() {
     let prompts = [
         355, 741, 461, 912, 464, 1551, 870, 786, 373, 624, 759, 1234, 881, 1390, 731, 195, 254, 576,
     ];
     let start = Instant::now();
     let engine = engine_model();
     let mut arrivals = PendingArrivals::default();
-    let mut read = Duration::ZERO;
-    let mut taken = 0;
+    let mut total_prefill = Duration::ZERO;
+    let mut admitted = 0;
     for (at, prompt) in (0..).zip(prompts) {
         let now = start + Duration::from_millis(at);
-        let mut upstreams = view(taken, arrivals.prefill_left(now), 1.0, now);
+        let mut upstreams = view(admitted, arrivals.prefill_left(now), 1.0, now);
         if choose(&mut upstreams, prompt, now).is_ok() {
             let prefill_time = Prediction::prefill_time(&engine, prompt);
             arrivals.add(prefill_time, now);
-            read += prefill_time;
-            taken += 1;
+            total_prefill += prefill_time;
+            admitted += 1;
         }
     }
-    assert!(read < OBJECTIVE.mul_f64(0.7), "{taken} read in {read:?}");
-    assert!(read > OBJECTIVE.mul_f64(0.3), "{taken} read in {read:?}");
-    assert!(taken < SLOTS);
+    assert!(
+        total_prefill < OBJECTIVE.mul_f64(0.7),
+        "{admitted} admitted, prefill {total_prefill:?}"
+    );
+    assert!(
+        total_prefill > OBJECTIVE.mul_f64(0.3),
+        "{admitted} admitted, prefill {total_prefill:?}"
+    );
+    assert!(admitted < SLOTS);
 }
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end upstreams are told from those that were beside them.
+//! Requests that crash upstreams are told apart from requests that were on the same upstreams.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -18,7 +18,7 @@
     BootTime::from_millis(HOUR.as_secs() * 10_000 + ms)
 }
 
-/// Returns what is thought of `name` after the upstreams `ids` ended under it, a second apart.
+/// Returns the suspicion against `name` after the upstreams `ids` crashed under it, a second apart.
 fn after(known: &mut Quarantine, name: &str, ids: &[&str]) -> Suspicion {
     for (number, id) in ids.iter().enumerate() {
         known.ended(request(name), id, 0, at(number as u64 * 1000));
@@ -37,9 +37,9 @@
 #[case::two(&["a", "b"], Suspicion::Suspected)]
 #[case::three(&["a", "b", "c"], Suspicion::Quarantined(Duration::from_secs(59)))]
 #[case::four(&["a", "b", "c", "d"], Suspicion::Quarantined(Duration::from_secs(119)))]
-fn counts_upstreams(#[case] ids: &[&str], #[case] thought: Suspicion) {
+fn counts_upstreams(#[case] ids: &[&str], #[case] suspicion: Suspicion) {
     let mut known = Quarantine::new(0.0);
-    assert_eq!(after(&mut known, "x", ids), thought);
+    assert_eq!(after(&mut known, "x", ids), suspicion);
     assert_eq!(known.suspicion(request("y"), at(9000)), Suspicion::None);
 }
 
@@ -53,12 +53,12 @@
 }
 
 #[rstest]
-fn innocent_runs_on() {
+fn completed_request_is_cleared() {
     let mut known = Quarantine::new(0.0);
     after(&mut known, "x", &["a", "b", "c"]);
     assert!(
         known.finished(request("x"), at(4000)),
-        "others thought ill of it"
+        "others have to be informed"
     );
     assert_eq!(known.suspicion(request("x"), at(4000)), Suspicion::None);
     known.ended(request("x"), "d", 0, at(30_000));
@@ -70,19 +70,15 @@
 }
 
 #[rstest]
-fn alike_requests() {
+fn frequent_request() {
     let mut known = Quarantine::new(0.0);
     known.finished(request("x"), at(0));
-    let thought = after(&mut known, "x", &["a", "b", "c"]);
-    assert_eq!(
-        thought,
-        Suspicion::None,
-        "others of its kind ran to their ends"
-    );
+    let suspicion = after(&mut known, "x", &["a", "b", "c"]);
+    assert_eq!(suspicion, Suspicion::None, "requests alike completed");
 }
 
 #[rstest]
-fn ran_before() {
+fn retry_of_trusted_request() {
     let mut known = Quarantine::new(0.5);
     known.finished(request("x"), at(0));
     let end = 60_000;
@@ -90,12 +86,12 @@
         known.ended(request("x"), id, 0, at(end));
     }
     assert!(is_quarantined(known.admit(request("x"), at(end + 4999))));
-    let thought = known.admit(request("x"), at(end + 5000));
-    assert_eq!(thought, Suspicion::Suspected, "it is tried soon");
+    let suspicion = known.admit(request("x"), at(end + 5000));
+    assert_eq!(suspicion, Suspicion::Suspected, "the retry comes soon");
 }
 
 #[rstest]
-fn one_trial() {
+fn one_retry_at_a_time() {
     let mut known = Quarantine::new(0.5);
     after(&mut known, "x", &["a", "b", "c"]);
     let due = at(2000).plus(Duration::from_secs(360));
@@ -111,51 +107,58 @@
 }
 
 #[rstest]
-fn accounts_meet() {
+fn merged_reports() {
     let (mut one, mut other) = (Quarantine::new(0.0), Quarantine::new(0.0));
     after(&mut one, "x", &["a"]);
     after(&mut other, "x", &["b", "c"]);
-    let told = one.crash_report(request("x"), at(2000)).unwrap();
-    assert!(other.merge(&told, at(2000)));
+    let report = one.crash_report(request("x"), at(2000)).unwrap();
+    assert!(other.merge(&report, at(2000)));
     assert!(is_quarantined(other.suspicion(request("x"), at(2000))));
-    assert!(!other.merge(&told, at(2000)), "the same again is no news");
+    assert!(
+        !other.merge(&report, at(2000)),
+        "the same report contains nothing new"
+    );
 }
 
 #[rstest]
-fn late_word() {
+fn late_report() {
     let mut known = Quarantine::new(0.0);
     known.finished(request("x"), at(0));
     after(&mut known, "x", &["a"]);
     known.finished(request("x"), at(5000));
-    let told = EndedUnder {
+    let report = EndedUnder {
         fingerprint: request("x"),
         upstreams: ["b", "c", "d"].map(|id| (id.to_owned(), 3000)).into(),
         finished_ms: None,
     };
-    known.merge(&told, at(6000));
-    let thought = known.suspicion(request("x"), at(6000));
+    known.merge(&report, at(6000));
+    let suspicion = known.suspicion(request("x"), at(6000));
     assert_eq!(
-        thought,
+        suspicion,
         Suspicion::None,
-        "they ended before it ran to its end"
+        "the crashes came before its completion"
     );
 }
 
 #[rstest]
-fn told_to_all() {
+fn reported_to_all() {
     let mut known = Quarantine::new(0.0);
     after(&mut known, "once", &["a"]);
     after(&mut known, "twice", &["a", "b"]);
-    let told = known.to_report(HOUR, at(2000));
-    let told: Vec<Fingerprint> = told.iter().map(|it| it.fingerprint).collect();
-    assert_eq!(told, [request("twice")]);
+    let report = known.to_report(HOUR, at(2000));
+    let report: Vec<Fingerprint> = report.iter().map(|it| it.fingerprint).collect();
+    assert_eq!(report, [request("twice")]);
     known.finished(request("twice"), at(3000));
-    let told = known.to_report(HOUR, at(3000));
-    assert_eq!(told.len(), 1, "who was told hears that it is cleared");
+    let report = known.to_report(HOUR, at(3000));
+    assert_eq!(
+        report.len(),
+        1,
+        "the clearance is reported to those who know of the crashes"
+    );
 }
 
 #[rstest]
-fn ever_new_requests() {
+fn many_new_requests() {
     let mut known = Quarantine::new(0.0);
     after(&mut known, "x", &["a", "b", "c"]);
     for number in 0..10_000 {
@@ -165,7 +168,7 @@
 }
 
 #[rstest]
-fn forgotten() {
+fn pruned() {
     let mut known = Quarantine::new(0.0);
     after(&mut known, "x", &["a", "b", "c"]);
     known.prune(at(0));
