--- a/crates/route/src/direct/pick.rs
+++ b/crates/route/src/direct/pick.rs
@@ -93,7 +93,7 @@
     pub(super) is_late: bool,
     pub(super) is_risky: bool,
     pub(super) distance: u8,
-    pub(super) prefill_time: u128,
+    pub(super) prefill_steps: u128,
     pub(super) load: u64,
     pub(super) turn: u64,
 }
--- a/crates/route/src/direct/upstreams.rs
+++ b/crates/route/src/direct/upstreams.rs
@@ -362,7 +362,7 @@
             is_risky: expected
                 .is_some_and(|it| likely(it) > capacity::safe_objective(needs.objective)),
             distance,
-            prefill_time: needs
+            prefill_steps: needs
                 .engine
                 .map_or(0, |engine| member.prefill_step(engine, estimate, now)),
             load: u64::from(in_flight) * 1000 / u64::from(slots),
--- a/crates/route/tests/quarantine.rs
+++ b/crates/route/tests/quarantine.rs
@@ -145,13 +145,13 @@
     let mut known = Quarantine::new(0.0);
     after(&mut known, "once", &["a"]);
     after(&mut known, "twice", &["a", "b"]);
-    let report = known.to_report(HOUR, at(2000));
-    let report: Vec<Fingerprint> = report.iter().map(|it| it.fingerprint).collect();
-    assert_eq!(report, [request("twice")]);
+    let reports = known.to_report(HOUR, at(2000));
+    let reports: Vec<Fingerprint> = reports.iter().map(|it| it.fingerprint).collect();
+    assert_eq!(reports, [request("twice")]);
     known.finished(request("twice"), at(3000));
-    let report = known.to_report(HOUR, at(3000));
+    let reports = known.to_report(HOUR, at(3000));
     assert_eq!(
-        report.len(),
+        reports.len(),
         1,
         "the clearance is reported to those who know of the crashes"
     );
