--- a/crates/direct/src/agents.rs
+++ b/crates/direct/src/agents.rs
@@ -106,7 +106,7 @@
         let mut permits = lock(&self.permits);
         permits
             .uncoordinated
-            .ask(id, limit, named_at, Instant::now())
+            .acquire(id, limit, named_at, Instant::now())
     }
 
     /// Passes an agent's permit on to the request that waits for it.
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -20,7 +20,7 @@
 use crate::shared::Shared;
 use crate::view::Service;
 use wagtailreel_route::direct::{Attempt, Ending, Next, next_step};
-use wagtailreel_route::direct::{Patience, Pick, Prediction, Suspicion};
+use wagtailreel_route::direct::{Pick, Prediction, StallPolicy, Suspicion};
 
 /// Minimum time before the deadline with which another attempt is still made.
 pub(crate) const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(60);
@@ -57,7 +57,7 @@
     /// The upstream of the current attempt, with the load that the choice was based on.
     pub(crate) last_pick: Option<Pick>,
     pub(crate) sent_at: Instant,
-    stall_policy: Patience,
+    stall_policy: StallPolicy,
     pub(crate) service: Arc<Service>,
     pub(crate) tried: BTreeSet<UpstreamId>,
     unreached: u32,
@@ -73,7 +73,7 @@
         let service = cx.view.service(&admitted.service);
         service.budget().request();
         let route = &admitted.route;
-        let stall_policy = Patience::new(route.objective, route.kind.gap());
+        let stall_policy = StallPolicy::new(route.objective, route.kind.gap());
         Self {
             cx,
             admitted,
@@ -271,7 +271,7 @@
         if let Some(pick) = &self.last_pick {
             let now = Instant::now();
             let took = now.saturating_duration_since(self.sent_at);
-            self.service.upstreams().begun_after(pick, took, now);
+            self.service.upstreams().record_first_event(pick, took, now);
         }
     }
 
@@ -280,9 +280,9 @@
         let tokens = self.admitted.head.prompt_tokens;
         let lease = Lease::new(&self.service, &pick.id, tokens);
         if let Some(engine) = &self.admitted.engine {
-            let prefill = Prediction::reading(engine, tokens);
+            let prefill = Prediction::prefill_time(engine, tokens);
             let mut upstreams = self.service.upstreams();
-            upstreams.reads(&pick.id, prefill, Instant::now());
+            upstreams.add_prefill(&pick.id, prefill, Instant::now());
             drop(upstreams);
             self.cx.agents.announce(pick.addr.ip(), prefill);
         }
@@ -333,9 +333,9 @@
     pub(crate) fn next_check(&self, since: Instant, has_first_event: bool) -> Option<Duration> {
         let now = Instant::now();
         let pick = self.last_pick.as_ref()?;
-        let sign = self.service.upstreams().sign(pick, now);
+        let liveness = self.service.upstreams().liveness(pick, now);
         let waited = now.saturating_duration_since(since);
-        let wait = self.stall_policy.next_look(waited, sign)?;
+        let wait = self.stall_policy.next_check(waited, liveness)?;
         if has_first_event || pick.version.is_none() {
             return Some(wait);
         }
--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use wagtailreel_route::direct::{Ask, LoadSource, Pick, Shortage};
+use wagtailreel_route::direct::{LoadSource, Pick, Requirements, Unavailable};
 
 use crate::attempt::{Call, MIN_TIME_FOR_RETRY};
 use crate::dialect::Dialect;
@@ -52,7 +52,7 @@
     }
 
     fn record_choice(&self, is_refused: bool) {
-        let mut refusals = self.service.pressure();
+        let mut refusals = self.service.refusal_rate();
         refusals.count(is_refused, Instant::now());
     }
 
@@ -61,7 +61,10 @@
     async fn await_upstream(&self, first_refusal: Refusal) -> Result<Pick, Refusal> {
         let since = Instant::now();
         let until = self.admitted.deadline.checked_sub(MIN_TIME_FOR_RETRY);
-        let obstacles = self.service.upstreams().obstacles(&self.needs(None), since);
+        let exclusions = self
+            .service
+            .upstreams()
+            .exclusions(&self.needs(None), since);
         let choosing = async {
             loop {
                 self.check_quarantine()?;
@@ -78,12 +81,12 @@
             None => None,
         };
         let chosen = chosen.unwrap_or(Err(Refusal::Unknown));
-        let obstacles = obstacles.iter().map(|(it, count)| format!("{it} {count}"));
+        let exclusions = exclusions.iter().map(|(it, count)| format!("{it} {count}"));
         events::UPSTREAM_AWAITED.emit(&[
             ("id", &self.admitted.id),
             ("service", &self.admitted.service),
             ("shortage", &first_refusal.to_string()),
-            ("obstacles", &obstacles.collect::<Vec<_>>().join(", ")),
+            ("obstacles", &exclusions.collect::<Vec<_>>().join(", ")),
             ("waited_ms", &since.elapsed().as_millis().to_string()),
             ("upstream", chosen.as_ref().map_or("", |pick| &pick.id)),
         ]);
@@ -98,7 +101,7 @@
                 return Ok(pick);
             }
         }
-        let retry_in = self.retry_in(Shortage::Full, &self.needs(None), Instant::now());
+        let retry_in = self.retry_in(Unavailable::Full, &self.needs(None), Instant::now());
         Err(Refusal::Full { retry_in })
     }
 
@@ -108,7 +111,7 @@
     /// entries of all data centres, and their requests can fill its link so that no new report gets through.
     async fn choose_confirmed(&self) -> Result<Pick, Refusal> {
         let pick = self.choose(None)?;
-        if !pick.is_hearsay {
+        if !pick.is_unconfirmed {
             return Ok(pick);
         }
         let asked_at = Instant::now();
@@ -125,7 +128,7 @@
         let ips = {
             let ticket = rand::rng().random();
             let upstreams = self.service.upstreams();
-            upstreams.hearsay(&self.needs(None), REMOTE_QUERIES, ticket, asked_at)
+            upstreams.unconfirmed(&self.needs(None), REMOTE_QUERIES, ticket, asked_at)
         };
         for ip in &ips {
             self.cx.agents.query_load(*ip);
@@ -146,45 +149,45 @@
     }
 
     /// Returns what the request requires of an upstream, with a load report since `heard_since` if given.
-    fn needs(&self, heard_since: Option<Instant>) -> Ask<'_> {
+    fn needs(&self, reported_since: Option<Instant>) -> Requirements<'_> {
         let model = self.admitted.model.as_deref();
-        Ask {
+        Requirements {
             model,
             least_version: model.and_then(|model| self.cx.view.least_version(model)),
             tried: self.tried.clone(),
             engine: self.admitted.engine.as_ref(),
             prompt: self.admitted.head.prompt_tokens,
             objective: self.admitted.route.objective,
-            heard_since,
+            reported_since,
         }
     }
 
-    fn choose(&self, heard_since: Option<Instant>) -> Result<Pick, Refusal> {
+    fn choose(&self, reported_since: Option<Instant>) -> Result<Pick, Refusal> {
         if self.admitted.customer.is_some() && !self.cx.trusts_keys() {
             return Err(Refusal::StaleConfiguration);
         }
-        let needs = self.needs(heard_since);
+        let needs = self.needs(reported_since);
         let now = Instant::now();
         let chosen = self.service.upstreams().choose(&needs, now);
-        chosen.map_err(|shortage| {
-            let retry_in = self.retry_in(shortage, &needs, now);
-            match shortage {
-                Shortage::NoUpstream => Refusal::NoUpstream { retry_in },
-                Shortage::Weights => Refusal::Weights { retry_in },
-                Shortage::Full => Refusal::Full { retry_in },
+        chosen.map_err(|reason| {
+            let retry_in = self.retry_in(reason, &needs, now);
+            match reason {
+                Unavailable::NoUpstream => Refusal::NoUpstream { retry_in },
+                Unavailable::Weights => Refusal::Weights { retry_in },
+                Unavailable::Full => Refusal::Full { retry_in },
             }
         })
     }
 
     /// Returns the time after which the caller should send a request again that found no upstream.
-    fn retry_in(&self, shortage: Shortage, needs: &Ask<'_>, now: Instant) -> Duration {
-        let free_in = match shortage {
-            Shortage::Full => self.service.upstreams().free_in(needs, now),
-            Shortage::NoUpstream | Shortage::Weights => Some(LONG_RETRY_AFTER),
+    fn retry_in(&self, reason: Unavailable, needs: &Requirements<'_>, now: Instant) -> Duration {
+        let free_in = match reason {
+            Unavailable::Full => self.service.upstreams().free_in(needs, now),
+            Unavailable::NoUpstream | Unavailable::Weights => Some(LONG_RETRY_AFTER),
         };
         let left = self.admitted.deadline.saturating_duration_since(now);
-        let refusals = self.service.pressure();
-        refusals.pause(free_in.unwrap_or(PLAIN_SLOT_FREE_IN), left)
+        let refusals = self.service.refusal_rate();
+        refusals.retry_after(free_in.unwrap_or(PLAIN_SLOT_FREE_IN), left)
     }
 
     /// Returns `refusal`, or [`Refusal::Unknown`] for a request that may have run and must not be refused
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -41,6 +41,6 @@
 pub use process::{DirectEntry, DirectError};
 pub use refusal::Refusal;
 pub use wagtailreel_route::direct::{
-    Ask, Attempt, Ending, Limit, LoadSource, Member, NamedLimit, Next, Pick, Shortage, Upstreams,
-    next_step,
+    Attempt, Ending, Limit, LoadSource, Member, NamedLimit, Next, Pick, Requirements, Unavailable,
+    Upstreams, next_step,
 };
--- a/crates/direct/src/limits.rs
+++ b/crates/direct/src/limits.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use wagtailreel_fleet::PermitRequest;
-use wagtailreel_route::direct::{GIVER_SHARES, Limit, NamedLimit, Pick};
+use wagtailreel_route::direct::{ISSUER_SHARES, Limit, NamedLimit, Pick};
 
 use crate::attempt::Call;
 use crate::dialect::Dialect;
@@ -43,7 +43,7 @@
     async fn permit(&self, pick: &Pick, limit: Limit, named_at: Instant) -> Option<Duration> {
         let agents = &self.cx.agents;
         let issuers = self.permit_issuers(pick);
-        let mut issuers = issuers.into_iter().zip(GIVER_SHARES).enumerate();
+        let mut issuers = issuers.into_iter().zip(ISSUER_SHARES).enumerate();
         let first = issuers.find(|(_, (ip, _))| !agents.is_silent(*ip));
         // Seeds may be gone for good, whereas agents come back with their engines.
         if first.is_none() && !self.cx.view.has_agents() {
--- a/crates/direct/src/load.rs
+++ b/crates/direct/src/load.rs
@@ -327,7 +327,7 @@
             let agent = QueriedAgent {
                 data_centre: data_centre.clone(),
                 is_local: false,
-                is_due: member.needs_own_word(now) || rand::rng().random_bool(share),
+                is_due: member.needs_direct_report(now) || rand::rng().random_bool(share),
                 ..local.clone()
             };
             agents.insert(member.upstream.addr.ip(), agent);
--- a/crates/direct/src/quarantine_sync.rs
+++ b/crates/direct/src/quarantine_sync.rs
@@ -79,7 +79,7 @@
     /// Records that a quarantined request came again, and reports it again for agents that no longer have
     /// the report.
     pub(crate) fn record_repeat(&self, fingerprint: Fingerprint) {
-        if lock(&self.known).tell_again(fingerprint, BootTime::now()) {
+        if lock(&self.known).should_report_again(fingerprint, BootTime::now()) {
             self.report(fingerprint, &[]);
         }
     }
@@ -91,7 +91,7 @@
         for report in reports {
             let mut is_new = false;
             self.change(report.fingerprint, "heard", |known| {
-                is_new = known.hear(report, BootTime::now());
+                is_new = known.merge(report, BootTime::now());
             });
             if is_new || is_own {
                 updated.insert(report.fingerprint);
@@ -102,12 +102,12 @@
 
     /// Returns all crash reports.
     pub(crate) fn all(&self) -> Vec<CrashReport> {
-        lock(&self.known).told_of(Duration::MAX, BootTime::now())
+        lock(&self.known).to_report(Duration::MAX, BootTime::now())
     }
 
     /// Returns the crash reports that changed lately and are relayed again.
     pub(crate) fn recent_reports(&self) -> Vec<CrashReport> {
-        lock(&self.known).told_of(RECENT_REPORT_TTL, BootTime::now())
+        lock(&self.known).to_report(RECENT_REPORT_TTL, BootTime::now())
     }
 
     /// Waits until the request with `fingerprint` is quarantined.
@@ -126,7 +126,7 @@
 
     /// Removes expired reports.
     pub(crate) fn prune(&self) {
-        lock(&self.known).forget(BootTime::now());
+        lock(&self.known).prune(BootTime::now());
     }
 
     /// Applies a change to the quarantine, and logs the request if the change quarantines it.
--- a/crates/direct/src/remote.rs
+++ b/crates/direct/src/remote.rs
@@ -28,7 +28,7 @@
 use wagtailreel_fleet::{BootTime, LoadStatus};
 use wagtailreel_nearby::Neighbours;
 use wagtailreel_nearby::packing::{Packed, UnpackError, age_of, unpack};
-use wagtailreel_route::direct::{Word, Words};
+use wagtailreel_route::direct::{LoadReport, LoadReports};
 
 use crate::events;
 use crate::view::{View, lock};
@@ -171,7 +171,7 @@
         };
         match self.read_from(source, data_centre).await {
             Ok(reports) => {
-                self.view.take_words(&reports);
+                self.view.merge_load_reports(&reports);
                 self.record_source(data_centre, source, "");
             }
             Err(err) => {
@@ -191,7 +191,7 @@
         &self,
         source: Option<SocketAddr>,
         data_centre: &str,
-    ) -> Result<Words, RemoteLoadError> {
+    ) -> Result<LoadReports, RemoteLoadError> {
         let source = source.context(NoEntrySnafu)?;
         let url = format!("http://{source}/v1/load/{data_centre}");
         let req = Request::get(&url).body(Body::default());
@@ -211,13 +211,18 @@
             return EmptySnafu.fail();
         }
         // The ages count back from the sending of the request, so a report never looks younger than it is.
-        let heard_at = |report: &SharedReport| {
+        let received_at = |report: &SharedReport| {
             sent.checked_sub(age + Duration::from_millis(report.received_ms_ago.into()))
         };
         let load = |report: SharedReport| {
-            let heard_at = heard_at(&report)?;
+            let received_at = received_at(&report)?;
             let status = report.status;
-            Some((report.ip, Word { status, heard_at }))
+            Some((report.ip,
+                LoadReport {
+                    status,
+                    received_at,
+                },
+            ))
         };
         Ok(reports.into_iter().filter_map(load).collect())
     }
@@ -266,15 +271,15 @@
         if let Some(last) = last.filter(|it| it.at.elapsed() <= ANSWER_TTL) {
             return (last.packed.clone(), last.at.elapsed());
         }
-        let shared = |(ip, load): (IpAddr, Word)| {
-            let received_ago = now.saturating_duration_since(load.heard_at).as_millis();
+        let shared = |(ip, load): (IpAddr, LoadReport)| {
+            let received_ago = now.saturating_duration_since(load.received_at).as_millis();
             SharedReport {
                 ip,
                 received_ms_ago: u32::try_from(received_ago).unwrap_or(u32::MAX),
                 status: load.status,
             }
         };
-        let reports = self.view.words(data_centre, MAX_REPORT_AGE, now);
+        let reports = self.view.load_reports(data_centre, MAX_REPORT_AGE, now);
         let reports: Vec<SharedReport> = reports.into_iter().map(shared).collect();
         let packed = Packed::new(&reports);
         let fresh = CachedAnswer {
--- a/crates/direct/src/response.rs
+++ b/crates/direct/src/response.rs
@@ -39,7 +39,7 @@
         if prompt_tokens > 0 {
             self.service
                 .upstreams()
-                .begun(&self.id, self.start, prompt_tokens);
+                .prefilled(&self.id, self.start, prompt_tokens);
         }
     }
 }
--- a/crates/direct/src/view.rs
+++ b/crates/direct/src/view.rs
@@ -17,7 +17,9 @@
 
 use crate::events;
 use crate::pool::Pool;
-use wagtailreel_route::direct::{Naming, NamingBounds, Namings, Pressure, Upstreams, Words};
+use wagtailreel_route::direct::{
+    LoadReports, Naming, NamingBounds, Namings, RefusalRate, Upstreams,
+};
 
 /// Maximum retries that this entry may save up for each service. The users allow all entries together 104
 /// retries beyond the share of the requests; 8 entries spend at most 40 of these.
@@ -28,7 +30,7 @@
 pub(crate) struct Service {
     upstreams: Mutex<Upstreams>,
     budget: Mutex<RetryBudget>,
-    pressure: Mutex<Pressure>,
+    refusal_rate: Mutex<RefusalRate>,
     /// Notified when a load report of one of the upstreams comes.
     pub(crate) load_updated: Notify,
     /// Notified when the registry record of one of the upstreams changes.
@@ -41,8 +43,8 @@
         lock(&self.upstreams)
     }
 
-    pub(crate) fn pressure(&self) -> MutexGuard<'_, Pressure> {
-        lock(&self.pressure)
+    pub(crate) fn refusal_rate(&self) -> MutexGuard<'_, RefusalRate> {
+        lock(&self.refusal_rate)
     }
 
     pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
@@ -138,18 +140,23 @@
     }
 
     /// Returns the load reports of engines in `data_centre` that are no older than `oldest`.
-    pub(crate) fn words(&self, data_centre: &str, oldest: Duration, now: Instant) -> Words {
-        let mut reports = Words::new();
+    pub(crate) fn load_reports(
+        &self,
+        data_centre: &str,
+        oldest: Duration,
+        now: Instant,
+    ) -> LoadReports {
+        let mut reports = LoadReports::new();
         for (service, _) in self.engine_services() {
-            reports.extend(service.upstreams().words(data_centre, oldest, now));
+            reports.extend(service.upstreams().load_reports(data_centre, oldest, now));
         }
         reports
     }
 
     /// Merges load reports that another entry received.
-    pub(crate) fn take_words(&self, reports: &Words) {
+    pub(crate) fn merge_load_reports(&self, reports: &LoadReports) {
         for (service, model) in self.engine_services() {
-            let newest = service.upstreams().take_words(reports);
+            let newest = service.upstreams().merge_load_reports(reports);
             service.load_updated.notify_waiters();
             if let Some(version) = newest {
                 self.record_held(&model, version);
@@ -187,7 +194,7 @@
             Arc::new(Service {
                 upstreams: Mutex::new(upstreams),
                 budget: Mutex::new(RetryBudget::new(budget)),
-                pressure: Mutex::new(Pressure::new(Instant::now())),
+                refusal_rate: Mutex::new(RefusalRate::new(Instant::now())),
                 load_updated: Notify::new(),
                 registry_changed: Notify::new(),
                 pool: Pool::default(),
--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wagtailreel_fleet::{BootTime, NamedWeights, NamingReport, Topic, WeightsVersion};
-use wagtailreel_route::direct::{Namings, Told};
+use wagtailreel_route::direct::{NamingSource, Namings};
 
 use super::{View, lock};
 use crate::events;
@@ -21,7 +21,7 @@
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
         let binding_from = self
-            .merge_reported(|namings| namings.take_word(&naming.weights, after, read_as_of, now));
+            .merge_reported(|namings| namings.merge_report(&naming.weights, after, read_as_of, now));
         if let Some(binding_from) = binding_from {
             events::NAMING_LEARNED.emit(&[
                 ("model", &naming.weights.model),
@@ -42,8 +42,8 @@
         let now = BootTime::now();
         let read_as_of = self.read_as_of();
         let binding_from =
-            self.merge_reported(|namings| namings.take_held(&weights, read_as_of, now));
-        log_naming(&weights, Told::Held, binding_from, now);
+            self.merge_reported(|namings| namings.record_held(&weights, read_as_of, now));
+        log_naming(&weights, NamingSource::Held, binding_from, now);
     }
 
     /// Merges weights that other processes report, and triggers a read of the registry if only that can
@@ -70,11 +70,11 @@
         let source = if self.read_as_of().is_some() {
             self.named_since_last_read(now)
         } else if self.registry_returned.load(Ordering::Relaxed) {
-            Told::AfterOutage
+            NamingSource::AfterOutage
         } else {
-            Told::BeforeStart(self.started)
+            NamingSource::BeforeStart(self.started)
         };
-        let binding_from = lock(&self.namings).take(weights, source, now);
+        let binding_from = lock(&self.namings).record(weights, source, now);
         log_naming(weights, source, binding_from, now);
     }
 
@@ -83,19 +83,23 @@
     /// Their bound counts from the last read, which did not show them. If it counted from their receipt,
     /// the bound would end later by the time for which this process, or the one that it reads through, was
     /// suspended. The time in which the registry left calls unanswered does not count.
-    fn named_since_last_read(&self, now: BootTime) -> Told {
+    fn named_since_last_read(&self, now: BootTime) -> NamingSource {
         // Only called after a first read; without one the weights count as named now.
         let after = self.read_as_of().unwrap_or(now);
         let unanswered = *lock(&self.unanswered);
-        Told::News {
-            heard: after.max(unanswered.unwrap_or(after)),
+        NamingSource::Registry {
+            received_at: after.max(unanswered.unwrap_or(after)),
             after,
         }
     }
 }
 
 /// Logs a naming and when it becomes binding; logs nothing if the naming is not new.
-fn log_naming(weights: &NamedWeights, source: Told, binding_from: Option<BootTime>, now: BootTime) {
+fn log_naming(
+    weights: &NamedWeights, source: NamingSource,
+    binding_from: Option<BootTime>,
+    now: BootTime,
+) {
     let Some(binding_from) = binding_from else {
         return;
     };
--- a/crates/direct/tests/members.rs
+++ b/crates/direct/tests/members.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use wagtailreel_direct::{Ask, LoadSource, Shortage, Upstreams};
+use wagtailreel_direct::{LoadSource, Requirements, Unavailable, Upstreams};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream, UpstreamState};
 
 const MODEL: &str = "epitaph";
@@ -52,8 +52,10 @@
     fleet
 }
 
-fn choose(fleet: &mut Upstreams, now: Instant) -> Result<String, Shortage> {
-    fleet.choose(&Ask::default(), now).map(|pick| pick.id)
+fn choose(fleet: &mut Upstreams, now: Instant) -> Result<String, Unavailable> {
+    fleet
+        .choose(&Requirements::default(), now)
+        .map(|pick| pick.id)
 }
 
 fn status(running: u32) -> LoadStatus {
@@ -79,7 +81,7 @@
         }
     }
     assert!(
-        fleet.choose(&Ask::default(), now).is_ok(),
+        fleet.choose(&Requirements::default(), now).is_ok(),
         "one request may wait at each"
     );
 }
@@ -91,7 +93,7 @@
     for _ in 0..5 {
         fleet.started("a", 0);
     }
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::Full));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::Full));
     fleet.finished("a", 0);
     assert!(choose(&mut fleet, now).is_ok());
 }
@@ -102,11 +104,11 @@
     let mut fleet = fleet(&[upstream("a", 1, "hall"), upstream("b", 2, "hall")]);
     fleet.status(ip(1), &status(3), None, now);
     fleet.status(ip(2), &status(1), None, now);
-    let pick = fleet.choose(&Ask::default(), now).unwrap();
+    let pick = fleet.choose(&Requirements::default(), now).unwrap();
     assert_eq!((pick.id.as_str(), pick.in_flight), ("b", 1));
     assert_eq!(pick.source, LoadSource::Agent);
     let later = now + Duration::from_secs(2);
-    let pick = fleet.choose(&Ask::default(), later).unwrap();
+    let pick = fleet.choose(&Requirements::default(), later).unwrap();
     assert_eq!(pick.source, LoadSource::Own, "old reports are not used");
 }
 
@@ -122,7 +124,7 @@
         !fleet.may_send("a"),
         "also if a request has already chosen the upstream"
     );
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
 }
 
 #[rstest]
@@ -132,7 +134,7 @@
     fleet.started("a", 0);
     assert!(fleet.remove("a"));
     assert!(!fleet.may_send("a"));
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
     fleet.finished("a", 0);
     assert!(
         !fleet.remove("a"),
@@ -151,16 +153,16 @@
 #[rstest]
 #[case::new_enough(Some(1), Ok("a"))]
 #[case::any_version(None, Ok("a"))]
-#[case::too_old(Some(2), Err(Shortage::Weights))]
-fn weights(#[case] least: Option<u64>, #[case] expected: Result<&str, Shortage>) {
+#[case::too_old(Some(2), Err(Unavailable::Weights))]
+fn weights(#[case] least: Option<u64>, #[case] expected: Result<&str, Unavailable>) {
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
-    let ask = Ask {
+    let needs = Requirements {
         model: Some(MODEL),
         least_version: least,
-        ..Ask::default()
+        ..Requirements::default()
     };
-    let chosen = fleet.choose(&ask, now).map(|pick| pick.id);
+    let chosen = fleet.choose(&needs, now).map(|pick| pick.id);
     assert_eq!(chosen, expected.map(ToOwned::to_owned));
 }
 
@@ -170,14 +172,14 @@
     let mut empty = upstream("a", 1, "hall");
     empty.models.clear();
     let mut fleet = fleet(&[empty]);
-    let ask = Ask {
+    let needs = Requirements {
         model: Some(MODEL),
-        ..Ask::default()
+        ..Requirements::default()
     };
-    assert_eq!(fleet.choose(&ask, now), Err(Shortage::Weights));
+    assert_eq!(fleet.choose(&needs, now), Err(Unavailable::Weights));
     fleet.status(ip(1), &status(0), None, now);
     assert!(
-        fleet.choose(&ask, now).is_ok(),
+        fleet.choose(&needs, now).is_ok(),
         "the agent reports weights before the registry does"
     );
 }
@@ -191,7 +193,7 @@
         ..status(2)
     };
     fleet.status(ip(1), &switching, None, now);
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
     let later = now + Duration::from_secs(2);
     assert!(
         choose(&mut fleet, later).is_ok(),
@@ -209,7 +211,7 @@
         "a single failure does not eject"
     );
     let ejected_for = fleet.failed("a", now).unwrap();
-    assert_eq!(choose(&mut fleet, now), Err(Shortage::NoUpstream));
+    assert_eq!(choose(&mut fleet, now), Err(Unavailable::NoUpstream));
     assert!(
         choose(&mut fleet, now + ejected_for).is_ok(),
         "the upstream is chosen again after the ejection"
@@ -251,7 +253,7 @@
     }
     assert_eq!(
         choose(&mut fleet, later),
-        Err(Shortage::Full),
+        Err(Unavailable::Full),
         "a suspect link gets few requests"
     );
     fleet.status(ip(1), &status(2), Some(Duration::from_millis(2)), later);
@@ -271,15 +273,15 @@
         upstream("far", 3, "quay"),
     ]);
     let engine = common::engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         engine: Some(&engine),
         objective: Duration::from_millis(300),
-        ..Ask::default()
+        ..Requirements::default()
     };
     fleet.started("a", 1500);
     fleet.started("b", 0);
     fleet.started("b", 0);
-    let choose = |fleet: &mut Upstreams| fleet.choose(&ask, now).unwrap().id;
+    let choose = |fleet: &mut Upstreams| fleet.choose(&needs, now).unwrap().id;
     assert_eq!(
         choose(&mut fleet),
         "b",
@@ -292,7 +294,7 @@
         "far",
         "a remote upstream is preferred to a queue of long prompts"
     );
-    fleet.begun("a", 0, 4000);
+    fleet.prefilled("a", 0, 4000);
     assert_eq!(choose(&mut fleet), "a");
 }
 
@@ -308,16 +310,16 @@
         upstream("silent", 3, "hall"),
     ]);
     let engine = common::engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         engine: Some(&engine),
         objective: Duration::from_millis(200),
         tried: ["a", "b"].map(ToOwned::to_owned).into(),
-        ..Ask::default()
+        ..Requirements::default()
     };
     for host in [1, 2] {
         fleet.status(ip(host), &status(running), None, now);
     }
-    let chosen = fleet.choose(&ask, now);
+    let chosen = fleet.choose(&needs, now);
     assert_eq!(chosen.is_ok(), is_chosen, "{chosen:?}");
 }
 
@@ -330,13 +332,13 @@
     let now = Instant::now();
     let mut fleet = fleet(&[upstream("a", 1, "hall")]);
     let engine = common::engine_model();
-    let ask = Ask {
+    let needs = Requirements {
         engine: Some(&engine),
         prompt,
         objective: Duration::from_millis(300),
-        ..Ask::default()
+        ..Requirements::default()
     };
     fleet.status(ip(1), &status(4), None, now);
-    let chosen = fleet.choose(&ask, now);
+    let chosen = fleet.choose(&needs, now);
     assert!(chosen.is_ok(), "{chosen:?}");
 }
--- a/crates/direct/tests/restart.rs
+++ b/crates/direct/tests/restart.rs
@@ -9,7 +9,7 @@
 
 use common::registered;
 use rstest::rstest;
-use wagtailreel_direct::{Ask, Pick, Shortage, Upstreams};
+use wagtailreel_direct::{Pick, Requirements, Unavailable, Upstreams};
 use wagtailreel_fleet::{LoadStatus, LoadedModel, Upstream};
 
 const MODEL: &str = "epitaph";
@@ -32,12 +32,12 @@
     fleet
 }
 
-fn choose(fleet: &mut Upstreams) -> Result<Pick, Shortage> {
-    let ask = Ask {
+fn choose(fleet: &mut Upstreams) -> Result<Pick, Unavailable> {
+    let needs = Requirements {
         model: Some(MODEL),
-        ..Ask::default()
+        ..Requirements::default()
     };
-    fleet.choose(&ask, Instant::now())
+    fleet.choose(&needs, Instant::now())
 }
 
 fn report(started: u64, version: Option<u64>) -> LoadStatus {
@@ -63,7 +63,7 @@
     assert_eq!(choose(&mut fleet).unwrap().in_flight, 0);
     let new = fleet.started("a", 50);
     assert_eq!((start, new), (100, 200));
-    fleet.begun("a", start, 50);
+    fleet.prefilled("a", start, 50);
     fleet.finished("a", start);
     let pick = choose(&mut fleet).unwrap();
     assert_eq!(
@@ -80,7 +80,7 @@
     let mut empty = record(200);
     empty.models.clear();
     fleet.update(empty);
-    assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
+    assert_eq!(choose(&mut fleet), Err(Unavailable::Weights));
 }
 
 #[rstest]
@@ -88,12 +88,12 @@
     let mut fleet = fleet(100);
     fleet.started("a", 0);
     assert!(merge(&mut fleet, &report(200, None)));
-    assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
+    assert_eq!(choose(&mut fleet), Err(Unavailable::Weights));
     assert!(
         !fleet.update(record(100)),
         "the record is from before the restart"
     );
-    assert_eq!(choose(&mut fleet), Err(Shortage::Weights));
+    assert_eq!(choose(&mut fleet), Err(Unavailable::Weights));
 }
 
 #[rstest]
--- a/crates/route/src/direct/mod.rs
+++ b/crates/route/src/direct/mod.rs
@@ -1,43 +1,44 @@
-//! Decisions of an entry that sends requests straight to upstreams, and of the agents beside them.
+//! Decisions of an entry that sends requests directly to upstreams, and of the agents beside them.
 //!
-//! [`Upstreams`] chooses where a request goes or refuses it, by what [`Prediction`] expects of each
-//! engine; [`Places`] is the agent's account of requests on their way to its engine, which all
-//! entries share; [`Namings`] says on which weights a request may begin; [`Patience`] says how long a stream is waited
-//! for; [`Permits`] keeps all entries together to the limits that upstreams name; [`Pressure`] says when a refused caller is to come back; [`Quarantine`] knows requests under
-//! which upstreams end; [`next_step`] says what follows from the end of an attempt.
+//! [`Upstreams`] chooses the upstream for a request or refuses the request, from the [`Prediction`] for each
+//! engine. [`PendingArrivals`] counts the requests announced to an agent that its engine has not reported
+//! yet. [`Namings`] tells on which weights a request may begin. [`StallPolicy`] tells how long a stream may
+//! stall. [`Permits`] keeps all entries together within the rate limits that upstreams name. [`RefusalRate`]
+//! tells when a refused caller should retry. [`Quarantine`] identifies requests that crash upstreams.
+//! [`next_step`] decides what follows the end of an attempt.
 
+mod capacity;
 mod correction;
 mod ending;
-mod hearsay;
+mod exclusion;
 mod limit;
+mod load_reports;
 mod member;
 mod naming;
-mod obstacle;
-mod patience;
+mod pending;
 mod permits;
 mod pick;
-mod places;
 mod prediction;
-mod pressure;
+mod prefill;
 mod quarantine;
-mod reading;
-mod room;
+mod refusal_rate;
+mod retry;
+mod stall;
 mod upstreams;
-mod waits;
 
 pub use correction::Correction;
 pub use ending::{Attempt, Ending, Next, next_step};
-pub use hearsay::{Word, Words};
+pub use exclusion::Exclusion;
 pub use limit::{Limit, NamedLimit};
+pub use load_reports::{LoadReport, LoadReports};
 pub use member::{LoadSource, Member};
-pub use naming::{Naming, NamingBounds, Namings, Told};
-pub use obstacle::Obstacle;
-pub use patience::{Patience, Sign};
-pub use permits::{GIVER_SHARES, Permits};
-pub use pick::{Ask, Pick, Shortage};
-pub use places::Places;
+pub use naming::{Naming, NamingBounds, NamingSource, Namings};
+pub use pending::PendingArrivals;
+pub use permits::{ISSUER_SHARES, Permits};
+pub use pick::{Pick, Requirements, Unavailable};
 pub use prediction::Prediction;
-pub use pressure::Pressure;
+pub use prefill::PrefillQueue;
 pub use quarantine::{Quarantine, Suspicion};
-pub use reading::ReadingQueue;
+pub use refusal_rate::RefusalRate;
+pub use stall::{Liveness, StallPolicy};
 pub use upstreams::Upstreams;
--- a/crates/stage/src/quarantine_sync.rs
+++ b/crates/stage/src/quarantine_sync.rs
@@ -22,28 +22,28 @@
     pub(crate) fn merge(&self, reports: &[CrashReport]) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
-        let new_reports = reports.iter().filter(|report| quarantine.hear(report, now));
+        let new_reports = reports.iter().filter(|report| quarantine.merge(report, now));
         let new_reports: BTreeSet<Fingerprint> =
             new_reports.map(|report| report.fingerprint).collect();
         if new_reports.is_empty() {
             return Vec::new();
         }
-        let mut reports = quarantine.told_of(Duration::MAX, now);
+        let mut reports = quarantine.to_report(Duration::MAX, now);
         reports.retain(|report| new_reports.contains(&report.fingerprint));
         reports
     }
 
     /// Returns all crash reports, for an entry that may have missed some.
     pub(crate) fn all(&self) -> Vec<CrashReport> {
-        self.lock().told_of(Duration::MAX, BootTime::now())
+        self.lock().to_report(Duration::MAX, BootTime::now())
     }
 
     /// Returns the crash reports to send again, and evicts expired ones.
     pub(crate) fn due_for_resend(&self) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
-        quarantine.forget(now);
-        quarantine.told_of(RESEND_WINDOW, now)
+        quarantine.prune(now);
+        quarantine.to_report(RESEND_WINDOW, now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Quarantine> {
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -13,7 +13,7 @@
     NamedWeights, NamingReport, PermitRequest, Query, Status, WeightsVersion,
 };
 use wagtailreel_nearby::Neighbours;
-use wagtailreel_route::direct::{Permits, Places};
+use wagtailreel_route::direct::{PendingArrivals, Permits};
 
 use crate::EngineReport;
 use crate::chunk_store::ChunkStore;
@@ -38,7 +38,7 @@
     is_switching: bool,
     naming: Option<(NamedWeights, KnownNaming)>,
     /// Requests that entries announced and that are not yet in the engine's figures.
-    arrivals: Places,
+    arrivals: PendingArrivals,
 }
 
 /// How long after its bound a naming is still reported, so that an entry that starts then learns that the
@@ -103,7 +103,7 @@
         let before = version(state.report.as_ref().map(|(report, _)| report));
         let changed = before != version(report.as_ref());
         let now = Instant::now();
-        state.arrivals.figures(requested_at);
+        state.arrivals.figures_read(requested_at);
         if report
             .as_ref()
             .is_some_and(|it| it.running + it.queued == 0)
@@ -165,7 +165,7 @@
         let now = Instant::now();
         {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-            state.arrivals.take(prefill_time, now);
+            state.arrivals.add(prefill_time, now);
         }
         let mut local_entries = self.subscribers.local(now);
         local_entries.retain(|entry| *entry != from);
@@ -341,8 +341,8 @@
             is_switching: state.is_switching || report.is_busy,
             queued: report
                 .queued
-                .saturating_add(state.arrivals.on_their_way(now)),
-            prefill_ms: u32::try_from(state.arrivals.reading_left(now).as_millis())
+                .saturating_add(state.arrivals.pending(now)),
+            prefill_ms: u32::try_from(state.arrivals.prefill_left(now).as_millis())
                 .unwrap_or(u32::MAX),
             running: report.running,
             memory,
