--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -183,7 +183,7 @@
 
     /// Has the gate forget an epoch.
     pub(crate) fn forget(&self, epoch: Epoch) {
-        let change = self.admitter.lock().gate.forget(epoch);
+        let change = self.admitter.lock().gate.remove_epoch(epoch);
         self.note_change(change);
         self.report_at_once();
     }
--- a/crates/switch/src/gate.rs
+++ b/crates/switch/src/gate.rs
@@ -121,7 +121,7 @@
 
     /// Forgets `epoch`: its bundle is no longer there. An open epoch is left without closing it
     /// for others, which is how an engine that holds one bundle gives up the old one.
-    pub fn forget(&mut self, epoch: Epoch) -> GateChange {
+    pub fn remove_epoch(&mut self, epoch: Epoch) -> GateChange {
         let before = (self.closed_below, self.open());
         self.weights.remove(&epoch);
         self.change_since(before)
--- a/crates/switch/tests/gate.rs
+++ b/crates/switch/tests/gate.rs
@@ -140,7 +140,7 @@
     assert!(gate.may_swap(20));
     assert!(!gate.may_swap(30));
     // Giving up the open bundle closes nothing for others.
-    gate.forget(10);
+    gate.remove_epoch(10);
     assert_eq!((gate.open(), gate.closed_below()), (None, 10));
     hear(&mut gate, at, "e2", &directive(30, 30, None));
     assert!(gate.may_swap(30), "the old is closed anyway");
--- a/crates/switch/tests/world/agent.rs
+++ b/crates/switch/tests/world/agent.rs
@@ -117,7 +117,7 @@
         let places = usize::try_from(self.plan.bundles).unwrap();
         if held(agent).len() >= places {
             for epoch in agent.gate.droppable(target) {
-                agent.gate.forget(epoch);
+                agent.gate.remove_epoch(epoch);
                 self.note(vm, &format!("drops {epoch}"));
             }
         }
@@ -126,7 +126,7 @@
             let Some(open) = gives_up.filter(|_| agent.gate.may_swap(target)) else {
                 return false;
             };
-            agent.gate.forget(open);
+            agent.gate.remove_epoch(open);
             self.note(vm, &format!("gives up {open} to load {target}"));
         }
         agent.gate.set_phase(target, WeightsPhase::Loading, None);
