--- a/crates/control/src/entry/rounds.rs
+++ b/crates/control/src/entry/rounds.rs
@@ -51,7 +51,7 @@
 
 /// Runs sync rounds, at their times and whenever there is something that peers must hear at once.
 pub(crate) async fn run_rounds(shell: Rc<Shell>) {
-    let every = shell.timing().round();
+    let every = shell.timing().round_interval();
     let peers: RefCell<BTreeMap<VmId, PeerCalls>> = RefCell::default();
     let mut calls = JoinSet::new();
     loop {
@@ -84,7 +84,7 @@
     for (vm, addr) in listed {
         peers.entry(vm.clone()).or_insert_with(|| {
             // An attempt has to be made often enough that the grace time counts real attempts.
-            let max_backoff = shell.timing().attempt();
+            let max_backoff = shell.timing().attempt_timeout();
             let link = Link::new(vm, addr, max_backoff, shell.metrics().clone());
             PeerCalls {
                 link: Rc::new(link),
@@ -131,7 +131,7 @@
         shell.metrics().received(Kind::PeerState, words);
         Ok(read_peer_state(response.get_state()?)?)
     };
-    link.call(shell.timing().attempt(), call).await
+    link.call(shell.timing().attempt_timeout(), call).await
 }
 
 /// Takes over the configuration of a peer that is ahead of this entry.
--- a/crates/switch/src/opener/closing.rs
+++ b/crates/switch/src/opener/closing.rs
@@ -52,7 +52,7 @@
             return false;
         }
         let since = *switch.ready_since.get_or_insert(now);
-        let waited = now >= since + self.timing.longest_lease() * 2;
+        let waited = now >= since + self.timing.max_lease() * 2;
         let responsive = self.is_responsive(now, name, switch.close_below, target);
         self.peers.may_grant(now) && (responsive || waited)
     }
@@ -62,14 +62,14 @@
     fn has_waited(&self, now: Instant, switch: &mut Switch, target: Epoch) -> bool {
         let since = switch.at_hand_since.filter(|(epoch, _)| *epoch == target);
         let (_, since) = *switch.at_hand_since.insert(since.unwrap_or((target, now)));
-        now >= since + self.timing.longest_lease() * 2
+        now >= since + self.timing.max_lease() * 2
     }
 
     /// Says whether a switch begun now would go through without waiting for anyone's silence.
     fn is_responsive(&self, now: Instant, name: &str, close_below: Epoch, target: Epoch) -> bool {
         let silent = |row: &AgentRow| {
             let age = now.saturating_duration_since(row.contact);
-            age >= self.timing.silent() && age < self.timing.longest_lease()
+            age >= self.timing.suspect_after() && age < self.timing.max_lease()
         };
         let none_silent = self
             .table
@@ -82,7 +82,7 @@
     fn candidates(&self, now: Instant, name: &str, known: &ServiceState) -> Vec<&AgentRow> {
         self.table
             .agents_of(name)
-            .filter(|row| now < row.contact + self.timing.longest_lease())
+            .filter(|row| now < row.contact + self.timing.max_lease())
             .filter(|row| !row.report.leaving)
             .filter(|row| self.serves(Some(known), known.epoch, &row.report.vm))
             .collect()
--- a/crates/switch/src/opener/granting.rs
+++ b/crates/switch/src/opener/granting.rs
@@ -65,7 +65,7 @@
     fn own_closed_below(&self, now: Instant, name: &str, close_below: Epoch) -> Epoch {
         // The process that ran on this VM before may have granted until just before this one
         // started, and to agents that haven't reported yet.
-        if now < self.born + self.timing.longest_lease() {
+        if now < self.born + self.timing.max_lease() {
             return 0;
         }
         self.table
--- a/crates/switch/src/peers.rs
+++ b/crates/switch/src/peers.rs
@@ -12,7 +12,7 @@
 /// it forgotten at once, entries that noticed a little later would name it anew.
 const FORGET_AFTER: u32 = 8;
 
-/// A run of sync rounds without a gap of more than [`Timing::fresh`]. A process that was frozen
+/// A run of sync rounds without a gap of more than [`Timing::grant_window`]. A process that was frozen
 /// for longer starts a new one.
 #[derive(Clone, Copy, Debug)]
 struct Streak {
@@ -51,13 +51,13 @@
     /// Says whether the entry has been out of reach for so long that its leases have lapsed.
     fn is_gone(&self, now: Instant, timing: Timing) -> bool {
         self.failing_since
-            .is_some_and(|since| now >= since + timing.grace())
+            .is_some_and(|since| now >= since + timing.grace_time())
     }
 
     /// Says whether the entry has been gone for so long that every other entry has noticed too.
     fn is_forgotten(&self, now: Instant, timing: Timing) -> bool {
         self.failing_since
-            .is_some_and(|since| now >= since + timing.grace() * FORGET_AFTER)
+            .is_some_and(|since| now >= since + timing.grace_time() * FORGET_AFTER)
     }
 
     fn service(&self, service: &str) -> ServicePeerState {
@@ -121,7 +121,7 @@
     /// that was granted before may be granted on.
     pub(crate) fn on_round(&mut self, now: Instant) -> bool {
         let goes_on = self.streak.filter(|streak| {
-            now.saturating_duration_since(streak.last_round) <= self.timing.fresh()
+            now.saturating_duration_since(streak.last_round) <= self.timing.grant_window()
         });
         let began = goes_on.map_or(now, |streak| streak.began);
         self.streak = Some(Streak {
@@ -147,7 +147,7 @@
         }
         let in_streak = self.streak.is_some_and(|streak| started >= streak.began);
         // An answer that lay unread while this process was frozen says nothing of now.
-        let recent = now.saturating_duration_since(started) <= self.timing.fresh();
+        let recent = now.saturating_duration_since(started) <= self.timing.grant_window();
         if in_streak && recent {
             self.heard_settled |= state.settled;
             if let Some(peer) = self.peers.get_mut(&state.vm) {
@@ -191,16 +191,16 @@
             .peers
             .values()
             .all(|peer| peer.answered || peer.is_gone(now, timing));
-        let waited = now >= streak.began + timing.grace();
+        let waited = now >= streak.began + timing.grace_time();
         self.settled |= heard_all && (self.heard_settled || waited);
     }
 
     /// Says whether this entry is settled and has started a round lately, so that it may grant.
     pub(crate) fn may_grant(&self, now: Instant) -> bool {
-        let fresh = self.streak.is_some_and(|streak| {
-            now.saturating_duration_since(streak.last_round) < self.timing.fresh()
+        let recent = self.streak.is_some_and(|streak| {
+            now.saturating_duration_since(streak.last_round) < self.timing.grant_window()
         });
-        self.settled && fresh
+        self.settled && recent
     }
 
     /// Says whether every peer has closed below `epoch` for good, or is gone.
--- a/crates/switch/src/table.rs
+++ b/crates/switch/src/table.rs
@@ -83,7 +83,7 @@
             .values()
             .flat_map(BTreeMap::values)
             .filter(|row| row.report.service == service)
-            .filter(|row| now < row.contact + timing.longest_lease())
+            .filter(|row| now < row.contact + timing.max_lease())
             .map(|row| row.report.closed_below)
             .min()
     }
--- a/crates/switch/src/timing.rs
+++ b/crates/switch/src/timing.rs
@@ -29,33 +29,33 @@
     }
 
     /// Returns the time from the start of one sync round to the next.
-    pub fn round(self) -> Duration {
+    pub fn round_interval(self) -> Duration {
         self.lease / 8
     }
 
     /// Returns how long an attempt to reach a peer may take.
-    pub fn attempt(self) -> Duration {
+    pub fn attempt_timeout(self) -> Duration {
         self.lease / 4
     }
 
     /// Returns how long an entry may grant leases after it started a sync round.
-    pub fn fresh(self) -> Duration {
+    pub fn grant_window(self) -> Duration {
         self.lease / 2
     }
 
     /// Returns how long an agent may be silent before it looks as if it had died. An agent sends
     /// its entries a message every quarter of a lease.
-    pub fn silent(self) -> Duration {
+    pub fn suspect_after(self) -> Duration {
         self.lease * 3 / 8
     }
 
     /// Returns how long an agent may hold a lease after the last message from it.
-    pub fn longest_lease(self) -> Duration {
+    pub fn max_lease(self) -> Duration {
         self.lease + self.lease / 8
     }
 
     /// Returns how long a peer must have been out of reach until it is counted as gone.
-    pub fn grace(self) -> Duration {
+    pub fn grace_time(self) -> Duration {
         self.lease + self.lease * 3 / 4
     }
 }
--- a/crates/switch/tests/world/entry.rs
+++ b/crates/switch/tests/world/entry.rs
@@ -23,7 +23,7 @@
     match event {
         Event::Round => {
             round = true;
-            let again = u64::try_from(opener.timing().round().as_millis()).unwrap();
+            let again = u64::try_from(opener.timing().round_interval().as_millis()).unwrap();
             out.push((Some(again), vm.clone(), Event::Round));
         }
         Event::Timeout(peer, started) => opener.on_peer_failure(now, started, &peer),
@@ -55,7 +55,7 @@
     if round || changes.peers {
         opener.on_round(now);
         changes.services.extend(opener.take_changes().services);
-        let timeout = u64::try_from(opener.timing().attempt().as_millis()).unwrap();
+        let timeout = u64::try_from(opener.timing().attempt_timeout().as_millis()).unwrap();
         for peer in opener.peers().into_keys() {
             out.push((Some(timeout), vm.clone(), Event::Timeout(peer.clone(), now)));
             let call = Event::Call(vm.clone(), now, opener.peer_state(now));
