--- a/crates/switch/src/gate.rs
+++ b/crates/switch/src/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate: which epoch its requests run in, and whether any may run at all.
+//! The agent's gate: decides whether a request is admitted, and to which epoch.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,8 +7,9 @@
     Digest, Directive, Epoch, NotRunReason, Offset, Report, VmId, WeightsPhase,
 };
 
-/// How long a directive of an entry counts when the gate compares those of all its entries.
-const DIRECTIVE_VALID_FOR: Duration = Duration::from_secs(3);
+/// How long the last directive of an entry is taken into account in [`Gate::droppable`] and
+/// [`Gate::may_swap`], which look at the directives of all entries.
+const DIRECTIVE_TTL: Duration = Duration::from_secs(3);
 
 /// The epoch and weights that a request was admitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,17 +20,17 @@
     pub weights: Digest,
 }
 
-/// What an input did to the gate. An agent reports at once if anything changed.
+/// What an input changed at the gate. An agent reports to its entries at once if anything changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateChange {
-    /// Epochs below this were closed by the input.
+    /// The input closed all epochs below this one.
     pub closed_below: Option<Epoch>,
-    /// This epoch was opened by the input.
+    /// The input opened this epoch.
     pub opened: Option<Epoch>,
 }
 
 impl GateChange {
-    /// Says whether the entries have to hear of the change at once.
+    /// Returns whether anything changed.
     pub fn is_some(&self) -> bool {
         *self != Self::default()
     }
@@ -42,45 +43,45 @@
     until: Instant,
 }
 
-/// What the engine holds of one epoch.
+/// The weights that the agent has of one epoch, and how far they are loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct EpochWeights {
     phase: WeightsPhase,
     weights: Option<Digest>,
 }
 
-/// What the last directive of one entry said.
+/// The parts of an entry's last directive that the gate still needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LastDirective {
-    at: Instant,
+    received_at: Instant,
     config: Offset,
     swap_to: Option<Epoch>,
 }
 
 /// Admits requests while the agent holds a lease for an epoch that its engine has loaded.
 ///
-/// Invariants: `closed_below` never falls; a lease is for an epoch that is not closed; an epoch
-/// that was closed never opens again. So once an entry has read `closed_below >= T` in a report,
-/// this gate admits nothing below `T` for the rest of the process's life.
+/// Invariants: `closed_below` never falls. A lease is for an epoch that is not closed. A closed
+/// epoch never opens again. So once an entry has read `closed_below >= T` in a report, this gate
+/// admits nothing below `T` until the process ends.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     closed_below: Epoch,
     lease: Option<Lease>,
-    weights: BTreeMap<Epoch, Held>,
+    weights: BTreeMap<Epoch, EpochWeights>,
     leaving: bool,
     entries: BTreeMap<VmId, LastDirective>,
 }
 
 impl Gate {
-    /// Makes a gate that admits nothing and holds nothing.
+    /// Creates a gate without weights and without a lease, which admits nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in what the entry `from` answered to the report that was sent at `sent_at`.
+    /// Applies the directive by which the entry `from` answered the report sent at `sent_at`.
     ///
-    /// The lease runs from `sent_at`, never from `now`: an answer that was under way for long, or
-    /// lay unread while the process was frozen, grants what is left of it and no more.
+    /// The lease runs from `sent_at`, never from `now`. An answer that was delayed on the network,
+    /// or was read late because the process was suspended, grants only the rest of the lease.
     pub fn on_directive(
         &mut self,
         now: Instant,
@@ -90,21 +91,21 @@
     ) -> GateChange {
         let before = (self.closed_below, self.open());
         self.entries
-            .retain(|_, last| now.duration_since(last.at) < DIRECTIVE_VALID_FOR);
+            .retain(|_, last| now.duration_since(last.received_at) < DIRECTIVE_TTL);
         let last = LastDirective {
-            at: now,
+            received_at: now,
             config: directive.config,
             swap_to: directive.swap_to,
         };
         self.entries.insert(from.clone(), last);
         self.close_below(directive.close_below);
         if let Some(epoch) = directive.open {
-            self.take_lease(epoch, sent_at, directive.lease);
+            self.apply_lease(epoch, sent_at, directive.lease);
         }
         self.change_since(before)
     }
 
-    /// Notes how far the engine is with `epoch`, and the digest of its bundle once known.
+    /// Records the phase of the weights of `epoch`, and the digest of its bundle once known.
     ///
     /// An epoch opens only when it is [`WeightsPhase::Loaded`] with a digest. A plain service
     /// passes the digest of the bundle without parts.
@@ -115,12 +116,14 @@
         weights: Option<Digest>,
     ) -> GateChange {
         let before = (self.closed_below, self.open());
-        self.weights.insert(epoch, Held { phase, weights });
+        self.weights.insert(epoch, EpochWeights { phase, weights });
         self.change_since(before)
     }
 
-    /// Forgets `epoch`: its bundle is no longer there. An open epoch is left without closing it
-    /// for others, which is how an engine that holds one bundle gives up the old one.
+    /// Removes `epoch`, whose bundle the agent no longer has.
+    ///
+    /// If the epoch is open, this agent stops admitting it, but `closed_below` stays, so that the
+    /// other agents keep it open. An engine with space for one bundle drops its old one this way.
     pub fn remove_epoch(&mut self, epoch: Epoch) -> GateChange {
         let before = (self.closed_below, self.open());
         self.weights.remove(&epoch);
@@ -129,8 +132,9 @@
 
     /// Admits a request, pinned to the bundle `pin` if one is given.
     ///
-    /// It is called when a request comes in, and again as the last thing before the request goes
-    /// to the engine, so that a process that was frozen in between refuses it.
+    /// The caller checks when a request arrives, and again as the last step before the request
+    /// goes to the engine. The second check refuses a request whose lease lapsed while the process
+    /// was suspended in between.
     ///
     /// # Errors
     ///
@@ -154,33 +158,33 @@
         })
     }
 
-    /// Stops admission for good: the agent is leaving.
+    /// Stops admission until the process ends, because the agent is leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Says whether [`Gate::leave`] was called.
+    /// Returns whether [`Gate::leave`] was called.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Returns the epoch that is open, whether or not its lease has lapsed.
+    /// Returns the open epoch, even if its lease has lapsed.
     pub fn open(&self) -> Option<Epoch> {
         let epoch = self.lease?.epoch;
         self.loaded(epoch).map(|_| epoch)
     }
 
-    /// Returns the epoch below which everything is closed.
+    /// Returns the epoch below which all epochs are closed.
     pub fn closed_below(&self) -> Epoch {
         self.closed_below
     }
 
-    /// Returns the phase of `epoch`, if anything of it is there.
+    /// Returns the phase of `epoch`, or `None` if the agent has none of its weights.
     pub fn phase(&self, epoch: Epoch) -> Option<WeightsPhase> {
         self.weights.get(&epoch).map(|held| held.phase)
     }
 
-    /// Fills in what a report says of the gate.
+    /// Fills in the fields of a report that describe the gate.
     pub fn fill_report(&self, report: &mut Report) {
         report.leaving = self.leaving;
         report.closed_below = self.closed_below;
@@ -195,25 +199,28 @@
 
     /// Returns the epochs whose bundles the agent may drop while it works towards `target`.
     ///
-    /// A closed epoch may go. One that is neither closed nor open may be needed yet, since an
-    /// entry may have begun to switch to it; it may go once every entry that talks to the agent
-    /// has a configuration of `target` or later, because such an entry begins no switch to an
-    /// epoch before `target`. Requests still running on a closed epoch are the caller's to count.
+    /// A closed epoch may be dropped. An epoch that is neither closed nor open may still be needed,
+    /// since an entry may have begun to switch to it. Such an epoch may be dropped once every entry
+    /// in contact with the agent has a configuration of `target` or later, because these entries
+    /// begin no switch to an epoch before `target`. The caller checks for requests that still run
+    /// on a closed epoch.
     pub fn droppable(&self, target: Epoch) -> Vec<Epoch> {
-        let settled = self.entries.values().all(|last| last.config >= target);
+        let entries_at_target = self.entries.values().all(|last| last.config >= target);
         self.weights
             .keys()
             .copied()
             .filter(|epoch| Some(*epoch) != self.lease.map(|lease| lease.epoch))
             .filter(|epoch| *epoch < target)
-            .filter(|epoch| *epoch < self.closed_below || (*epoch > self.closed_below && settled))
+            .filter(|epoch| {
+                *epoch < self.closed_below || (*epoch > self.closed_below && entries_at_target)
+            })
             .collect()
     }
 
-    /// Says whether an engine that holds one bundle may give up the open one to load `target`.
+    /// Returns whether an engine with space for one bundle may drop the open one to load `target`.
     ///
-    /// It may when the open one is closed anyway, or when an entry has chosen this agent to be
-    /// among those that load first.
+    /// This is allowed if all epochs below `target` are closed anyway, or if an entry has chosen
+    /// this agent as one of those that load first.
     pub fn may_swap(&self, target: Epoch) -> bool {
         let chosen = self
             .entries
@@ -229,16 +236,16 @@
 
     fn close_below(&mut self, epoch: Epoch) {
         self.closed_below = self.closed_below.max(epoch);
-        // Invariant: no lease for a closed epoch. Whoever reads the new `closed_below` in a
-        // report relies on the lease being gone already.
+        // Invariant: no lease for a closed epoch. An entry that reads the new `closed_below` in a
+        // report relies on the agent having dropped the lease already.
         self.lease = self.lease.filter(|lease| lease.epoch >= self.closed_below);
     }
 
-    fn take_lease(&mut self, epoch: Epoch, sent_at: Instant, length: Duration) {
+    fn apply_lease(&mut self, epoch: Epoch, sent_at: Instant, length: Duration) {
         if epoch < self.closed_below || length.is_zero() {
             return;
         }
-        // A length that no clock can count comes from no entry of ours.
+        // A length that overflows the clock is invalid; no entry sends one.
         let Some(until) = sent_at.checked_add(length) else {
             return;
         };
@@ -246,7 +253,8 @@
             .lease
             .filter(|lease| lease.epoch == epoch)
             .map_or(until, |lease| lease.until.max(until));
-        // Opening an epoch closes all before it, so that two entries can't make the gate go back.
+        // Opening an epoch closes all before it, so that directives of two entries can't make the
+        // gate return to an older epoch.
         self.closed_below = epoch;
         self.lease = Some(Lease {
             epoch,
