--- a/crates/switch/src/opener.rs
+++ b/crates/switch/src/opener.rs
@@ -1,4 +1,5 @@
-//! The entry's side of the switch: who is told to close, who to open, and who gets a lease.
+//! The entry's side of the switch: decides which epochs agents close, which they open, and which
+//! agents get a lease.
 
 mod closing;
 mod granting;
@@ -14,62 +15,62 @@
 
 use crate::Timing;
 use crate::peers::Peers;
-use crate::table::Table;
+use crate::table::AgentTable;
 
-/// How long an agent's last report is kept after it fell silent.
-const FORGET_AGENT: Duration = Duration::from_secs(60);
+/// How long the last report of an agent is kept after the last message from the agent.
+const AGENT_REPORT_RETENTION: Duration = Duration::from_secs(60);
 
-/// Who an entry is.
+/// Identity and settings of an entry.
 #[derive(Clone, Debug)]
 pub struct OpenerConfig {
     /// Name of the entry's VM.
     pub vm: VmId,
-    /// Start of the entry.
+    /// Number of this start of the entry's process.
     pub incarnation: Incarnation,
     /// Data centre of the entry.
     pub data_centre: DataCentre,
-    /// Address of the entry's control listener, which it tells the others.
+    /// Address of the entry's control listener, which the entry announces to its peers.
     pub control: SocketAddr,
     /// Length of a lease; the same at all entries of the data centre.
     pub lease: Duration,
 }
 
-/// What has to go out at once.
+/// What has to be sent at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Services whose agents have to get a new directive.
+    /// Services whose agents need a new directive.
     pub services: BTreeSet<ServiceName>,
-    /// The other entries have to get a new [`PeerState`]: a sync round is due now.
+    /// The other entries need a new [`PeerState`], so a sync round is due now.
     pub peers: bool,
 }
 
-/// One service in this data centre.
+/// The switch of one service in this data centre.
 #[derive(Clone, Debug, Default)]
 struct Switch {
     /// Epochs below this are being closed or are closed. Never falls.
     close_below: Epoch,
-    /// The epoch that leases are granted for. It is `close_below` or none.
+    /// The epoch that leases are granted for: `close_below`, or `None`.
     granting: Option<Epoch>,
-    /// Since when enough agents have loaded the target.
+    /// Time since which enough agents have loaded the target.
     ready_since: Option<Instant>,
-    /// The target, and since when enough agents have its weights at hand to begin to swap.
-    at_hand_since: Option<(Epoch, Instant)>,
-    /// Agents chosen to swap, and the epoch to swap to.
+    /// The target, and the time since which enough agents have staged its weights to begin to swap.
+    staged_since: Option<(Epoch, Instant)>,
+    /// The epoch to swap to, and the agents chosen to swap.
     swaps: Option<(Epoch, BTreeSet<VmId>)>,
-    /// What the other entries were last told of closing.
-    told: ServicePeerState,
+    /// The state of the service that was last announced to the other entries.
+    announced: ServicePeerState,
 }
 
 /// Drives the switch of every service of one data centre, as one of its entries.
 ///
-/// See the crate's documentation for why it is safe.
+/// The crate's documentation explains why two epochs are never admitted at once.
 #[derive(Clone, Debug)]
 pub struct Opener {
     cfg: OpenerConfig,
     timing: Timing,
-    born: Instant,
+    started_at: Instant,
     peers: Peers,
-    table: Table,
+    table: AgentTable,
     switches: BTreeMap<ServiceName, Switch>,
     state: StateView,
     listed: BTreeMap<ServiceName, usize>,
@@ -77,15 +78,15 @@
 }
 
 impl Opener {
-    /// Makes the opener of an entry that starts at `now`.
+    /// Creates the opener of an entry that starts at `now`.
     pub fn new(cfg: OpenerConfig, now: Instant) -> Self {
         let timing = Timing::new(cfg.lease);
         Self {
             peers: Peers::new(cfg.vm.clone(), timing),
             cfg,
             timing,
-            born: now,
-            table: Table::default(),
+            started_at: now,
+            table: AgentTable::default(),
             switches: BTreeMap::new(),
             state: StateView::default(),
             listed: BTreeMap::new(),
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Returns the times by which the shell runs.
+    /// Returns the intervals and time-outs that the caller has to use.
     pub fn timing(&self) -> Timing {
         self.timing
     }
 
-    /// Takes in configuration, from the log or from a peer. Returns whether anything is new.
+    /// Applies configuration from the log or from a peer. Returns whether anything is new.
     pub fn on_state(&mut self, now: Instant, state: &StateView) -> bool {
         let before = self.state.offset;
         let revisions = self.revisions();
@@ -123,7 +124,7 @@
         &self.state
     }
 
-    /// Takes in the entries of the list of VMs; those of other data centres are passed over.
+    /// Applies the entries of the list of VMs. Entries of other data centres are ignored.
     pub fn on_entries(&mut self, now: Instant, entries: &[VmEntry]) {
         let listed: BTreeMap<VmId, SocketAddr> = entries
             .iter()
@@ -135,7 +136,7 @@
         self.advance(now);
     }
 
-    /// Takes in the upstream VMs of the list of VMs, to know how many a service has.
+    /// Counts the live upstream VMs of each service in the list of VMs.
     pub fn on_vms(&mut self, now: Instant, vms: &[VmEntry]) {
         let mut listed = BTreeMap::new();
         let here = vms
@@ -149,58 +150,60 @@
         self.advance(now);
     }
 
-    /// Takes in an agent's report. Returns whether it is the newest: a late one, or one of an
-    /// earlier start or another data centre, gets no directive.
+    /// Applies an agent's report. Returns whether the report is the newest of the agent.
+    ///
+    /// A late report, or one from an earlier start or another data centre, gets no directive.
     pub fn on_report(&mut self, now: Instant, report: &Report) -> bool {
         if report.data_centre != self.cfg.data_centre {
             return false;
         }
-        let matters = self
+        let relevant = self
             .table
             .newest(&report.vm)
-            .is_none_or(|row| differs(&row.report, report));
+            .is_none_or(|row| affects_switch(&row.report, report));
         if !self.table.on_report(now, report) {
             return false;
         }
-        self.adopt(&report.service, report.closed_below);
-        if matters {
+        self.adopt_close(&report.service, report.closed_below);
+        if relevant {
             self.advance(now);
         }
         true
     }
 
-    /// Takes in an agent's wish to wait for news. Returns whether the agent is known.
+    /// Records that an agent waits for changes, as a sign of life. Returns whether the agent is
+    /// known by this incarnation.
     pub fn on_watch(&mut self, now: Instant, vm: &str, incarnation: Incarnation) -> bool {
         self.table.on_contact(now, vm, incarnation)
     }
 
-    /// Notes the start of a sync round, in which every peer of [`Opener::peers`] is called.
+    /// Records the start of a sync round, in which the caller calls every peer of [`Opener::peers`].
     pub fn on_round(&mut self, now: Instant) {
         if self.peers.on_round(now) {
-            self.withdraw();
+            self.stop_granting();
         }
-        self.table.forget_silent(now, FORGET_AGENT);
+        self.table.evict_silent(now, AGENT_REPORT_RETENTION);
         self.advance(now);
     }
 
-    /// Takes in a peer's answer to the call that was started at `started`.
+    /// Applies a peer's answer to the call that was started at `started`.
     pub fn on_peer_answer(&mut self, now: Instant, started: Instant, state: &PeerState) {
         if self.peers.on_answer(now, started, state) {
-            self.adopt_all(state);
+            self.adopt_closes(state);
         }
         self.advance(now);
     }
 
-    /// Notes that the call started at `started` to a peer failed or was not answered in time.
+    /// Records that the call started at `started` to a peer failed or timed out.
     pub fn on_peer_failure(&mut self, now: Instant, started: Instant, vm: &str) {
         self.peers.on_failure(vm, started);
         self.advance(now);
     }
 
-    /// Takes in a peer's call.
+    /// Applies the state that a peer sent in a call of its own.
     pub fn on_peer_call(&mut self, now: Instant, state: &PeerState) {
         if self.peers.on_call(now, state) {
-            self.adopt_all(state);
+            self.adopt_closes(state);
         }
         self.advance(now);
     }
@@ -213,17 +216,18 @@
             .collect()
     }
 
-    /// Says whether a peer has been out of reach for so long that it may be called less often.
+    /// Returns whether a peer has been unreachable for the grace time. Such a peer may be called
+    /// less often.
     pub fn is_gone(&self, now: Instant, vm: &str) -> bool {
         self.peers.is_gone(now, vm)
     }
 
-    /// Returns what the peers last said.
+    /// Returns the last known states of the peers.
     pub fn peer_states(&self) -> impl Iterator<Item = &PeerState> {
         self.peers.states()
     }
 
-    /// Returns what this entry tells the others of its data centre. The shell adds the demand.
+    /// Returns the state to send to the other entries of the data centre. The caller adds `demand`.
     pub fn peer_state(&self, now: Instant) -> PeerState {
         let mut entries = self.peers.present(now);
         entries.insert(self.cfg.vm.clone(), self.cfg.control);
@@ -243,29 +247,29 @@
         }
     }
 
-    /// Returns what has to go out since the last call.
+    /// Returns and clears what has to be sent since the last call.
     pub fn take_changes(&mut self) -> Changes {
         std::mem::take(&mut self.changes)
     }
 
-    /// Says whether this entry grants leases at all.
+    /// Returns whether this entry may grant leases at `now`.
     pub fn may_grant(&self, now: Instant) -> bool {
         self.peers.may_grant(now)
     }
 
-    /// Returns the epoch that leases of `service` are granted for, and the one closed below.
+    /// Returns the epoch that leases of `service` are granted for, and the service's `close_below`.
     pub fn epochs(&self, now: Instant, service: &str) -> (Option<Epoch>, Epoch) {
         self.switches.get(service).map_or((None, 0), |switch| {
             (self.granted(now, switch), switch.close_below)
         })
     }
 
-    /// Takes every step that is due.
+    /// Takes every step of any switch that is due.
     fn advance(&mut self, now: Instant) {
         self.peers.settle(now);
         let names: Vec<ServiceName> = self.switches.keys().cloned().collect();
         for name in names {
-            // Taken out so that the rest of `self` can be read meanwhile.
+            // Removed for the call, because the method borrows the rest of `self`.
             let Some(mut switch) = self.switches.remove(&name) else {
                 continue;
             };
@@ -280,16 +284,16 @@
             self.changes.services.insert(name.clone());
         }
         if switch.granting != Some(switch.close_below) {
-            // Invariant: an entry grants only what it has closed everything below.
+            // Invariant: an entry grants leases only for its own `close_below`.
             switch.granting = None;
         }
         if switch.granting.is_none() && self.may_open(now, name, switch) {
             switch.granting = Some(switch.close_below);
             self.changes.services.insert(name.clone());
         }
-        let telling = self.service_peer_state(now, name, switch);
-        if telling != switch.told {
-            switch.told = telling;
+        let state = self.service_peer_state(now, name, switch);
+        if state != switch.announced {
+            switch.announced = state;
             self.changes.peers = true;
         }
     }
@@ -306,14 +310,15 @@
             .collect()
     }
 
-    fn adopt_all(&mut self, state: &PeerState) {
+    fn adopt_closes(&mut self, state: &PeerState) {
         for (service, peer) in &state.services {
-            self.adopt(service, peer.close_below);
+            self.adopt_close(service, peer.close_below);
         }
     }
 
-    /// Takes over a close that was begun elsewhere. Closing is always safe.
-    fn adopt(&mut self, service: &ServiceName, close_below: Epoch) {
+    /// Adopts a close that another process has begun. Closing never admits a request, so it needs
+    /// no check.
+    fn adopt_close(&mut self, service: &ServiceName, close_below: Epoch) {
         if !self.switches.contains_key(service) {
             self.switches.insert(service.clone(), Switch::default());
         }
@@ -327,8 +332,8 @@
         }
     }
 
-    /// Grants nothing until the conditions have been checked anew.
-    fn withdraw(&mut self) {
+    /// Stops granting leases until the conditions for each epoch have been checked again.
+    fn stop_granting(&mut self) {
         for (name, switch) in &mut self.switches {
             switch.granting = None;
             self.changes.services.insert(name.clone());
@@ -336,8 +341,8 @@
     }
 }
 
-/// Says whether a report changes anything that a step of the switch depends on.
-fn differs(before: &Report, after: &Report) -> bool {
+/// Returns whether a report changes anything that a step of the switch depends on.
+fn affects_switch(before: &Report, after: &Report) -> bool {
     before.incarnation != after.incarnation
         || before.closed_below != after.closed_below
         || before.weights != after.weights
--- a/crates/switch/src/opener/granting.rs
+++ b/crates/switch/src/opener/granting.rs
@@ -1,4 +1,5 @@
-//! What agents and the other entries are told: leases once nobody can admit anything older.
+//! Directives for agents and state for the other entries. Leases are granted once no agent can
+//! admit an older epoch.
 
 use std::time::{Duration, Instant};
 
@@ -7,9 +8,9 @@
 use super::{Opener, Switch};
 
 impl Opener {
-    /// Returns the directive for an agent whose message has just been taken in.
+    /// Returns the directive for an agent whose message has just been accepted.
     ///
-    /// Its `peers` are left empty: the shell adds them if the agent hasn't seen them.
+    /// The field `peers` is empty: the caller fills it in if the agent does not have the list yet.
     pub fn directive(&self, now: Instant, vm: &str) -> Directive {
         let mut directive = self.refusal();
         let Some(row) = self.table.newest(vm) else {
@@ -38,7 +39,7 @@
         directive
     }
 
-    /// Returns the directive for an agent whose message was not taken in: it grants nothing.
+    /// Returns the directive for an agent whose message was not accepted. It grants nothing.
     pub fn refusal(&self) -> Directive {
         Directive {
             config: self.state.offset,
@@ -51,21 +52,22 @@
         }
     }
 
-    /// Says whether leases for `close_below` may be granted: nobody can admit anything below.
+    /// Returns whether leases for `close_below` may be granted, because no agent of the data centre
+    /// can admit an older epoch.
     pub(super) fn may_open(&self, now: Instant, name: &str, switch: &Switch) -> bool {
         let epoch = switch.close_below;
         epoch > 0
             && self.peers.may_grant(now)
-            && self.own_closed_below(now, name, epoch) >= epoch
+            && self.own_agents_closed_below(now, name, epoch) >= epoch
             && self.peers.all_closed(now, name, epoch)
     }
 
     /// Returns the epoch below which no agent can hold a lease from this entry, at most
     /// `close_below`.
-    fn own_closed_below(&self, now: Instant, name: &str, close_below: Epoch) -> Epoch {
-        // The process that ran on this VM before may have granted until just before this one
-        // started, and to agents that haven't reported yet.
-        if now < self.born + self.timing.max_lease() {
+    fn own_agents_closed_below(&self, now: Instant, name: &str, close_below: Epoch) -> Epoch {
+        // The previous process on this VM may have granted leases until just before this one
+        // started, and to agents that have not reported to this one yet.
+        if now < self.started_at + self.timing.max_lease() {
             return 0;
         }
         self.table
@@ -82,7 +84,7 @@
         ServicePeerState {
             close_below: switch.close_below,
             open: self.granted(now, switch).unwrap_or(0),
-            all_closed_below: self.own_closed_below(now, name, switch.close_below),
+            all_closed_below: self.own_agents_closed_below(now, name, switch.close_below),
         }
     }
 
@@ -90,7 +92,10 @@
         switch.granting.filter(|_| self.peers.may_grant(now))
     }
 
-    /// Says whether the VM is to serve `epoch`, as far as this entry has its document.
+    /// Returns whether the VM is to serve `epoch`.
+    ///
+    /// Returns `true` if this entry's configuration is of another epoch, since only its document
+    /// names the VMs.
     pub(super) fn serves(&self, known: Option<&ServiceState>, epoch: Epoch, vm: &str) -> bool {
         known.is_none_or(|state| {
             let document = state.document.as_ref();
--- a/crates/switch/src/peers.rs
+++ b/crates/switch/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries of the data centre, and whether this entry may act on what it knows.
+//! The other entries of the data centre, and whether this entry knows enough to grant leases.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 
 use crate::Timing;
 
-/// Grace times after which an entry that is out of reach and no longer listed is forgotten. Were
-/// it forgotten at once, entries that noticed a little later would name it anew.
-const FORGET_AFTER: u32 = 8;
+/// Number of grace times after which an entry that is unreachable and no longer listed is evicted.
+/// If the entry were evicted as soon as it is gone, peers that notice later would announce it again.
+const EVICT_AFTER_GRACE_TIMES: u32 = 8;
 
-/// A run of sync rounds without a gap of more than [`Timing::grant_window`]. A process that was frozen
-/// for longer starts a new one.
+/// A run of sync rounds without a gap of more than [`Timing::grant_window`]. A process that was
+/// suspended for longer starts a new streak.
 #[derive(Clone, Copy, Debug)]
 struct Streak {
-    began: Instant,
+    start: Instant,
     last_round: Instant,
 }
 
@@ -24,15 +24,15 @@
 #[derive(Clone, Debug)]
 struct Peer {
     control: SocketAddr,
-    /// The list of VMs shows the entry.
+    /// Whether the list of VMs contains the entry.
     listed: bool,
-    /// The newest state heard, whichever way.
+    /// The newest state, received in an answer or in a call of the entry.
     state: Option<PeerState>,
-    /// The entry answered a round of this streak.
+    /// Whether the entry has answered a round of this streak.
     answered: bool,
-    /// When the entry was last heard, whichever way.
-    heard: Option<Instant>,
-    /// Start of the first of the attempts that have failed since the last message from the entry.
+    /// Time of receipt of the last answer or call of the entry.
+    received_at: Option<Instant>,
+    /// Start of the first call that has failed since the last message from the entry.
     failing_since: Option<Instant>,
 }
 
@@ -43,21 +43,22 @@
             listed: false,
             state: None,
             answered: false,
-            heard: None,
+            received_at: None,
             failing_since: None,
         }
     }
 
-    /// Says whether the entry has been out of reach for so long that its leases have lapsed.
+    /// Returns whether the entry has been unreachable for so long that its leases have lapsed.
     fn is_gone(&self, now: Instant, timing: Timing) -> bool {
         self.failing_since
             .is_some_and(|since| now >= since + timing.grace_time())
     }
 
-    /// Says whether the entry has been gone for so long that every other entry has noticed too.
-    fn is_forgotten(&self, now: Instant, timing: Timing) -> bool {
+    /// Returns whether the entry has been unreachable for so long that every other entry counts it
+    /// as gone too.
+    fn is_evictable(&self, now: Instant, timing: Timing) -> bool {
         self.failing_since
-            .is_some_and(|since| now >= since + timing.grace_time() * FORGET_AFTER)
+            .is_some_and(|since| now >= since + timing.grace_time() * EVICT_AFTER_GRACE_TIMES)
     }
 
     fn service(&self, service: &str) -> ServicePeerState {
@@ -70,45 +71,50 @@
 
 /// The other entries of the data centre.
 ///
-/// An entry is *settled* in a streak once it knows all that may have been opened before: each
-/// entry that it knows has answered in this streak or is gone, and either one of those that
-/// answered was settled itself, or the streak is older than the grace time, so that all leases
-/// from before have lapsed and every live agent has reported. From then on nothing is opened
-/// without it, as long as its rounds go on: whoever opens must hear from it, or fail to for the
-/// whole grace time, which can't be while it is live. So a settled and fresh entry may go on
-/// granting even if a peer dies, and an entry that was frozen or has just started may not.
+/// An entry is *settled* in a streak once it knows all epochs that may have been opened before. This
+/// is the case when each entry that it knows has answered in this streak or is gone, and one of these
+/// holds:
+///
+/// - An entry that answered was settled itself.
+/// - The streak is older than the grace time, so that all leases from before the streak have lapsed
+///   and every live agent has reported.
+///
+/// While the rounds of a settled entry go on, no other entry opens an epoch without it: the other
+/// entry must either receive its state, or fail to reach it for the whole grace time, which can't
+/// happen while the settled entry is live. So a settled entry with a recent round may go on granting
+/// even if a peer dies. An entry that was suspended or has just started may not grant.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
-    me: VmId,
+    own_vm: VmId,
     timing: Timing,
     peers: BTreeMap<VmId, Peer>,
     streak: Option<Streak>,
-    heard_settled: bool,
+    settled_peer_answered: bool,
     settled: bool,
 }
 
 impl Peers {
-    pub(crate) fn new(me: VmId, timing: Timing) -> Self {
+    pub(crate) fn new(own_vm: VmId, timing: Timing) -> Self {
         Self {
-            me,
+            own_vm,
             timing,
             peers: BTreeMap::new(),
             streak: None,
-            heard_settled: false,
+            settled_peer_answered: false,
             settled: false,
         }
     }
 
-    /// Sets the entries that the list of VMs shows.
+    /// Sets the entries that the list of VMs contains.
     ///
-    /// One that is no longer listed may still be live and granting, since the list can be wrong:
-    /// it stays known until it is gone by its own silence.
+    /// An entry that is no longer listed may still be live and granting, since the list can be wrong.
+    /// So the entry stays known until it has been silent for long enough.
     pub(crate) fn set_listed(&mut self, listed: &BTreeMap<VmId, SocketAddr>) {
         for (vm, peer) in &mut self.peers {
             peer.listed = listed.contains_key(vm);
         }
         for (vm, control) in listed {
-            if *vm == self.me {
+            if *vm == self.own_vm {
                 continue;
             }
             let peer = self.get_or_add(vm, *control);
@@ -117,22 +123,22 @@
         }
     }
 
-    /// Notes the start of a sync round. Returns whether a new streak begins, in which case nothing
-    /// that was granted before may be granted on.
+    /// Records the start of a sync round. Returns whether a new streak begins. In that case the
+    /// conditions for granting have to be met again, also for epochs that were granted before.
     pub(crate) fn on_round(&mut self, now: Instant) -> bool {
-        let goes_on = self.streak.filter(|streak| {
+        let continued = self.streak.filter(|streak| {
             now.saturating_duration_since(streak.last_round) <= self.timing.grant_window()
         });
-        let began = goes_on.map_or(now, |streak| streak.began);
+        let start = continued.map_or(now, |streak| streak.start);
         self.streak = Some(Streak {
-            began,
+            start,
             last_round: now,
         });
-        if goes_on.is_some() {
+        if continued.is_some() {
             return false;
         }
         self.settled = false;
-        self.heard_settled = false;
+        self.settled_peer_answered = false;
         for peer in self.peers.values_mut() {
             peer.answered = false;
             peer.failing_since = None;
@@ -140,16 +146,18 @@
         true
     }
 
-    /// Takes in the answer to an attempt that was started at `started`. Returns whether it is news.
+    /// Applies the answer to a call that was started at `started`. Returns whether the state was
+    /// accepted.
     pub(crate) fn on_answer(&mut self, now: Instant, started: Instant, state: &PeerState) -> bool {
         if !self.merge(now, state) {
             return false;
         }
-        let in_streak = self.streak.is_some_and(|streak| started >= streak.began);
-        // An answer that lay unread while this process was frozen says nothing of now.
+        let in_streak = self.streak.is_some_and(|streak| started >= streak.start);
+        // An answer that was read late, because this process was suspended, does not show the
+        // present state of the peer.
         let recent = now.saturating_duration_since(started) <= self.timing.grant_window();
         if in_streak && recent {
-            self.heard_settled |= state.settled;
+            self.settled_peer_answered |= state.settled;
             if let Some(peer) = self.peers.get_mut(&state.vm) {
                 peer.answered = true;
             }
@@ -157,45 +165,51 @@
         true
     }
 
-    /// Takes in what a peer said of its own accord. Returns whether it is news.
+    /// Applies the state that a peer sent in a call of its own. Returns whether the state was
+    /// accepted.
     ///
-    /// It may have been under way for long, so it is no answer to a round; but what a peer says of
-    /// closing never falls within one start of it.
+    /// The call may have been delayed for long, so it doesn't count as an answer to a round. Its
+    /// state is still valid, since the epochs below which a peer has closed never fall within one
+    /// start of the peer.
     pub(crate) fn on_call(&mut self, now: Instant, state: &PeerState) -> bool {
         self.merge(now, state)
     }
 
-    /// Notes that the attempt started at `started` to reach a peer failed.
+    /// Records that the call to a peer that was started at `started` failed.
     ///
-    /// An attempt from before the last message from the peer, or from before this streak, proves
-    /// nothing: the grace time must not begin earlier than the silence.
+    /// A call from before the last message from the peer, or from before this streak, is ignored,
+    /// because the grace time must not begin before the peer's silence.
     pub(crate) fn on_failure(&mut self, vm: &str, started: Instant) {
-        let in_streak = self.streak.is_some_and(|streak| started >= streak.began);
+        let in_streak = self.streak.is_some_and(|streak| started >= streak.start);
         let Some(peer) = self.peers.get_mut(vm).filter(|_| in_streak) else {
             return;
         };
-        if peer.heard.is_none_or(|heard| heard < started) {
+        if peer
+            .received_at
+            .is_none_or(|received_at| received_at < started)
+        {
             peer.failing_since.get_or_insert(started);
         }
     }
 
-    /// Settles this entry if it now knows enough, and forgets peers that are gone for good.
+    /// Marks this entry as settled if it now knows enough, and evicts unlisted peers that have been
+    /// unreachable for long.
     pub(crate) fn settle(&mut self, now: Instant) {
         let timing = self.timing;
         self.peers
-            .retain(|_, peer| peer.listed || !peer.is_forgotten(now, timing));
+            .retain(|_, peer| peer.listed || !peer.is_evictable(now, timing));
         let Some(streak) = self.streak else {
             return;
         };
-        let heard_all = self
+        let all_known = self
             .peers
             .values()
             .all(|peer| peer.answered || peer.is_gone(now, timing));
-        let waited = now >= streak.began + timing.grace_time();
-        self.settled |= heard_all && (self.heard_settled || waited);
+        let waited = now >= streak.start + timing.grace_time();
+        self.settled |= all_known && (self.settled_peer_answered || waited);
     }
 
-    /// Says whether this entry is settled and has started a round lately, so that it may grant.
+    /// Returns whether this entry is settled and has started a round recently, so that it may grant.
     pub(crate) fn may_grant(&self, now: Instant) -> bool {
         let recent = self.streak.is_some_and(|streak| {
             now.saturating_duration_since(streak.last_round) < self.timing.grant_window()
@@ -203,20 +217,20 @@
         self.settled && recent
     }
 
-    /// Says whether every peer has closed below `epoch` for good, or is gone.
+    /// Returns whether every peer reports that all its agents have closed below `epoch`, or is gone.
     pub(crate) fn all_closed(&self, now: Instant, service: &str, epoch: Epoch) -> bool {
         self.peers.values().all(|peer| {
             peer.is_gone(now, self.timing) || peer.service(service).all_closed_below >= epoch
         })
     }
 
-    /// Says whether every peer is in touch or gone, so that a switch begun now needn't wait for
-    /// one that has just died.
+    /// Returns whether every peer is gone, or is reachable and has closed below `epoch`, so that a
+    /// switch begun now does not wait for a peer that has just died.
     pub(crate) fn is_responsive(&self, now: Instant, service: &str, epoch: Epoch) -> bool {
-        let in_touch = |peer: &Peer| peer.failing_since.is_none();
+        let responding = |peer: &Peer| peer.failing_since.is_none();
         self.peers.values().all(|peer| {
             peer.is_gone(now, self.timing)
-                || (in_touch(peer) && peer.service(service).all_closed_below >= epoch)
+                || (responding(peer) && peer.service(service).all_closed_below >= epoch)
         })
     }
 
@@ -234,12 +248,12 @@
         self.peers.iter().map(|(vm, peer)| (vm, peer.control))
     }
 
-    /// Returns what the peers last said.
+    /// Returns the last known states of the peers.
     pub(crate) fn states(&self) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter_map(|peer| peer.state.as_ref())
     }
 
-    /// Says whether `vm` is gone: known and long out of reach.
+    /// Returns whether `vm` is a known entry that is gone.
     pub(crate) fn is_gone(&self, now: Instant, vm: &str) -> bool {
         self.peers
             .get(vm)
@@ -247,31 +261,31 @@
     }
 
     fn merge(&mut self, now: Instant, state: &PeerState) -> bool {
-        if state.vm == self.me {
+        if state.vm == self.own_vm {
             return false;
         }
-        // Two entries that don't know each other learn of each other from a third.
+        // Two entries that don't know each other learn of each other from a third entry.
         for (vm, control) in &state.entries {
-            if *vm != self.me {
+            if *vm != self.own_vm {
                 self.get_or_add(vm, *control);
             }
         }
         let Some(peer) = self.peers.get_mut(&state.vm) else {
             return false;
         };
-        let late = peer
+        let outdated = peer
             .state
             .as_ref()
             .is_some_and(|known| known.incarnation > state.incarnation);
-        if late {
+        if outdated {
             return false;
         }
-        peer.heard = Some(now);
+        peer.received_at = Some(now);
         peer.failing_since = None;
         if let Some(control) = state.entries.get(&state.vm) {
             peer.control = *control;
         }
-        peer.state = Some(newest(peer.state.take(), state));
+        peer.state = Some(merge_states(peer.state.take(), state));
         true
     }
 
@@ -282,9 +296,9 @@
     }
 }
 
-/// Merges `state` over `known` so that, within one start, nothing that only grows falls because
-/// two messages overtook each other.
-fn newest(known: Option<PeerState>, state: &PeerState) -> PeerState {
+/// Merges `state` over `known`. Within one start of a peer, `close_below` and `all_closed_below`
+/// never fall, even if messages arrive out of order.
+fn merge_states(known: Option<PeerState>, state: &PeerState) -> PeerState {
     let mut merged = state.clone();
     let known = known.filter(|known| known.incarnation == state.incarnation);
     for (service, before) in known.iter().flat_map(|known| &known.services) {
--- a/crates/switch/src/ready.rs
+++ b/crates/switch/src/ready.rs
@@ -1,4 +1,4 @@
-//! How many VMs must have loaded an epoch, and which of them load it first.
+//! How many VMs must have loaded an epoch before a switch, and which of them load it first.
 
 use std::collections::BTreeSet;
 
@@ -8,45 +8,51 @@
 
 /// Returns how many agents must have loaded new weights before the data centre switches.
 ///
-/// It is the document's number, but no more than the VMs it means: those that it names, or the
-/// `listed` ones of the service if it names none. Engines that hold one bundle can't all load the
-/// new weights while one of them serves the old, so that with them it is one less than all.
-pub(crate) fn needed(place: &Place, listed: Option<usize>, one_bundle: bool) -> usize {
-    let meant = match &place.vms {
+/// The number is the document's `ready`, limited to the count of eligible VMs: the VMs that the
+/// document names, or the `listed` VMs of the service if it names none. If engines have space for
+/// one bundle only, the limit is one less, because one of them has to go on serving the old weights
+/// while the others load the new ones.
+pub(crate) fn required(place: &Place, listed: Option<usize>, one_bundle: bool) -> usize {
+    let eligible = match &place.vms {
         VmSelection::Named(vms) => Some(vms.len()),
         VmSelection::All => listed,
     };
     let wanted = usize::try_from(place.ready).unwrap_or(usize::MAX);
-    let most = match meant {
-        Some(meant) if one_bundle && meant > 1 => meant - 1,
-        Some(meant) => meant,
+    let max = match eligible {
+        Some(eligible) if one_bundle && eligible > 1 => eligible - 1,
+        Some(eligible) => eligible,
         None => usize::MAX,
     };
-    wanted.min(most).max(1)
+    wanted.min(max).max(1)
 }
 
-/// Returns the agents whose engines, holding one bundle, give up the open one now to load `target`.
+/// Returns the agents whose engines, with space for one bundle, now drop the open one to load
+/// `target`.
 ///
-/// None before `needed` agents have the weights verified at hand, so that the time with fewer
-/// replicas is as short as a load. Those that have begun count first, then the rest in order of
-/// their rendezvous rank, so that every entry chooses the same.
-pub(crate) fn choose_swaps(target: Epoch, needed: usize, agents: &[&AgentRow]) -> BTreeSet<VmId> {
-    let at = |row: &AgentRow| row.report.weights.get(&target).copied();
-    let begun =
-        |row: &AgentRow| matches!(at(row), Some(WeightsPhase::Loading | WeightsPhase::Loaded));
-    let staged = |row: &AgentRow| at(row) == Some(WeightsPhase::Staged);
-    let under_way = agents.iter().filter(|row| begun(row)).count();
+/// The set is empty until `required` agents have the weights verified, so that the time with fewer
+/// replicas is only as long as a load. Agents that already load or have loaded count towards
+/// `required`; the rest is chosen by rendezvous rank, so that every entry chooses the same agents.
+pub(crate) fn choose_swaps(target: Epoch, required: usize, agents: &[&AgentRow]) -> BTreeSet<VmId> {
+    let phase = |row: &AgentRow| row.report.weights.get(&target).copied();
+    let started = |row: &AgentRow| {
+        matches!(
+            phase(row),
+            Some(WeightsPhase::Loading | WeightsPhase::Loaded)
+        )
+    };
+    let staged = |row: &AgentRow| phase(row) == Some(WeightsPhase::Staged);
+    let started_count = agents.iter().filter(|row| started(row)).count();
     let waiting: Vec<&str> = agents
         .iter()
         .filter(|row| staged(row))
         .map(|row| row.report.vm.as_str())
         .collect();
-    if under_way + waiting.len() < needed {
+    if started_count + waiting.len() < required {
         return BTreeSet::new();
     }
     rank(&target.to_be_bytes(), waiting)
         .into_iter()
-        .take(needed.saturating_sub(under_way))
+        .take(required.saturating_sub(started_count))
         .map(str::to_owned)
         .collect()
 }
--- a/crates/switch/src/table.rs
+++ b/crates/switch/src/table.rs
@@ -1,4 +1,4 @@
-//! The agents that report to an entry, and the leases they may hold.
+//! The agents that report to an entry, and the epochs for which they may hold leases.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,28 +7,29 @@
 
 use crate::Timing;
 
-/// One start of an agent.
+/// The last report and contact of one start of an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentRow {
-    /// Latest report.
+    /// The newest report.
     pub(crate) report: Report,
-    /// When the last message from the agent came in, be it a report or a watch.
-    pub(crate) contact: Instant,
+    /// Time of receipt of the last message from the agent, a report or a watch.
+    pub(crate) last_contact: Instant,
 }
 
-/// The agents that report to an entry, each start of an agent on its own.
+/// The agents that report to an entry, with one row for each start of an agent.
 ///
-/// A lease runs from when the agent sent its message, which is before that came in. So an agent
-/// can hold no lease of this entry for longer than a lease after `contact`, and grants need no
-/// record of their own. The rows of an agent's earlier starts are kept until then: nothing is
-/// assumed about whether the old process has ended.
+/// A lease runs from the time at which the agent sent its message, which is before the message was
+/// received. So an agent holds no lease of this entry for longer than the length of a lease after
+/// `last_contact`, and the entry needs no record of its grants. The rows of earlier starts of an
+/// agent are kept until then, because the old process may still be running.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct AgentTable {
     rows: BTreeMap<VmId, BTreeMap<Incarnation, AgentRow>>,
 }
 
-impl Table {
-    /// Takes in a report. Returns whether it is news; a late one is passed over.
+impl AgentTable {
+    /// Records a report. Returns whether the report is newer than the last one; a late report is
+    /// ignored.
     pub(crate) fn on_report(&mut self, now: Instant, report: &Report) -> bool {
         let starts = self.rows.entry(report.vm.clone()).or_default();
         let late = starts.last_key_value().is_some_and(|(incarnation, row)| {
@@ -40,13 +41,14 @@
         }
         let row = AgentRow {
             report: report.clone(),
-            contact: now,
+            last_contact: now,
         };
         starts.insert(report.incarnation, row);
         true
     }
 
-    /// Notes a message from an agent that carries no report. Returns whether the agent is known.
+    /// Records a message without a report. Returns whether it is from the newest start of a known
+    /// agent.
     pub(crate) fn on_contact(&mut self, now: Instant, vm: &str, incarnation: Incarnation) -> bool {
         let Some((newest, row)) = self.newest_mut(vm) else {
             return false;
@@ -54,7 +56,7 @@
         if newest != incarnation {
             return false;
         }
-        row.contact = now;
+        row.last_contact = now;
         true
     }
 
@@ -63,7 +65,7 @@
         self.rows.get(vm)?.last_key_value().map(|(_, row)| row)
     }
 
-    /// Returns the rows of a service's agents, newest starts only.
+    /// Returns the rows of the newest starts of a service's agents.
     pub(crate) fn agents_of(&self, service: &str) -> impl Iterator<Item = &AgentRow> {
         self.rows
             .values()
@@ -71,8 +73,8 @@
             .filter(move |row| row.report.service == service)
     }
 
-    /// Returns the epoch below which no agent of the service can hold a lease from this entry;
-    /// none if no agent can hold any lease.
+    /// Returns the epoch below which no agent of the service can hold a lease from this entry, or
+    /// `None` if no agent can hold any lease.
     pub(crate) fn closed_below(
         &self,
         now: Instant,
@@ -83,15 +85,15 @@
             .values()
             .flat_map(BTreeMap::values)
             .filter(|row| row.report.service == service)
-            .filter(|row| now < row.contact + timing.max_lease())
+            .filter(|row| now < row.last_contact + timing.max_lease())
             .map(|row| row.report.closed_below)
             .min()
     }
 
-    /// Forgets starts that have been silent for `age`.
-    pub(crate) fn forget_silent(&mut self, now: Instant, age: Duration) {
+    /// Evicts the rows of starts that have been silent for `age`.
+    pub(crate) fn evict_silent(&mut self, now: Instant, age: Duration) {
         for starts in self.rows.values_mut() {
-            starts.retain(|_, row| now < row.contact + age);
+            starts.retain(|_, row| now < row.last_contact + age);
         }
         self.rows.retain(|_, starts| !starts.is_empty());
     }
