--- a/crates/switch/src/lib.rs
+++ b/crates/switch/src/lib.rs
@@ -26,10 +26,10 @@
 //!
 //! # Why no two epochs are admitted
 //!
-//! *A lease is for one epoch.* It runs, by the agent's clock, for its length from the time when the agent sent
-//! its message. The [`Gate`] checks it as the last step before a request goes to the engine. So every
-//! lease from an entry lapses at most the length of a lease after the entry received the agent's last
-//! message, and the [`Opener`] needs no record of its grants.
+//! *A lease is for one epoch.* It starts, by the agent's clock, when the agent sends its message, and
+//! ends after the length of the lease. The [`Gate`] checks it as the last step before a request goes
+//! to the engine. So every lease from an entry lapses at most the length of a lease after the entry
+//! received the agent's last message, and the [`Opener`] needs no record of its grants.
 //!
 //! *An entry grants only its own `close_below`*, never a lower epoch. It reports on its own agents
 //! with `all_closed_below`, which does not fall while the entry runs. An entry that has just started
