--- a/crates/switch/tests/agreement.rs
+++ b/crates/switch/tests/agreement.rs
@@ -6,43 +6,43 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use world::{Fault, Plan, Victim, When, World};
+use world::{Fault, FaultTarget, Plan, When, World};
 
 /// Seed of the search unless the environment sets another.
 const SEED: u64 = 20;
 /// Faults may strike until this time in ms.
-const STORM: u64 = 15_000;
+const FAULT_PERIOD_MS: u64 = 15_000;
 /// Time in ms that the data centre has to recover in once nothing fails any more.
-const CALM: u64 = 15_000;
+const RECOVERY_MS: u64 = 15_000;
 
-type Faults = Vec<(When, Victim, Fault)>;
+type Faults = Vec<(When, FaultTarget, Fault)>;
 
 /// Faults that strike at about the same time and end at about the same time: the worst cases need
 /// several processes to wake together.
 fn bursts() -> impl Strategy<Value = Faults> {
     let when = prop_oneof![
-        (0..STORM).prop_map(When::At),
+        (0..FAULT_PERIOD_MS).prop_map(When::At),
         (0_usize..200).prop_map(When::Step),
     ];
-    let victim = prop_oneof![
-        1 => Just(Victim::Actor),
-        2 => (0_usize..4).prop_map(Victim::Entry),
-        2 => (0_usize..6).prop_map(Victim::Agent),
+    let target = prop_oneof![
+        1 => Just(FaultTarget::Actor),
+        2 => (0_usize..4).prop_map(FaultTarget::Entry),
+        2 => (0_usize..6).prop_map(FaultTarget::Agent),
     ];
     let length = prop_oneof![10_u64..500, 400_u64..2500, 2000_u64..5000];
-    let strikes = vec((victim, 0_u64..150, 0_usize..7), 1..5);
-    (when, length, strikes).prop_map(|(when, length, strikes)| {
-        let strike = |(victim, jitter, kind)| {
+    let faults = vec((target, 0_u64..150, 0_usize..7), 1..5);
+    (when, length, faults).prop_map(|(when, length, faults)| {
+        let make_fault = |(target, jitter, kind)| {
             let length = length + jitter;
             let fault = match kind {
                 0 => Fault::Restart(jitter),
                 1 => Fault::Replace(jitter),
                 2 => Fault::Restart(length),
-                _ => Fault::Freeze(length),
+                _ => Fault::Suspend(length),
             };
-            (when, victim, fault)
+            (when, target, fault)
         };
-        strikes.into_iter().map(strike).collect()
+        faults.into_iter().map(make_fault).collect()
     })
 }
 
@@ -53,17 +53,17 @@
 fn plans() -> impl Strategy<Value = Plan> {
     let sizes = (1_usize..=4, 2_usize..=6, 1_usize..=4, 1_u32..=3, 1_u32..=2);
     let network = (1_u64..=100, 0_u64..=20, 0_u64..2000);
-    let edits = vec(0..STORM, 1..=8);
+    let edits = vec(0..FAULT_PERIOD_MS, 1..=8);
     (any::<u64>(), sizes, network, edits, faults()).prop_map(
         |(seed, sizes, network, mut edits, faults)| {
-            let (entries, agents, homes, ready, bundles) = sizes;
+            let (entries, agents, entries_per_agent, ready, bundles) = sizes;
             let (delay, loss, lag) = network;
             edits.sort_unstable();
             Plan {
                 seed,
                 entries,
                 agents,
-                homes,
+                entries_per_agent,
                 ready,
                 bundles,
                 delay,
@@ -99,11 +99,11 @@
     fn one_epoch(plan in plans()) {
         let last = 10 * plan.edits.len() as u64;
         // With homes the entries see parts of the agents, which may be fewer than are ready.
-        let sees_all = plan.homes >= plan.entries && plan.ready as usize <= plan.agents;
+        let sees_all = plan.entries_per_agent >= plan.entries && plan.ready as usize <= plan.agents;
         let mut world = World::new(plan);
-        world.run(STORM).map_err(TestCaseError::fail)?;
-        world.calm = true;
-        world.run(STORM + CALM).map_err(TestCaseError::fail)?;
+        world.run(FAULT_PERIOD_MS).map_err(TestCaseError::fail)?;
+        world.faults_off = true;
+        world.run(FAULT_PERIOD_MS + RECOVERY_MS).map_err(TestCaseError::fail)?;
         if sees_all {
             let stuck = world.admits().into_values().any(|epoch| epoch != Some(last));
             prop_assert!(!stuck, "not all admit {last}: {:?}\n{}", world.admits(), world.log);
--- a/crates/switch/tests/gate.rs
+++ b/crates/switch/tests/gate.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn hear(gate: &mut Gate, at: Instant, entry: &str, directive: &Directive) -> GateChange {
+fn apply(gate: &mut Gate, at: Instant, entry: &str, directive: &Directive) -> GateChange {
     gate.on_directive(at, at, &entry.to_owned(), directive)
 }
 
@@ -37,7 +37,7 @@
 fn open_at(at: Instant) -> Gate {
     let mut gate = Gate::new();
     gate.set_phase(10, WeightsPhase::Loaded, Some(digest(10)));
-    let change = hear(&mut gate, at, "e1", &directive(10, 10, Some(10)));
+    let change = apply(&mut gate, at, "e1", &directive(10, 10, Some(10)));
     assert_eq!((change.closed_below, change.opened), (Some(10), Some(10)));
     gate
 }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn refuses() {
+fn refusal_reasons() {
     let at = Instant::now();
     assert_eq!(Gate::new().admit(at, None), Err(NotRunReason::Closed));
     let mut gate = open_at(at);
@@ -79,29 +79,29 @@
 }
 
 #[test]
-fn never_reopens() {
+fn closed_epoch_never_reopens() {
     let at = Instant::now();
     let mut gate = open_at(at);
-    let change = hear(&mut gate, at, "e1", &directive(20, 20, None));
+    let change = apply(&mut gate, at, "e1", &directive(20, 20, None));
     assert_eq!((change.closed_below, change.opened), (Some(20), None));
     for late in [directive(10, 10, Some(10)), directive(10, 0, Some(10))] {
-        assert!(!hear(&mut gate, at, "e2", &late).is_some());
+        assert!(!apply(&mut gate, at, "e2", &late).is_some());
         assert_eq!(gate.admit(at, None), Err(NotRunReason::Closed));
     }
     // A lease that came before the weights counts once they are loaded.
-    hear(&mut gate, at, "e1", &directive(20, 20, Some(20)));
+    apply(&mut gate, at, "e1", &directive(20, 20, Some(20)));
     assert_eq!(gate.admit(at, None), Err(NotRunReason::Closed));
     gate.set_phase(20, WeightsPhase::Loaded, Some(digest(20)));
     assert_eq!(gate.admit(at, None).unwrap().epoch, 20);
 }
 
 #[test]
-fn odd_length() {
+fn overflowing_lease_is_ignored() {
     let at = Instant::now();
     let mut gate = open_at(at);
     let mut odd = directive(10, 10, Some(10));
     odd.lease = Duration::MAX;
-    hear(&mut gate, at, "e1", &odd);
+    apply(&mut gate, at, "e1", &odd);
     assert_eq!(gate.admit(at + LEASE, None), Err(NotRunReason::Lease));
 }
 
@@ -111,7 +111,7 @@
 #[case::overtaken(&[10, 20, 30], 30, 10, [30, 30], &[20])]
 #[case::still_possible(&[10, 20, 30], 30, 10, [30, 20], &[])]
 #[case::switching_to(&[10, 20, 30], 30, 20, [30, 30], &[10])]
-fn drops(
+fn droppable_epochs(
     #[case] held: &[Epoch],
     #[case] target: Epoch,
     #[case] close_below: Epoch,
@@ -124,24 +124,24 @@
         gate.set_phase(*epoch, WeightsPhase::Loaded, Some(digest(*epoch)));
     }
     for (entry, config) in ["e1", "e2"].iter().zip(configs) {
-        hear(&mut gate, at, entry, &directive(config, close_below, None));
+        apply(&mut gate, at, entry, &directive(config, close_below, None));
     }
     assert_eq!(gate.droppable(target), expected);
 }
 
 #[test]
-fn swaps() {
+fn swap_permission() {
     let at = Instant::now();
     let mut gate = open_at(at);
     assert!(!gate.may_swap(20));
     let mut chosen = directive(20, 10, Some(10));
     chosen.swap_to = Some(20);
-    hear(&mut gate, at, "e1", &chosen);
+    apply(&mut gate, at, "e1", &chosen);
     assert!(gate.may_swap(20));
     assert!(!gate.may_swap(30));
     // Giving up the open bundle closes nothing for others.
     gate.remove_epoch(10);
     assert_eq!((gate.open(), gate.closed_below()), (None, 10));
-    hear(&mut gate, at, "e2", &directive(30, 30, None));
+    apply(&mut gate, at, "e2", &directive(30, 30, None));
     assert!(gate.may_swap(30), "the old is closed anyway");
 }
--- a/crates/switch/tests/rules.rs
+++ b/crates/switch/tests/rules.rs
@@ -12,7 +12,7 @@
 use world::{SERVICE, document, make_report, vm_entries};
 
 /// Time in ms after which a lone entry is settled, with a margin.
-const SETTLED: u64 = 2000;
+const SETTLE_MS: u64 = 2000;
 
 /// One entry, `e0`, and a clock.
 struct Bench {
@@ -111,13 +111,13 @@
 fn granting() -> Bench {
     let mut bench = Bench::new(&["e1", "e2"]);
     bench.grants(10);
-    bench.run(SETTLED, &[peer("e1", 10, true), peer("e2", 10, true)]);
+    bench.run(SETTLE_MS, &[peer("e1", 10, true), peer("e2", 10, true)]);
     assert_eq!(bench.grants(10), Some(10));
     bench
 }
 
 #[test]
-fn waits_alone() {
+fn lone_entry_waits_out_leases() {
     let mut bench = Bench::new(&[]);
     bench.run(1500, &[]);
     assert_eq!(bench.grants(10), None, "before earlier leases have lapsed");
@@ -126,10 +126,10 @@
 }
 
 #[test]
-fn woken_alone() {
+fn suspended_lone_entry_waits_again() {
     let mut bench = Bench::new(&[]);
     bench.grants(10);
-    bench.run(SETTLED, &[]);
+    bench.run(SETTLE_MS, &[]);
     assert_eq!(bench.grants(10), Some(10));
     // Another entry may have come, opened an epoch and gone meanwhile.
     bench.now += 10_000;
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn hears_all() {
+fn suspended_entry_needs_all_answers() {
     let mut bench = granting();
     bench.now += 10_000;
     bench.run(500, &[peer("e1", 10, true)]);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn unsettled_peers() {
+fn unsettled_peers_need_grace_time() {
     let mut bench = granting();
     bench.now += 10_000;
     let answers = [peer("e1", 10, false), peer("e2", 10, false)];
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn old_answer() {
+fn answer_read_after_suspension() {
     let mut bench = granting();
     let before = bench.at(bench.now);
     bench.now += 10_000;
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn late_answer() {
+fn answer_after_grant_window() {
     let mut bench = granting();
     bench.now += 10_000;
     let started = bench.at(bench.now);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn peer_dies() {
+fn grants_go_on_without_dead_peer() {
     let mut bench = granting();
     // A settled entry goes on for what is open, however long a peer is away.
     for _ in 0..40 {
@@ -214,7 +214,7 @@
 #[rstest]
 #[case::listed(&["e1", "e2"])]
 #[case::unlisted(&["e1"])]
-fn silence_waited(#[case] listed: &[&str]) {
+fn silent_peer_is_waited_out(#[case] listed: &[&str]) {
     let mut bench = granting();
     bench.list(listed);
     closing(&mut bench);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn silence_begins() {
+fn silence_starts_after_last_message() {
     let mut bench = granting();
     let early = bench.at(bench.now);
     bench.run(1000, &[peer("e1", 10, true), peer("e2", 10, true)]);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn own_absence() {
+fn own_suspension_proves_no_silence() {
     let mut bench = granting();
     bench.run(125, &[peer("e1", 10, true)]);
     let before = bench.at(bench.now);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn third_named() {
+fn entry_learned_from_peer() {
     let mut bench = Bench::new(&["e1"]);
     let mut knows_third = peer("e1", 10, true);
     let third = ("e3".to_owned(), "127.0.0.1:1".parse().unwrap());
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn earlier_start() {
+fn outdated_start_is_ignored() {
     let mut bench = granting();
     let restarted = PeerState {
         incarnation: 6,
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn just_started() {
+fn new_entry_reports_nothing_closed() {
     let mut bench = Bench::new(&["e1"]);
     bench.grants(20);
     bench.run(250, &[peer("e1", 20, true)]);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn checked_anew() {
+fn grants_checked_after_suspension() {
     let mut bench = granting();
     bench.now += 10_000;
     // After standing still, what was granted before is granted on only if all have closed below.
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn late_report() {
+fn outdated_report_is_refused() {
     let mut bench = granting();
     let mut report = make_report(&"a0".to_owned(), 1, &world::Agent::default(), 2);
     let now = bench.at(bench.now);
@@ -328,7 +328,7 @@
 #[rstest]
 #[case::deleted(None)]
 #[case::moved_away(Some("guayaquil-hall"))]
-fn no_longer_served(#[case] data_centre: Option<&str>) {
+fn withdrawn_service_is_closed(#[case] data_centre: Option<&str>) {
     let mut bench = granting();
     let document = data_centre.map(|data_centre| {
         let mut document = document(1);
@@ -397,7 +397,7 @@
 
 /// Two entries that hear of different agents first never choose all three between them.
 #[test]
-fn swaps_agree() {
+fn swaps_leave_one_serving() {
     let (mut one, mut two) = (swapping(), swapping());
     let mut chosen = swaps(&mut one, &["a0", "a1"]);
     chosen.extend(swaps(&mut two, &["a1", "a2"]));
@@ -412,7 +412,7 @@
 
 /// An agent that does not get the weights holds up the others for a while only.
 #[test]
-fn swaps_without_all() {
+fn swaps_without_slow_agent() {
     let mut bench = swapping();
     let begin = bench.now;
     while swaps(&mut bench, &["a0", "a1"]).is_empty() {
--- a/crates/switch/tests/sessions.rs
+++ b/crates/switch/tests/sessions.rs
@@ -3,10 +3,10 @@
 mod world;
 
 use rstest::{Context, rstest};
-use world::{Fault, Plan, Victim, When, World};
+use world::{Fault, FaultTarget, Plan, When, World};
 
 /// Time in ms at which each session ends.
-const END: u64 = 12_000;
+const END_MS: u64 = 12_000;
 
 fn plan(edits: &[u64]) -> Plan {
     Plan {
@@ -15,7 +15,7 @@
     }
 }
 
-fn strikes(plan: Plan, faults: &[(When, Victim, Fault)]) -> Plan {
+fn with_faults(plan: Plan, faults: &[(When, FaultTarget, Fault)]) -> Plan {
     Plan {
         faults: faults.to_vec(),
         ..plan
@@ -23,33 +23,33 @@
 }
 
 #[rstest]
-#[case::plain_flip(plan(&[0, 5000]))]
-#[case::two_flips(plan(&[0, 5000, 5526]))]
+#[case::plain_switch(plan(&[0, 5000]))]
+#[case::two_switches(plan(&[0, 5000, 5526]))]
 #[case::rollback(Plan { versions: vec![1, 2, 1], ..plan(&[0, 4000, 8000]) })]
 #[case::one_bundle(Plan { bundles: 1, ..plan(&[0, 5000]) })]
-#[case::frozen_entry(strikes(plan(&[0, 5000]), &[
-    (When::At(4900), Victim::Entry(0), Fault::Freeze(4000)),
+#[case::suspended_entry(with_faults(plan(&[0, 5000]), &[
+    (When::At(4900), FaultTarget::Entry(0), Fault::Suspend(4000)),
 ]))]
-#[case::frozen_agent(strikes(Plan { ready: 2, ..plan(&[0, 5000]) }, &[
-    (When::At(4800), Victim::Agent(0), Fault::Freeze(4000)),
+#[case::suspended_agent(with_faults(Plan { ready: 2, ..plan(&[0, 5000]) }, &[
+    (When::At(4800), FaultTarget::Agent(0), Fault::Suspend(4000)),
 ]))]
-#[case::silent_agent(strikes(Plan { ready: 2, ..plan(&[0, 5000]) }, &[
-    (When::Close(20), Victim::Agent(0), Fault::Freeze(4000)),
+#[case::silent_agent(with_faults(Plan { ready: 2, ..plan(&[0, 5000]) }, &[
+    (When::Close(20), FaultTarget::Agent(0), Fault::Suspend(4000)),
 ]))]
-#[case::killed_entry(strikes(plan(&[0, 5000]), &[
-    (When::Close(20), Victim::Actor, Fault::Restart(300)),
+#[case::killed_entry(with_faults(plan(&[0, 5000]), &[
+    (When::Close(20), FaultTarget::Actor, Fault::Restart(300)),
 ]))]
-#[case::restarted_agent(strikes(plan(&[0, 5000]), &[
-    (When::At(3000), Victim::Agent(0), Fault::Restart(100)),
-    (When::Close(20), Victim::Agent(1), Fault::Restart(100)),
+#[case::restarted_agent(with_faults(plan(&[0, 5000]), &[
+    (When::At(3000), FaultTarget::Agent(0), Fault::Restart(100)),
+    (When::Close(20), FaultTarget::Agent(1), Fault::Restart(100)),
 ]))]
-#[case::replaced_entries(strikes(plan(&[0, 6000]), &[
-    (When::At(4000), Victim::Entry(0), Fault::Replace(100)),
-    (When::At(4000), Victim::Entry(0), Fault::Replace(100)),
+#[case::replaced_entries(with_faults(plan(&[0, 6000]), &[
+    (When::At(4000), FaultTarget::Entry(0), Fault::Replace(100)),
+    (When::At(4000), FaultTarget::Entry(0), Fault::Replace(100)),
 ]))]
 fn session(#[context] cx: Context, #[case] plan: Plan) {
     let mut world = World::new(plan);
-    world.run(END).unwrap();
+    world.run(END_MS).unwrap();
     let name = cx.description.unwrap_or("session");
     insta::assert_snapshot!(name, world.log);
 }
--- a/crates/switch/tests/world/agent.rs
+++ b/crates/switch/tests/world/agent.rs
@@ -39,7 +39,7 @@
                 {
                     agent.config = state.revision;
                     agent.target = state.epoch;
-                    report |= self.take_target(vm, agent, out);
+                    report |= self.stage_target(vm, agent, out);
                 }
             }
             Event::Staged(epoch) if epoch == agent.target => {
@@ -64,7 +64,7 @@
         report |= self.load(vm, agent, out);
         if report {
             agent.sequence += 1;
-            for entry in homes(vm, &agent.entries, self.plan.homes) {
+            for entry in entries_of(vm, &agent.entries, self.plan.entries_per_agent) {
                 let report = make_report(vm, incarnation, agent, self.plan.bundles);
                 out.push((None, entry, Event::Report(now, Box::new(report))));
             }
@@ -72,7 +72,7 @@
     }
 
     /// Begins to bring the target's weights, unless the engine holds them already.
-    fn take_target(
+    fn stage_target(
         &mut self,
         vm: &VmId,
         agent: &mut Agent,
@@ -114,16 +114,16 @@
         if agent.gate.phase(target) != Some(WeightsPhase::Staged) {
             return false;
         }
-        let places = usize::try_from(self.plan.bundles).unwrap();
-        if held(agent).len() >= places {
+        let slots = usize::try_from(self.plan.bundles).unwrap();
+        if engine_epochs(agent).len() >= slots {
             for epoch in agent.gate.droppable(target) {
                 agent.gate.remove_epoch(epoch);
                 self.note(vm, &format!("drops {epoch}"));
             }
         }
-        if held(agent).len() >= places {
-            let gives_up = agent.gate.open().filter(|_| places == 1);
-            let Some(open) = gives_up.filter(|_| agent.gate.may_swap(target)) else {
+        if engine_epochs(agent).len() >= slots {
+            let swapped = agent.gate.open().filter(|_| slots == 1);
+            let Some(open) = swapped.filter(|_| agent.gate.may_swap(target)) else {
                 return false;
             };
             agent.gate.remove_epoch(open);
@@ -137,7 +137,7 @@
 }
 
 /// Returns the epochs that take a place in the engine.
-fn held(agent: &Agent) -> Vec<Epoch> {
+fn engine_epochs(agent: &Agent) -> Vec<Epoch> {
     let mut report = make_report(&String::new(), 0, agent, 0);
     agent.gate.fill_report(&mut report);
     report
--- a/crates/switch/tests/world/entry.rs
+++ b/crates/switch/tests/world/entry.rs
@@ -4,7 +4,7 @@
 
 /// What an entry's shell remembers.
 #[derive(Debug, Default)]
-pub(super) struct Words {
+pub(super) struct ShellState {
     /// Version of the list of VMs that the entry has.
     pub(super) list: u64,
     /// When each agent sent its last word, by the agent's clock.
@@ -15,7 +15,7 @@
     now: Instant,
     vm: &VmId,
     opener: &mut Opener,
-    words: &mut Words,
+    shell: &mut ShellState,
     event: Event,
     out: &mut Vec<(Option<u64>, VmId, Event)>,
 ) {
@@ -34,7 +34,7 @@
         Event::Answer(started, state) => opener.on_peer_answer(now, started, &state),
         Event::Report(sent_at, report) => {
             let directive = if opener.on_report(now, &report) {
-                words.sent_at.insert(report.vm.clone(), sent_at);
+                shell.sent_at.insert(report.vm.clone(), sent_at);
                 opener.directive(now, &report.vm)
             } else {
                 opener.refusal()
@@ -45,8 +45,8 @@
         Event::State(state) => {
             opener.on_state(now, &state);
         }
-        Event::List(version, entries) if version > words.list => {
-            words.list = version;
+        Event::List(version, entries) if version > shell.list => {
+            shell.list = version;
             opener.on_entries(now, &vm_entries(&entries, VmRole::Entry));
         }
         _ => {}
@@ -64,7 +64,7 @@
     }
     if !changes.services.is_empty() {
         // A hanging call is answered: its lease runs from when the call was sent.
-        for (agent, sent_at) in &words.sent_at {
+        for (agent, sent_at) in &shell.sent_at {
             let directive = Box::new(opener.directive(now, agent));
             out.push((
                 None,
--- a/crates/switch/tests/world/faults.rs
+++ b/crates/switch/tests/world/faults.rs
@@ -3,23 +3,23 @@
 use super::*;
 
 impl World {
-    pub(crate) fn strike(&mut self, vm: &VmId, fault: Fault) {
-        if self.calm || !self.processes.contains_key(vm) {
+    pub(crate) fn inject(&mut self, vm: &VmId, fault: Fault) {
+        if self.faults_off || !self.processes.contains_key(vm) {
             return;
         }
-        let befalls = match fault {
-            Fault::Freeze(length) => format!("stands still for {length} ms"),
+        let text = match fault {
+            Fault::Suspend(length) => format!("stands still for {length} ms"),
             Fault::Restart(_) => "is killed".to_owned(),
             Fault::Replace(_) => "is killed, and another VM takes its place".to_owned(),
         };
-        self.note(vm, &befalls);
+        self.note(vm, &text);
         match fault {
-            Fault::Freeze(length) => {
+            Fault::Suspend(length) => {
                 let process = self.processes.get_mut(vm).unwrap();
-                if process.frozen {
+                if process.suspended {
                     return;
                 }
-                process.frozen = true;
+                process.suspended = true;
                 let wake = Item::Wake(vm.clone(), process.incarnation);
                 self.push(self.now + length, wake);
             }
@@ -46,14 +46,14 @@
                     self.push(self.now + lag, Item::To(vm, incarnation, list));
                 }
             }
-            Fault::Replace(after) => self.strike(vm, Fault::Restart(after)),
+            Fault::Replace(after) => self.inject(vm, Fault::Restart(after)),
         }
     }
 
     pub(crate) fn kill(&mut self, vm: &VmId) {
         let process = self.processes.remove(vm).unwrap();
         if let Kind::Agent(agent) = process.kind {
-            self.zombies.push((process.rate, agent.gate));
+            self.killed_gates.push((process.rate, agent.gate));
         }
     }
 
@@ -65,12 +65,12 @@
         if process.incarnation != incarnation {
             return;
         }
-        process.frozen = false;
-        let mut held = std::mem::take(&mut process.held);
+        process.suspended = false;
+        let mut pending = std::mem::take(&mut process.pending);
         self.note(vm, "wakes");
-        while !held.is_empty() {
-            let index = usize::try_from(self.draw(u64::try_from(held.len()).unwrap())).unwrap();
-            let event = held.swap_remove(index);
+        while !pending.is_empty() {
+            let index = usize::try_from(self.draw(u64::try_from(pending.len()).unwrap())).unwrap();
+            let event = pending.swap_remove(index);
             self.push(self.now, Item::To(vm.clone(), incarnation, event));
         }
     }
@@ -100,12 +100,12 @@
         }
     }
 
-    pub(crate) fn name(&self, victim: Victim, actor: Option<&VmId>) -> VmId {
+    pub(crate) fn resolve(&self, target: FaultTarget, actor: Option<&VmId>) -> VmId {
         let entries = &self.listed;
-        match victim {
-            Victim::Actor => actor.unwrap_or(&entries[0]).clone(),
-            Victim::Entry(index) => entries[index % entries.len()].clone(),
-            Victim::Agent(index) => agent_name(index % self.plan.agents),
+        match target {
+            FaultTarget::Actor => actor.unwrap_or(&entries[0]).clone(),
+            FaultTarget::Entry(index) => entries[index % entries.len()].clone(),
+            FaultTarget::Agent(index) => agent_name(index % self.plan.agents),
         }
     }
 }
--- a/crates/switch/tests/world/mod.rs
+++ b/crates/switch/tests/world/mod.rs
@@ -18,7 +18,7 @@
 use wagtailreel_switch::*;
 
 pub(crate) use agent::Agent;
-use entry::{Words, on_entry};
+use entry::{ShellState, on_entry};
 pub(crate) use plan::*;
 use process::{Kind, Process};
 pub(crate) use records::*;
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 enum Item {
     To(VmId, Incarnation, Event),
-    Strike(Victim, Fault),
+    Inject(FaultTarget, Fault),
     Start(VmId),
     Wake(VmId, Incarnation),
     Edit(Epoch),
@@ -63,7 +63,7 @@
     rng: u64,
     processes: BTreeMap<VmId, Process>,
     /// Gates of killed agents: nothing is assumed about when the old process ends.
-    zombies: Vec<(u64, Gate)>,
+    killed_gates: Vec<(u64, Gate)>,
     lost: BTreeMap<(VmId, VmId), bool>,
     listed: Vec<VmId>,
     list: u64,
@@ -73,7 +73,7 @@
     steps: usize,
     /// Highest epoch below which an entry has begun to close.
     closing: Epoch,
-    pub(crate) calm: bool,
+    pub(crate) faults_off: bool,
     pub(crate) log: String,
     /// Epochs that some gate admitted, in order of time.
     pub(crate) admitted: Vec<Epoch>,
@@ -88,7 +88,7 @@
             count: 0,
             rng: plan.seed,
             processes: BTreeMap::new(),
-            zombies: Vec::new(),
+            killed_gates: Vec::new(),
             lost: BTreeMap::new(),
             listed: (0..plan.entries).map(entry_name).collect(),
             list: 0,
@@ -97,7 +97,7 @@
             replaced: 0,
             steps: 0,
             closing: 0,
-            calm: false,
+            faults_off: false,
             log: String::new(),
             admitted: Vec::new(),
             plan,
@@ -110,9 +110,9 @@
             let epoch = 10 * (u64::try_from(index).unwrap() + 1);
             world.push(at, Item::Edit(epoch));
         }
-        for (when, victim, fault) in world.plan.faults.clone() {
+        for (when, target, fault) in world.plan.faults.clone() {
             if let When::At(at) = when {
-                world.push(at, Item::Strike(victim, fault));
+                world.push(at, Item::Inject(target, fault));
             }
         }
         world
@@ -127,7 +127,7 @@
             }
             let item = self.queue.remove(&(at, count)).unwrap();
             self.now = at;
-            self.take(item);
+            self.dispatch(item);
             self.check()?;
         }
         self.now = end;
@@ -149,7 +149,7 @@
 
     fn check(&mut self) -> Result<(), String> {
         let mut epochs: BTreeSet<Epoch> = self.admits().into_values().flatten().collect();
-        for (rate, gate) in &self.zombies {
+        for (rate, gate) in &self.killed_gates {
             epochs.extend(gate.admit(self.clock(*rate), None).map(|it| it.epoch));
         }
         if epochs.len() > 1 {
@@ -174,12 +174,12 @@
         Ok(())
     }
 
-    fn take(&mut self, item: Item) {
+    fn dispatch(&mut self, item: Item) {
         match item {
             Item::Start(vm) => self.start(vm),
-            Item::Strike(victim, fault) => {
-                let vm = self.name(victim, None);
-                self.strike(&vm, fault);
+            Item::Inject(target, fault) => {
+                let vm = self.resolve(target, None);
+                self.inject(&vm, fault);
             }
             Item::Wake(vm, incarnation) => self.wake(&vm, incarnation),
             Item::Edit(epoch) => self.edit(epoch),
@@ -188,8 +188,8 @@
                     return;
                 };
                 if process.incarnation != incarnation {
-                } else if process.frozen {
-                    process.held.push(event);
+                } else if process.suspended {
+                    process.pending.push(event);
                 } else {
                     self.handle(&vm, event);
                 }
@@ -206,7 +206,7 @@
         let mut out = Vec::new();
         let before = Summary::of(&process, now);
         match &mut process.kind {
-            Kind::Entry(opener, words) => on_entry(now, vm, opener, words, event, &mut out),
+            Kind::Entry(opener, shell) => on_entry(now, vm, opener, shell, event, &mut out),
             Kind::Agent(agent) => {
                 self.on_agent(now, vm, incarnation, agent, event, &mut out);
             }
@@ -233,25 +233,25 @@
         };
         let first = self.closing < closes;
         self.closing = self.closing.max(closes);
-        let mut held_up = 0;
-        for (when, victim, fault) in self.plan.faults.clone() {
-            let strikes = match when {
+        let mut send_delay = 0;
+        for (when, target, fault) in self.plan.faults.clone() {
+            let due = match when {
                 When::At(_) => false,
                 When::Step(at) => at == step,
                 When::Close(epoch) => first && epoch == closes,
             };
-            if !strikes || self.calm {
+            if !due || self.faults_off {
                 continue;
             }
-            let vm = self.name(victim, Some(actor));
-            if let Fault::Freeze(length) = fault
+            let vm = self.resolve(target, Some(actor));
+            if let Fault::Suspend(length) = fault
                 && vm == *actor
             {
-                held_up = length;
+                send_delay = length;
             }
-            self.strike(&vm, fault);
+            self.inject(&vm, fault);
         }
-        held_up
+        send_delay
     }
 
     fn send(
@@ -260,7 +260,7 @@
         incarnation: Incarnation,
         to: &VmId,
         delay: Option<u64>,
-        held_up: u64,
+        send_delay: u64,
         event: Event,
     ) {
         // An event to oneself with a delay is a timer.
@@ -269,7 +269,7 @@
             self.push(self.now + delay, item);
             return;
         }
-        let loss = if self.calm { 0 } else { self.plan.loss };
+        let loss = if self.faults_off { 0 } else { self.plan.loss };
         let lose = self.draw(100) < loss;
         let lost = self.lost.entry((from.clone(), to.clone())).or_default();
         *lost = lose && !*lost;
@@ -279,7 +279,7 @@
         let Some(target) = self.processes.get(to).map(|it| it.incarnation) else {
             return;
         };
-        let delay = 1 + self.draw(self.plan.delay) + held_up;
+        let delay = 1 + self.draw(self.plan.delay) + send_delay;
         self.push(self.now + delay, Item::To(to.clone(), target, event));
     }
 
--- a/crates/switch/tests/world/plan.rs
+++ b/crates/switch/tests/world/plan.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     /// It stands still for so many ms; what it was sending goes out at the end.
-    Freeze(u64),
+    Suspend(u64),
     /// It is killed and starts again after so many ms with nothing remembered.
     Restart(u64),
     /// An entry is killed and another VM takes its place; the list of VMs lags.
@@ -26,7 +26,7 @@
 
 /// Who is struck.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Victim {
+pub(crate) enum FaultTarget {
     /// The process that takes the step, or the first entry.
     Actor,
     Entry(usize),
@@ -39,7 +39,7 @@
     pub(crate) entries: usize,
     pub(crate) agents: usize,
     /// Entries that an agent reports to.
-    pub(crate) homes: usize,
+    pub(crate) entries_per_agent: usize,
     pub(crate) ready: u32,
     pub(crate) bundles: u32,
     /// Highest delay of a message in ms; the lowest is 1.
@@ -52,7 +52,7 @@
     pub(crate) versions: Vec<u64>,
     /// Highest lag of a new state or list at a process in ms.
     pub(crate) lag: u64,
-    pub(crate) faults: Vec<(When, Victim, Fault)>,
+    pub(crate) faults: Vec<(When, FaultTarget, Fault)>,
 }
 
 impl Plan {
@@ -61,7 +61,7 @@
             seed: 1,
             entries,
             agents,
-            homes: entries,
+            entries_per_agent: entries,
             ready: u32::try_from(agents).unwrap(),
             bundles: 2,
             delay: 1,
--- a/crates/switch/tests/world/process.rs
+++ b/crates/switch/tests/world/process.rs
@@ -5,9 +5,9 @@
 #[derive(Debug)]
 pub(super) struct Process {
     pub(super) incarnation: Incarnation,
-    pub(super) frozen: bool,
+    pub(super) suspended: bool,
     /// What came in while the process was frozen.
-    pub(super) held: Vec<Event>,
+    pub(super) pending: Vec<Event>,
     /// Runs of this clock in 1000 runs of the true one.
     pub(super) rate: u64,
     pub(super) kind: Kind,
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 pub(super) enum Kind {
-    Entry(Box<Opener>, Words),
+    Entry(Box<Opener>, ShellState),
     Agent(Box<Agent>),
 }
 
@@ -43,9 +43,9 @@
             opener.on_vms(now, &vm_entries(&agents, VmRole::Upstream));
             Kind::Entry(
                 Box::new(opener),
-                Words {
+                ShellState {
                     list: self.list,
-                    ..Words::default()
+                    ..ShellState::default()
                 },
             )
         } else {
@@ -57,8 +57,8 @@
         };
         let process = Process {
             incarnation,
-            frozen: false,
-            held: Vec::new(),
+            suspended: false,
+            pending: Vec::new(),
             rate,
             kind,
         };
--- a/crates/switch/tests/world/records.rs
+++ b/crates/switch/tests/world/records.rs
@@ -68,7 +68,7 @@
     names.iter().map(make).collect()
 }
 
-pub(crate) fn homes(vm: &str, entries: &[VmId], count: usize) -> Vec<VmId> {
+pub(crate) fn entries_of(vm: &str, entries: &[VmId], count: usize) -> Vec<VmId> {
     let ranked = rank(vm.as_bytes(), entries.iter().map(String::as_str));
     ranked.into_iter().take(count).map(str::to_owned).collect()
 }
