--- a/crates/switch/tests/agreement.rs
+++ b/crates/switch/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! At no instant do two gates of one data centre admit different epochs, and none goes back,
-//! whatever fails.
+//! Property test: under any combination of faults, at no instant do two gates of one data centre
+//! admit different epochs, and no gate admits an epoch after any gate has admitted a newer one.
 
 mod world;
 
@@ -8,17 +8,17 @@
 use proptest::test_runner::RngSeed;
 use world::{Fault, FaultTarget, Plan, When, World};
 
-/// Seed of the search unless the environment sets another.
+/// Seed of the generated plans unless the environment sets another.
 const SEED: u64 = 20;
-/// Faults may strike until this time in ms.
+/// Time in ms until which faults occur.
 const FAULT_PERIOD_MS: u64 = 15_000;
-/// Time in ms that the data centre has to recover in once nothing fails any more.
+/// Time in ms within which the data centre must recover after the last fault.
 const RECOVERY_MS: u64 = 15_000;
 
 type Faults = Vec<(When, FaultTarget, Fault)>;
 
-/// Faults that strike at about the same time and end at about the same time: the worst cases need
-/// several processes to wake together.
+/// Generates faults that begin and end at about the same time, since the worst cases need several
+/// processes to resume together.
 fn bursts() -> impl Strategy<Value = Faults> {
     let when = prop_oneof![
         (0..FAULT_PERIOD_MS).prop_map(When::At),
@@ -78,7 +78,8 @@
 }
 
 /// Returns a configuration with a fixed seed, so that every run of the same code gives the same
-/// verdict; `PROPTEST_RNG_SEED` and `PROPTEST_CASES` set others for a longer search.
+/// result. `PROPTEST_RNG_SEED` and `PROPTEST_CASES` set another seed and number of cases for a longer
+/// search.
 fn config() -> ProptestConfig {
     let cfg = ProptestConfig::default();
     let rng_seed = match cfg.rng_seed {
@@ -98,7 +99,7 @@
     #[test]
     fn one_epoch(plan in plans()) {
         let last = 10 * plan.edits.len() as u64;
-        // With homes the entries see parts of the agents, which may be fewer than are ready.
+        // If agents report to some of the entries only, an entry may see fewer agents than `ready`.
         let sees_all = plan.entries_per_agent >= plan.entries && plan.ready as usize <= plan.agents;
         let mut world = World::new(plan);
         world.run(FAULT_PERIOD_MS).map_err(TestCaseError::fail)?;
--- a/crates/switch/tests/gate.rs
+++ b/crates/switch/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate on its own.
+//! Tests the agent's gate.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
 use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
     gate.on_directive(at, at, &entry.to_owned(), directive)
 }
 
-/// Returns a gate that has 10 open since `at`.
+/// Returns a gate that opened epoch 10 at `at`.
 fn open_at(at: Instant) -> Gate {
     let mut gate = Gate::new();
     gate.set_phase(10, WeightsPhase::Loaded, Some(digest(10)));
@@ -51,7 +51,7 @@
     let last = at + LEASE - Duration::from_nanos(1);
     assert!(gate.admit(last, None).is_ok());
     assert_eq!(gate.admit(at + LEASE, None), Err(NotRunReason::Lease));
-    // An answer that comes late grants what is left of its lease.
+    // A directive that arrives late grants only the rest of its lease.
     let late = at + LEASE * 2;
     let sent_at = at + LEASE / 2;
     gate.on_directive(
@@ -69,7 +69,7 @@
     assert_eq!(Gate::new().admit(at, None), Err(NotRunReason::Closed));
     let mut gate = open_at(at);
     assert_eq!(gate.admit(at, Some(digest(20))), Err(NotRunReason::Weights));
-    // The engine has restarted with nothing.
+    // The engine has restarted without weights.
     gate.set_phase(10, WeightsPhase::Staged, None);
     assert_eq!(gate.admit(at, None), Err(NotRunReason::Closed));
     let change = gate.set_phase(10, WeightsPhase::Loaded, Some(digest(10)));
@@ -88,7 +88,7 @@
         assert!(!apply(&mut gate, at, "e2", &late).is_some());
         assert_eq!(gate.admit(at, None), Err(NotRunReason::Closed));
     }
-    // A lease that came before the weights counts once they are loaded.
+    // A lease that was received before the weights takes effect once they are loaded.
     apply(&mut gate, at, "e1", &directive(20, 20, Some(20)));
     assert_eq!(gate.admit(at, None), Err(NotRunReason::Closed));
     gate.set_phase(20, WeightsPhase::Loaded, Some(digest(20)));
@@ -99,9 +99,9 @@
 fn overflowing_lease_is_ignored() {
     let at = Instant::now();
     let mut gate = open_at(at);
-    let mut odd = directive(10, 10, Some(10));
-    odd.lease = Duration::MAX;
-    apply(&mut gate, at, "e1", &odd);
+    let mut overlong = directive(10, 10, Some(10));
+    overlong.lease = Duration::MAX;
+    apply(&mut gate, at, "e1", &overlong);
     assert_eq!(gate.admit(at + LEASE, None), Err(NotRunReason::Lease));
 }
 
@@ -139,9 +139,9 @@
     apply(&mut gate, at, "e1", &chosen);
     assert!(gate.may_swap(20));
     assert!(!gate.may_swap(30));
-    // Giving up the open bundle closes nothing for others.
+    // Dropping the open bundle does not raise `closed_below`.
     gate.remove_epoch(10);
     assert_eq!((gate.open(), gate.closed_below()), (None, 10));
     apply(&mut gate, at, "e2", &directive(30, 30, None));
-    assert!(gate.may_swap(30), "the old is closed anyway");
+    assert!(gate.may_swap(30), "all epochs below 30 are closed");
 }
--- a/crates/switch/tests/rules.rs
+++ b/crates/switch/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules under which an entry grants leases, one by one.
+//! Tests each rule under which an entry grants leases.
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
 mod world;
@@ -11,10 +11,10 @@
 use wagtailreel_switch::{Opener, OpenerConfig};
 use world::{SERVICE, document, make_report, vm_entries};
 
-/// Time in ms after which a lone entry is settled, with a margin.
+/// Time in ms after which an entry without peers is settled, with a margin.
 const SETTLE_MS: u64 = 2000;
 
-/// One entry, `e0`, and a clock.
+/// The entry `e0` and a clock.
 struct Bench {
     opener: Opener,
     base: Instant,
@@ -23,7 +23,7 @@
 }
 
 impl Bench {
-    /// Starts the entry with these others in its list, and an agent that is open at 10.
+    /// Starts the entry with the entries `listed` in its list of VMs.
     fn new(listed: &[&str]) -> Self {
         let base = Instant::now();
         let cfg = OpenerConfig {
@@ -54,7 +54,8 @@
         self.base + Duration::from_millis(ms)
     }
 
-    /// Goes on for `ms`, in rounds in which `answers` are given and all other peers fail.
+    /// Advances the clock by `ms`. In each sync round, the peers of `answers` answer and the calls to
+    /// all other peers fail.
     fn run(&mut self, ms: u64, answers: &[PeerState]) {
         let end = self.now + ms;
         while self.now < end {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Lets the agent `a0` report, which is open at `epoch`. Returns what it is granted.
+    /// Sends a report of the agent `a0`, which has loaded `epoch`. Returns the epoch that is granted.
     fn grants(&mut self, epoch: Epoch) -> Option<Epoch> {
         self.sequence += 1;
         let mut report = make_report(&"a0".to_owned(), 1, &world::Agent::default(), 2);
@@ -89,7 +90,7 @@
     }
 }
 
-/// Makes what the peer `vm` says, which closes below `epoch` and whose agents have all done so.
+/// Creates the state of the peer `vm`, which closes below `epoch` and whose agents all have closed.
 fn peer(vm: &str, epoch: Epoch, settled: bool) -> PeerState {
     let service = ServicePeerState {
         close_below: epoch,
@@ -107,7 +108,7 @@
     }
 }
 
-/// Returns an entry that has the peers `e1` and `e2`, both settled, and grants 10.
+/// Returns an entry that has the settled peers `e1` and `e2` and grants 10.
 fn granting() -> Bench {
     let mut bench = Bench::new(&["e1", "e2"]);
     bench.grants(10);
@@ -131,11 +132,15 @@
     bench.grants(10);
     bench.run(SETTLE_MS, &[]);
     assert_eq!(bench.grants(10), Some(10));
-    // Another entry may have come, opened an epoch and gone meanwhile.
+    // Another entry may have started, opened an epoch and ended while this one was suspended.
     bench.now += 10_000;
-    assert_eq!(bench.grants(10), None, "before a round");
+    assert_eq!(bench.grants(10), None, "before the first round");
     bench.run(500, &[]);
-    assert_eq!(bench.grants(10), None, "before those leases have lapsed");
+    assert_eq!(
+        bench.grants(10),
+        None,
+        "before the leases of other entries have lapsed"
+    );
     bench.run(1500, &[]);
     assert_eq!(bench.grants(10), Some(10));
 }
@@ -145,7 +150,7 @@
     let mut bench = granting();
     bench.now += 10_000;
     bench.run(500, &[peer("e1", 10, true)]);
-    assert_eq!(bench.grants(10), None, "e2 hasn't answered");
+    assert_eq!(bench.grants(10), None, "e2 has not answered");
     bench.run(125, &[peer("e1", 10, true), peer("e2", 10, true)]);
     assert_eq!(bench.grants(10), Some(10));
 }
@@ -156,7 +161,11 @@
     bench.now += 10_000;
     let answers = [peer("e1", 10, false), peer("e2", 10, false)];
     bench.run(500, &answers);
-    assert_eq!(bench.grants(10), None, "nobody knows what was open");
+    assert_eq!(
+        bench.grants(10),
+        None,
+        "no entry knows which epoch was open"
+    );
     bench.run(1500, &answers);
     assert_eq!(bench.grants(10), Some(10));
 }
@@ -169,7 +178,7 @@
     let now = bench.at(bench.now);
     bench.opener.on_round(now);
     for vm in ["e1", "e2"] {
-        // The answers lay unread while the entry stood still.
+        // The answers arrived while the entry was suspended, and are read late.
         bench
             .opener
             .on_peer_answer(now, before, &peer(vm, 10, true));
@@ -198,14 +207,14 @@
 #[test]
 fn grants_go_on_without_dead_peer() {
     let mut bench = granting();
-    // A settled entry goes on for what is open, however long a peer is away.
+    // A settled entry renews leases for the open epoch, however long a peer is unreachable.
     for _ in 0..40 {
         bench.run(125, &[peer("e1", 10, true)]);
         assert_eq!(bench.grants(10), Some(10));
     }
 }
 
-/// Lets `bench` adopt a close below 20, which `e1` has completed, and its own agent too.
+/// Lets `bench` adopt a close below 20, which `e1` and the agent of `bench` have completed.
 fn closing(bench: &mut Bench) {
     bench.run(125, &[peer("e1", 20, true)]);
     assert_eq!(bench.grants(20), None, "e2 may have granted 10");
@@ -219,7 +228,7 @@
     bench.list(listed);
     closing(&mut bench);
     bench.run(1500, &[peer("e1", 20, true)]);
-    assert_eq!(bench.grants(20), None, "its leases may not have lapsed");
+    assert_eq!(bench.grants(20), None, "leases from e2 may not have lapsed");
     bench.run(500, &[peer("e1", 20, true)]);
     assert_eq!(bench.grants(20), Some(20));
 }
@@ -229,7 +238,7 @@
     let mut bench = granting();
     let early = bench.at(bench.now);
     bench.run(1000, &[peer("e1", 10, true), peer("e2", 10, true)]);
-    // A call from before e2's last word fails only now.
+    // A call that was started before e2's last answer fails only now.
     let now = bench.at(bench.now);
     bench.opener.on_peer_failure(now, early, "e2");
     closing(&mut bench);
@@ -243,7 +252,7 @@
     bench.run(125, &[peer("e1", 10, true)]);
     let before = bench.at(bench.now);
     bench.now += 10_000;
-    // Calls that failed because this entry stood still say nothing of e2.
+    // A call that failed because this entry was suspended does not show that e2 is silent.
     let now = bench.at(bench.now);
     bench.opener.on_round(now);
     bench.opener.on_peer_failure(now, before, "e2");
@@ -259,7 +268,7 @@
     knows_third.entries.extend([third]);
     bench.grants(10);
     bench.run(1500, &[knows_third.clone()]);
-    assert_eq!(bench.grants(10), None, "e3 hasn't answered");
+    assert_eq!(bench.grants(10), None, "e3 has not answered");
     bench.run(125, &[knows_third, peer("e3", 10, true)]);
     assert_eq!(bench.grants(10), Some(10));
 }
@@ -274,7 +283,7 @@
     };
     bench.run(125, &[peer("e1", 20, true), restarted]);
     assert_eq!(bench.grants(20), None);
-    // What the start before said of its own agents comes late.
+    // The state that the earlier start sent arrives late.
     let now = bench.at(bench.now);
     bench.opener.on_peer_call(now, &peer("e2", 20, true));
     assert_eq!(bench.grants(20), None);
@@ -290,7 +299,7 @@
         assert!(state.settled);
         state.services[SERVICE].all_closed_below
     };
-    // What ran on this VM before may have granted 10 to an agent that hasn't reported yet.
+    // An earlier process on this VM may have granted 10 to an agent that has not reported yet.
     assert_eq!((all_closed(&bench), bench.grants(20)), (0, None));
     bench.run(1000, &[peer("e1", 20, true)]);
     assert_eq!((all_closed(&bench), bench.grants(20)), (20, Some(20)));
@@ -300,7 +309,8 @@
 fn grants_checked_after_suspension() {
     let mut bench = granting();
     bench.now += 10_000;
-    // After standing still, what was granted before is granted on only if all have closed below.
+    // After a suspension, the epoch granted before is granted again only if all peers have closed
+    // below it.
     let restarted = PeerState {
         incarnation: 6,
         services: BTreeMap::new(),
@@ -353,7 +363,8 @@
     assert_eq!(bench.grants(30), None, "there is nothing to serve");
 }
 
-/// Makes an entry that knows three agents with room for one bundle, and epoch 20 for two of them.
+/// Returns an entry that lists three agents with space for one bundle each, and has epoch 20 as
+/// target, which two of them must have loaded.
 fn swapping() -> Bench {
     let mut bench = Bench::new(&[]);
     let names = ["a0", "a1", "a2"].map(str::to_owned);
@@ -375,8 +386,8 @@
     bench
 }
 
-/// Lets all three agents report, of which those in `staged` have the weights at hand. Returns
-/// those that are chosen to swap.
+/// Sends a report of each of the three agents. Those in `staged` have staged the weights. Returns
+/// the agents that are chosen to swap.
 fn swaps(bench: &mut Bench, staged: &[&str]) -> Vec<&'static str> {
     let names = ["a0", "a1", "a2"];
     bench.sequence += 1;
@@ -395,7 +406,8 @@
     names.into_iter().filter(chosen).collect()
 }
 
-/// Two entries that hear of different agents first never choose all three between them.
+/// Two entries with reports of different agents must not choose all three agents between them, since
+/// no agent would be left to serve.
 #[test]
 fn swaps_leave_one_serving() {
     let (mut one, mut two) = (swapping(), swapping());
@@ -403,22 +415,22 @@
     chosen.extend(swaps(&mut two, &["a1", "a2"]));
     chosen.sort_unstable();
     chosen.dedup();
-    assert!(chosen.len() < 3, "nobody is left to serve: {chosen:?}");
+    assert!(chosen.len() < 3, "no agent is left to serve: {chosen:?}");
     let all = ["a0", "a1", "a2"];
     let first = swaps(&mut one, &all);
     assert_eq!(first.len(), 2);
     assert_eq!(swaps(&mut two, &all), first);
 }
 
-/// An agent that does not get the weights holds up the others for a while only.
+/// An agent that does not stage the weights delays the swaps of the others for a limited time only.
 #[test]
 fn swaps_without_slow_agent() {
     let mut bench = swapping();
-    let begin = bench.now;
+    let start = bench.now;
     while swaps(&mut bench, &["a0", "a1"]).is_empty() {
-        assert!(bench.now < 10_000, "the others are held up for ever");
+        assert!(bench.now < 10_000, "the swaps of the others never begin");
         bench.run(125, &[]);
     }
-    assert!(bench.now > begin + 1000, "the third was not waited for");
+    assert!(bench.now > start + 1000, "the third was not waited for");
     assert_eq!(swaps(&mut bench, &["a0", "a1"]), ["a0", "a1"]);
 }
--- a/crates/switch/tests/sessions.rs
+++ b/crates/switch/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden transcripts of whole sessions of a data centre.
+//! Snapshots of the transcripts of whole sessions of a simulated data centre.
 
 mod world;
 
--- a/crates/switch/tests/world/agent.rs
+++ b/crates/switch/tests/world/agent.rs
@@ -1,4 +1,4 @@
-//! Agents: a gate, and weights that come after a while.
+//! Simulated agents: a gate, and weights that are staged and loaded after a random time.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     pub(super) sequence: u64,
     pub(super) config: Offset,
     pub(super) target: Epoch,
-    /// Epochs that were loaded once.
+    /// Epochs that have been loaded at any time.
     pub(super) loaded: BTreeSet<Epoch>,
     /// Version of the list of VMs that the agent has.
     pub(super) list: u64,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Begins to bring the target's weights, unless the engine holds them already.
+    /// Begins to stage the target's weights, unless the engine has the same weights loaded.
     fn stage_target(
         &mut self,
         vm: &VmId,
@@ -103,7 +103,8 @@
         Digest::of(&version.to_be_bytes())
     }
 
-    /// Loads the target if the engine has a place for it, as an agent would.
+    /// Loads the target if the engine has a free slot or may drop another bundle, as a real agent
+    /// does.
     fn load(
         &mut self,
         vm: &VmId,
@@ -127,7 +128,7 @@
                 return false;
             };
             agent.gate.remove_epoch(open);
-            self.note(vm, &format!("gives up {open} to load {target}"));
+            self.note(vm, &format!("drops open {open} to load {target}"));
         }
         agent.gate.set_phase(target, WeightsPhase::Loading, None);
         let loaded = 20 + self.draw(400);
@@ -136,7 +137,7 @@
     }
 }
 
-/// Returns the epochs that take a place in the engine.
+/// Returns the epochs that occupy a slot in the engine.
 fn engine_epochs(agent: &Agent) -> Vec<Epoch> {
     let mut report = make_report(&String::new(), 0, agent, 0);
     agent.gate.fill_report(&mut report);
--- a/crates/switch/tests/world/entry.rs
+++ b/crates/switch/tests/world/entry.rs
@@ -1,13 +1,13 @@
-//! Entries: an opener, and the shell that calls others and answers reports.
+//! Simulated entries: an opener, and the shell that calls peers and answers reports.
 
 use super::*;
 
-/// What an entry's shell remembers.
+/// State of an entry's shell.
 #[derive(Debug, Default)]
 pub(super) struct ShellState {
     /// Version of the list of VMs that the entry has.
     pub(super) list: u64,
-    /// When each agent sent its last word, by the agent's clock.
+    /// When each agent sent its last report, by the agent's clock.
     pub(super) sent_at: BTreeMap<VmId, Instant>,
 }
 
@@ -63,7 +63,7 @@
         }
     }
     if !changes.services.is_empty() {
-        // A hanging call is answered: its lease runs from when the call was sent.
+        // Models the answer to a pending watch: the lease runs from when the agent sent its message.
         for (agent, sent_at) in &shell.sent_at {
             let directive = Box::new(opener.directive(now, agent));
             out.push((
--- a/crates/switch/tests/world/faults.rs
+++ b/crates/switch/tests/world/faults.rs
@@ -1,4 +1,4 @@
-//! What faults do to processes.
+//! Effects of faults and edits on processes.
 
 use super::*;
 
@@ -8,9 +8,9 @@
             return;
         }
         let text = match fault {
-            Fault::Suspend(length) => format!("stands still for {length} ms"),
+            Fault::Suspend(length) => format!("is suspended for {length} ms"),
             Fault::Restart(_) => "is killed".to_owned(),
-            Fault::Replace(_) => "is killed, and another VM takes its place".to_owned(),
+            Fault::Replace(_) => "is killed and replaced by another VM".to_owned(),
         };
         self.note(vm, &text);
         match fault {
@@ -30,11 +30,11 @@
             Fault::Replace(after) if vm.starts_with('e') => {
                 self.kill(vm);
                 self.replaced += 1;
-                let fresh = entry_name(self.plan.entries + self.replaced - 1);
+                let new_vm = entry_name(self.plan.entries + self.replaced - 1);
                 self.listed.retain(|name| name != vm);
-                self.listed.push(fresh.clone());
+                self.listed.push(new_vm.clone());
                 self.list += 1;
-                self.push(self.now + after, Item::Start(fresh));
+                self.push(self.now + after, Item::Start(new_vm));
                 let processes: Vec<(VmId, Incarnation)> = self
                     .processes
                     .iter()
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Wakes a process: what came in meanwhile is handled in any order.
+    /// Resumes a process. Events received while it was suspended are handled in random order.
     pub(crate) fn wake(&mut self, vm: &VmId, incarnation: Incarnation) {
         let Some(process) = self.processes.get_mut(vm) else {
             return;
@@ -67,7 +67,7 @@
         }
         process.suspended = false;
         let mut pending = std::mem::take(&mut process.pending);
-        self.note(vm, "wakes");
+        self.note(vm, "resumes");
         while !pending.is_empty() {
             let index = usize::try_from(self.draw(u64::try_from(pending.len()).unwrap())).unwrap();
             let event = pending.swap_remove(index);
--- a/crates/switch/tests/world/mod.rs
+++ b/crates/switch/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A data centre of openers and gates in virtual time, with faults; shared by the tests.
+//! A simulated data centre of openers and gates in virtual time, with fault injection.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
@@ -37,7 +37,7 @@
     Answer(Instant, PeerState),
     Report(Instant, Box<Report>),
     State(StateView),
-    /// The list of VMs with its version.
+    /// The list of VMs and its version.
     List(u64, Vec<VmId>),
     ReportDue,
     Directive(VmId, Instant, Box<Directive>),
@@ -62,8 +62,10 @@
     count: u64,
     rng: u64,
     processes: BTreeMap<VmId, Process>,
-    /// Gates of killed agents: nothing is assumed about when the old process ends.
+    /// Gates of killed agents, with their clock rates. They are still checked, because an old process
+    /// may end later than its successor starts.
     killed_gates: Vec<(u64, Gate)>,
+    /// Whether the last message from one process to another was lost.
     lost: BTreeMap<(VmId, VmId), bool>,
     listed: Vec<VmId>,
     list: u64,
@@ -73,9 +75,10 @@
     steps: usize,
     /// Highest epoch below which an entry has begun to close.
     closing: Epoch,
+    /// Whether faults and message loss are switched off.
     pub(crate) faults_off: bool,
     pub(crate) log: String,
-    /// Epochs that some gate admitted, in order of time.
+    /// Epochs that any gate has admitted, in order of time.
     pub(crate) admitted: Vec<Epoch>,
 }
 
@@ -118,8 +121,8 @@
         world
     }
 
-    /// Runs to the time `end` in ms. Returns a violation if two gates admit different epochs, or
-    /// if an epoch is admitted after a later one.
+    /// Runs until the time `end` in ms. Returns an error if two gates admit different epochs, or if an
+    /// epoch is admitted after a newer one.
     pub(crate) fn run(&mut self, end: u64) -> Result<(), String> {
         while let Some((&(at, count), _)) = self.queue.first_key_value() {
             if at > end {
@@ -223,7 +226,8 @@
         }
     }
 
-    /// Counts a step and strikes if a fault is planned for it. Returns how long sending is held up.
+    /// Counts a step and injects the faults that are planned for it. Returns the time in ms by which
+    /// the messages of the step are delayed.
     fn step(&mut self, actor: &VmId, before: Summary, after: Summary) -> u64 {
         let step = self.steps;
         self.steps += 1;
@@ -263,7 +267,7 @@
         send_delay: u64,
         event: Event,
     ) {
-        // An event to oneself with a delay is a timer.
+        // An event with a delay is a timer that a process sets for itself.
         if let Some(delay) = delay {
             let item = Item::To(to.clone(), incarnation, event);
             self.push(self.now + delay, item);
@@ -292,12 +296,12 @@
         writeln!(self.log, "{:>6} {vm} {text}", self.now).unwrap();
     }
 
-    /// Returns the time by a clock that runs at `rate` in 1000.
+    /// Returns the time by a clock that runs at `rate`/1000 of the true rate.
     fn clock(&self, rate: u64) -> Instant {
         self.base + Duration::from_micros(1_000_000 + self.now * rate)
     }
 
-    /// Draws a number below `below` (splitmix64); 0 if that is 0.
+    /// Draws a random number below `below` (splitmix64), or 0 if `below` is 0.
     fn draw(&mut self, below: u64) -> u64 {
         self.rng = self.rng.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.rng;
--- a/crates/switch/tests/world/plan.rs
+++ b/crates/switch/tests/world/plan.rs
@@ -1,19 +1,20 @@
-//! What befalls the world, and when.
+//! Plan of a simulated session: its size, network, edits and faults.
 
 use wagtailreel_core::Epoch;
 
-/// What befalls a process.
+/// A fault of a process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
-    /// It stands still for so many ms; what it was sending goes out at the end.
+    /// The process is suspended for so many ms. Messages that it was sending are sent at the end.
     Suspend(u64),
-    /// It is killed and starts again after so many ms with nothing remembered.
+    /// The process is killed and starts again, without its state, after so many ms.
     Restart(u64),
-    /// An entry is killed and another VM takes its place; the list of VMs lags.
+    /// An entry is killed, and a new VM replaces it after so many ms. Processes get the changed list of
+    /// VMs with a lag.
     Replace(u64),
 }
 
-/// When a fault strikes.
+/// When a fault is injected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum When {
     /// At a time in ms.
@@ -24,7 +25,7 @@
     Close(Epoch),
 }
 
-/// Who is struck.
+/// The process that a fault is injected into.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FaultTarget {
     /// The process that takes the step, or the first entry.
@@ -38,19 +39,19 @@
     pub(crate) seed: u64,
     pub(crate) entries: usize,
     pub(crate) agents: usize,
-    /// Entries that an agent reports to.
+    /// Number of entries that an agent reports to.
     pub(crate) entries_per_agent: usize,
     pub(crate) ready: u32,
     pub(crate) bundles: u32,
-    /// Highest delay of a message in ms; the lowest is 1.
+    /// Maximum delay of a message in ms. The minimum is 1.
     pub(crate) delay: u64,
-    /// Messages lost in 100; never two in a row on one way.
+    /// Percentage of messages lost, but never two in a row from one process to another.
     pub(crate) loss: u64,
-    /// Times of edits in ms; the epoch of the n-th is 10(n+1).
+    /// Times of edits in ms. The epoch of the edit with index n is 10(n+1).
     pub(crate) edits: Vec<u64>,
-    /// The weights of each edit; the n-th has its own if the list is too short.
+    /// Version of the weights of each edit. Edits beyond the end of the list have weights of their own.
     pub(crate) versions: Vec<u64>,
-    /// Highest lag of a new state or list at a process in ms.
+    /// Maximum lag in ms until a process gets a new state or list of VMs.
     pub(crate) lag: u64,
     pub(crate) faults: Vec<(When, FaultTarget, Fault)>,
 }
--- a/crates/switch/tests/world/process.rs
+++ b/crates/switch/tests/world/process.rs
@@ -1,4 +1,4 @@
-//! Processes and their starts.
+//! Simulated processes and their start.
 
 use super::*;
 
@@ -6,9 +6,9 @@
 pub(super) struct Process {
     pub(super) incarnation: Incarnation,
     pub(super) suspended: bool,
-    /// What came in while the process was frozen.
+    /// Events received while the process was suspended.
     pub(super) pending: Vec<Event>,
-    /// Runs of this clock in 1000 runs of the true one.
+    /// Rate of the process's clock, in thousandths of the true rate.
     pub(super) rate: u64,
     pub(super) kind: Kind,
 }
@@ -37,7 +37,7 @@
                 lease: Duration::from_millis(LEASE_MS),
             };
             let mut opener = Opener::new(cfg, now);
-            // A process has its list of VMs before it starts its rounds.
+            // An entry has the list of VMs before it starts its sync rounds.
             opener.on_entries(now, &vm_entries(&self.listed, VmRole::Entry));
             let agents: Vec<VmId> = (0..self.plan.agents).map(agent_name).collect();
             opener.on_vms(now, &vm_entries(&agents, VmRole::Upstream));
--- a/crates/switch/tests/world/records.rs
+++ b/crates/switch/tests/world/records.rs
@@ -1,4 +1,4 @@
-//! Reports, documents and lists as processes tell them.
+//! Constructors of reports, documents and lists of VMs.
 
 use super::*;
 
--- a/crates/switch/tests/world/summary.rs
+++ b/crates/switch/tests/world/summary.rs
@@ -1,10 +1,10 @@
-//! What a reader of the transcript wants to know of a process.
+//! Summary of a process for the transcript.
 
 use std::fmt;
 
 use super::*;
 
-/// What a reader of the transcript wants to know of a process.
+/// The state of a process that the transcript shows: epochs closed and granted, or closed and admitted.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Summary {
     Entry(Epoch, Option<Epoch>),
