--- a/crates/switch/tests/world/faults.rs
+++ b/crates/switch/tests/world/faults.rs
@@ -20,8 +20,8 @@
                     return;
                 }
                 process.suspended = true;
-                let wake = Item::Wake(vm.clone(), process.incarnation);
-                self.push(self.now + length, wake);
+                let resume = Item::Resume(vm.clone(), process.incarnation);
+                self.push(self.now + length, resume);
             }
             Fault::Restart(after) => {
                 self.kill(vm);
@@ -58,7 +58,7 @@
     }
 
     /// Resumes a process. Events received while it was suspended are handled in random order.
-    pub(crate) fn wake(&mut self, vm: &VmId, incarnation: Incarnation) {
+    pub(crate) fn resume(&mut self, vm: &VmId, incarnation: Incarnation) {
         let Some(process) = self.processes.get_mut(vm) else {
             return;
         };
--- a/crates/switch/tests/world/mod.rs
+++ b/crates/switch/tests/world/mod.rs
@@ -50,7 +50,7 @@
     To(VmId, Incarnation, Event),
     Inject(FaultTarget, Fault),
     Start(VmId),
-    Wake(VmId, Incarnation),
+    Resume(VmId, Incarnation),
     Edit(Epoch),
 }
 
@@ -68,6 +68,7 @@
     /// Whether the last message from one process to another was lost.
     lost: BTreeMap<(VmId, VmId), bool>,
     listed: Vec<VmId>,
+    /// Version of the list of VMs.
     list: u64,
     state: StateView,
     starts: u64,
@@ -184,7 +185,7 @@
                 let vm = self.resolve(target, None);
                 self.inject(&vm, fault);
             }
-            Item::Wake(vm, incarnation) => self.wake(&vm, incarnation),
+            Item::Resume(vm, incarnation) => self.resume(&vm, incarnation),
             Item::Edit(epoch) => self.edit(epoch),
             Item::To(vm, incarnation, event) => {
                 let Some(process) = self.processes.get_mut(&vm) else {
@@ -216,13 +217,13 @@
         }
         let after = Summary::of(&process, now);
         self.processes.insert(vm.clone(), process);
-        let mut send_after = 0;
+        let mut send_delay = 0;
         if before != after {
             self.note(vm, &after.to_string());
-            send_after = self.step(vm, before, after);
+            send_delay = self.step(vm, before, after);
         }
         for (delay, to, event) in out {
-            self.send(vm, incarnation, &to, delay, send_after, event);
+            self.send(vm, incarnation, &to, delay, send_delay, event);
         }
     }
 
