--- a/crates/switch/tests/world/agent.rs
+++ b/crates/switch/tests/world/agent.rs
@@ -1,4 +1,4 @@
-//! Agents: a gate, and weights that come after a while.
+//! Simulated agents: a gate, and weights that are staged and loaded after a random time.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     pub(super) sequence: u64,
     pub(super) config: Offset,
     pub(super) target: Epoch,
-    /// Epochs that were loaded once.
+    /// Epochs that have been loaded at any time.
     pub(super) loaded: BTreeSet<Epoch>,
     /// Version of the list of VMs that the agent has.
     pub(super) list: u64,
@@ -39,7 +39,7 @@
                 {
                     agent.config = state.revision;
                     agent.target = state.epoch;
-                    report |= self.take_target(vm, agent, out);
+                    report |= self.stage_target(vm, agent, out);
                 }
             }
             Event::Staged(epoch) if epoch == agent.target => {
@@ -64,15 +64,15 @@
         report |= self.load(vm, agent, out);
         if report {
             agent.sequence += 1;
-            for entry in homes(vm, &agent.entries, self.plan.homes) {
+            for entry in entries_of(vm, &agent.entries, self.plan.entries_per_agent) {
                 let report = make_report(vm, incarnation, agent, self.plan.bundles);
                 out.push((None, entry, Event::Report(now, Box::new(report))));
             }
         }
     }
 
-    /// Begins to bring the target's weights, unless the engine holds them already.
-    fn take_target(
+    /// Begins to stage the target's weights, unless the engine has the same weights loaded.
+    fn stage_target(
         &mut self,
         vm: &VmId,
         agent: &mut Agent,
@@ -103,7 +103,8 @@
         Digest::of(&version.to_be_bytes())
     }
 
-    /// Loads the target if the engine has a place for it, as an agent would.
+    /// Loads the target if the engine has a free slot or may drop another bundle, as a real agent
+    /// does.
     fn load(
         &mut self,
         vm: &VmId,
@@ -114,20 +115,20 @@
         if agent.gate.phase(target) != Some(WeightsPhase::Staged) {
             return false;
         }
-        let places = usize::try_from(self.plan.bundles).unwrap();
-        if held(agent).len() >= places {
+        let slots = usize::try_from(self.plan.bundles).unwrap();
+        if engine_epochs(agent).len() >= slots {
             for epoch in agent.gate.droppable(target) {
-                agent.gate.forget(epoch);
+                agent.gate.remove_epoch(epoch);
                 self.note(vm, &format!("drops {epoch}"));
             }
         }
-        if held(agent).len() >= places {
-            let gives_up = agent.gate.open().filter(|_| places == 1);
-            let Some(open) = gives_up.filter(|_| agent.gate.may_swap(target)) else {
+        if engine_epochs(agent).len() >= slots {
+            let swapped = agent.gate.open().filter(|_| slots == 1);
+            let Some(open) = swapped.filter(|_| agent.gate.may_swap(target)) else {
                 return false;
             };
-            agent.gate.forget(open);
-            self.note(vm, &format!("gives up {open} to load {target}"));
+            agent.gate.remove_epoch(open);
+            self.note(vm, &format!("drops open {open} to load {target}"));
         }
         agent.gate.set_phase(target, WeightsPhase::Loading, None);
         let loaded = 20 + self.draw(400);
@@ -136,8 +137,8 @@
     }
 }
 
-/// Returns the epochs that take a place in the engine.
-fn held(agent: &Agent) -> Vec<Epoch> {
+/// Returns the epochs that occupy a slot in the engine.
+fn engine_epochs(agent: &Agent) -> Vec<Epoch> {
     let mut report = make_report(&String::new(), 0, agent, 0);
     agent.gate.fill_report(&mut report);
     report
--- a/crates/switch/tests/world/entry.rs
+++ b/crates/switch/tests/world/entry.rs
@@ -1,13 +1,13 @@
-//! Entries: an opener, and the shell that calls others and answers reports.
+//! Simulated entries: an opener, and the shell that calls peers and answers reports.
 
 use super::*;
 
-/// What an entry's shell remembers.
+/// State of an entry's shell.
 #[derive(Debug, Default)]
-pub(super) struct Words {
+pub(super) struct ShellState {
     /// Version of the list of VMs that the entry has.
     pub(super) list: u64,
-    /// When each agent sent its last word, by the agent's clock.
+    /// When each agent sent its last report, by the agent's clock.
     pub(super) sent_at: BTreeMap<VmId, Instant>,
 }
 
@@ -15,7 +15,7 @@
     now: Instant,
     vm: &VmId,
     opener: &mut Opener,
-    words: &mut Words,
+    shell: &mut ShellState,
     event: Event,
     out: &mut Vec<(Option<u64>, VmId, Event)>,
 ) {
@@ -23,7 +23,7 @@
     match event {
         Event::Round => {
             round = true;
-            let again = u64::try_from(opener.timing().round().as_millis()).unwrap();
+            let again = u64::try_from(opener.timing().round_interval().as_millis()).unwrap();
             out.push((Some(again), vm.clone(), Event::Round));
         }
         Event::Timeout(peer, started) => opener.on_peer_failure(now, started, &peer),
@@ -34,7 +34,7 @@
         Event::Answer(started, state) => opener.on_peer_answer(now, started, &state),
         Event::Report(sent_at, report) => {
             let directive = if opener.on_report(now, &report) {
-                words.sent_at.insert(report.vm.clone(), sent_at);
+                shell.sent_at.insert(report.vm.clone(), sent_at);
                 opener.directive(now, &report.vm)
             } else {
                 opener.refusal()
@@ -45,8 +45,8 @@
         Event::State(state) => {
             opener.on_state(now, &state);
         }
-        Event::List(version, entries) if version > words.list => {
-            words.list = version;
+        Event::List(version, entries) if version > shell.list => {
+            shell.list = version;
             opener.on_entries(now, &vm_entries(&entries, VmRole::Entry));
         }
         _ => {}
@@ -55,7 +55,7 @@
     if round || changes.peers {
         opener.on_round(now);
         changes.services.extend(opener.take_changes().services);
-        let timeout = u64::try_from(opener.timing().attempt().as_millis()).unwrap();
+        let timeout = u64::try_from(opener.timing().attempt_timeout().as_millis()).unwrap();
         for peer in opener.peers().into_keys() {
             out.push((Some(timeout), vm.clone(), Event::Timeout(peer.clone(), now)));
             let call = Event::Call(vm.clone(), now, opener.peer_state(now));
@@ -63,8 +63,8 @@
         }
     }
     if !changes.services.is_empty() {
-        // A hanging call is answered: its lease runs from when the call was sent.
-        for (agent, sent_at) in &words.sent_at {
+        // Models the answer to a pending watch: the lease runs from when the agent sent its message.
+        for (agent, sent_at) in &shell.sent_at {
             let directive = Box::new(opener.directive(now, agent));
             out.push((
                 None,
--- a/crates/switch/tests/world/mod.rs
+++ b/crates/switch/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A data centre of openers and gates in virtual time, with faults; shared by the tests.
+//! A simulated data centre of openers and gates in virtual time, with fault injection.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
@@ -18,7 +18,7 @@
 use wagtailreel_switch::*;
 
 pub(crate) use agent::Agent;
-use entry::{Words, on_entry};
+use entry::{ShellState, on_entry};
 pub(crate) use plan::*;
 use process::{Kind, Process};
 pub(crate) use records::*;
@@ -37,7 +37,7 @@
     Answer(Instant, PeerState),
     Report(Instant, Box<Report>),
     State(StateView),
-    /// The list of VMs with its version.
+    /// The list of VMs and its version.
     List(u64, Vec<VmId>),
     ReportDue,
     Directive(VmId, Instant, Box<Directive>),
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug)]
 enum Item {
     To(VmId, Incarnation, Event),
-    Strike(Victim, Fault),
+    Inject(FaultTarget, Fault),
     Start(VmId),
-    Wake(VmId, Incarnation),
+    Resume(VmId, Incarnation),
     Edit(Epoch),
 }
 
@@ -62,10 +62,13 @@
     count: u64,
     rng: u64,
     processes: BTreeMap<VmId, Process>,
-    /// Gates of killed agents: nothing is assumed about when the old process ends.
-    zombies: Vec<(u64, Gate)>,
+    /// Gates of killed agents, with their clock rates. They are still checked, because an old process
+    /// may end later than its successor starts.
+    killed_gates: Vec<(u64, Gate)>,
+    /// Whether the last message from one process to another was lost.
     lost: BTreeMap<(VmId, VmId), bool>,
     listed: Vec<VmId>,
+    /// Version of the list of VMs.
     list: u64,
     state: StateView,
     starts: u64,
@@ -73,9 +76,10 @@
     steps: usize,
     /// Highest epoch below which an entry has begun to close.
     closing: Epoch,
-    pub(crate) calm: bool,
+    /// Whether faults and message loss are switched off.
+    pub(crate) faults_off: bool,
     pub(crate) log: String,
-    /// Epochs that some gate admitted, in order of time.
+    /// Epochs that any gate has admitted, in order of time.
     pub(crate) admitted: Vec<Epoch>,
 }
 
@@ -88,7 +92,7 @@
             count: 0,
             rng: plan.seed,
             processes: BTreeMap::new(),
-            zombies: Vec::new(),
+            killed_gates: Vec::new(),
             lost: BTreeMap::new(),
             listed: (0..plan.entries).map(entry_name).collect(),
             list: 0,
@@ -97,7 +101,7 @@
             replaced: 0,
             steps: 0,
             closing: 0,
-            calm: false,
+            faults_off: false,
             log: String::new(),
             admitted: Vec::new(),
             plan,
@@ -110,16 +114,16 @@
             let epoch = 10 * (u64::try_from(index).unwrap() + 1);
             world.push(at, Item::Edit(epoch));
         }
-        for (when, victim, fault) in world.plan.faults.clone() {
+        for (when, target, fault) in world.plan.faults.clone() {
             if let When::At(at) = when {
-                world.push(at, Item::Strike(victim, fault));
+                world.push(at, Item::Inject(target, fault));
             }
         }
         world
     }
 
-    /// Runs to the time `end` in ms. Returns a violation if two gates admit different epochs, or
-    /// if an epoch is admitted after a later one.
+    /// Runs until the time `end` in ms. Returns an error if two gates admit different epochs, or if an
+    /// epoch is admitted after a newer one.
     pub(crate) fn run(&mut self, end: u64) -> Result<(), String> {
         while let Some((&(at, count), _)) = self.queue.first_key_value() {
             if at > end {
@@ -127,7 +131,7 @@
             }
             let item = self.queue.remove(&(at, count)).unwrap();
             self.now = at;
-            self.take(item);
+            self.dispatch(item);
             self.check()?;
         }
         self.now = end;
@@ -149,7 +153,7 @@
 
     fn check(&mut self) -> Result<(), String> {
         let mut epochs: BTreeSet<Epoch> = self.admits().into_values().flatten().collect();
-        for (rate, gate) in &self.zombies {
+        for (rate, gate) in &self.killed_gates {
             epochs.extend(gate.admit(self.clock(*rate), None).map(|it| it.epoch));
         }
         if epochs.len() > 1 {
@@ -174,22 +178,22 @@
         Ok(())
     }
 
-    fn take(&mut self, item: Item) {
+    fn dispatch(&mut self, item: Item) {
         match item {
             Item::Start(vm) => self.start(vm),
-            Item::Strike(victim, fault) => {
-                let vm = self.name(victim, None);
-                self.strike(&vm, fault);
+            Item::Inject(target, fault) => {
+                let vm = self.resolve(target, None);
+                self.inject(&vm, fault);
             }
-            Item::Wake(vm, incarnation) => self.wake(&vm, incarnation),
+            Item::Resume(vm, incarnation) => self.resume(&vm, incarnation),
             Item::Edit(epoch) => self.edit(epoch),
             Item::To(vm, incarnation, event) => {
                 let Some(process) = self.processes.get_mut(&vm) else {
                     return;
                 };
                 if process.incarnation != incarnation {
-                } else if process.frozen {
-                    process.held.push(event);
+                } else if process.suspended {
+                    process.pending.push(event);
                 } else {
                     self.handle(&vm, event);
                 }
@@ -206,24 +210,25 @@
         let mut out = Vec::new();
         let before = Summary::of(&process, now);
         match &mut process.kind {
-            Kind::Entry(opener, words) => on_entry(now, vm, opener, words, event, &mut out),
+            Kind::Entry(opener, shell) => on_entry(now, vm, opener, shell, event, &mut out),
             Kind::Agent(agent) => {
                 self.on_agent(now, vm, incarnation, agent, event, &mut out);
             }
         }
         let after = Summary::of(&process, now);
         self.processes.insert(vm.clone(), process);
-        let mut send_after = 0;
+        let mut send_delay = 0;
         if before != after {
             self.note(vm, &after.to_string());
-            send_after = self.step(vm, before, after);
+            send_delay = self.step(vm, before, after);
         }
         for (delay, to, event) in out {
-            self.send(vm, incarnation, &to, delay, send_after, event);
+            self.send(vm, incarnation, &to, delay, send_delay, event);
         }
     }
 
-    /// Counts a step and strikes if a fault is planned for it. Returns how long sending is held up.
+    /// Counts a step and injects the faults that are planned for it. Returns the time in ms by which
+    /// the messages of the step are delayed.
     fn step(&mut self, actor: &VmId, before: Summary, after: Summary) -> u64 {
         let step = self.steps;
         self.steps += 1;
@@ -233,25 +238,25 @@
         };
         let first = self.closing < closes;
         self.closing = self.closing.max(closes);
-        let mut held_up = 0;
-        for (when, victim, fault) in self.plan.faults.clone() {
-            let strikes = match when {
+        let mut send_delay = 0;
+        for (when, target, fault) in self.plan.faults.clone() {
+            let due = match when {
                 When::At(_) => false,
                 When::Step(at) => at == step,
                 When::Close(epoch) => first && epoch == closes,
             };
-            if !strikes || self.calm {
+            if !due || self.faults_off {
                 continue;
             }
-            let vm = self.name(victim, Some(actor));
-            if let Fault::Freeze(length) = fault
+            let vm = self.resolve(target, Some(actor));
+            if let Fault::Suspend(length) = fault
                 && vm == *actor
             {
-                held_up = length;
+                send_delay = length;
             }
-            self.strike(&vm, fault);
+            self.inject(&vm, fault);
         }
-        held_up
+        send_delay
     }
 
     fn send(
@@ -260,16 +265,16 @@
         incarnation: Incarnation,
         to: &VmId,
         delay: Option<u64>,
-        held_up: u64,
+        send_delay: u64,
         event: Event,
     ) {
-        // An event to oneself with a delay is a timer.
+        // An event with a delay is a timer that a process sets for itself.
         if let Some(delay) = delay {
             let item = Item::To(to.clone(), incarnation, event);
             self.push(self.now + delay, item);
             return;
         }
-        let loss = if self.calm { 0 } else { self.plan.loss };
+        let loss = if self.faults_off { 0 } else { self.plan.loss };
         let lose = self.draw(100) < loss;
         let lost = self.lost.entry((from.clone(), to.clone())).or_default();
         *lost = lose && !*lost;
@@ -279,7 +284,7 @@
         let Some(target) = self.processes.get(to).map(|it| it.incarnation) else {
             return;
         };
-        let delay = 1 + self.draw(self.plan.delay) + held_up;
+        let delay = 1 + self.draw(self.plan.delay) + send_delay;
         self.push(self.now + delay, Item::To(to.clone(), target, event));
     }
 
@@ -292,12 +297,12 @@
         writeln!(self.log, "{:>6} {vm} {text}", self.now).unwrap();
     }
 
-    /// Returns the time by a clock that runs at `rate` in 1000.
+    /// Returns the time by a clock that runs at `rate`/1000 of the true rate.
     fn clock(&self, rate: u64) -> Instant {
         self.base + Duration::from_micros(1_000_000 + self.now * rate)
     }
 
-    /// Draws a number below `below` (splitmix64); 0 if that is 0.
+    /// Draws a random number below `below` (splitmix64), or 0 if `below` is 0.
     fn draw(&mut self, below: u64) -> u64 {
         self.rng = self.rng.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.rng;
--- a/crates/switch/tests/world/process.rs
+++ b/crates/switch/tests/world/process.rs
@@ -1,21 +1,21 @@
-//! Processes and their starts.
+//! Simulated processes and their start.
 
 use super::*;
 
 #[derive(Debug)]
 pub(super) struct Process {
     pub(super) incarnation: Incarnation,
-    pub(super) frozen: bool,
-    /// What came in while the process was frozen.
-    pub(super) held: Vec<Event>,
-    /// Runs of this clock in 1000 runs of the true one.
+    pub(super) suspended: bool,
+    /// Events received while the process was suspended.
+    pub(super) pending: Vec<Event>,
+    /// Rate of the process's clock, in thousandths of the true rate.
     pub(super) rate: u64,
     pub(super) kind: Kind,
 }
 
 #[derive(Debug)]
 pub(super) enum Kind {
-    Entry(Box<Opener>, Words),
+    Entry(Box<Opener>, ShellState),
     Agent(Box<Agent>),
 }
 
@@ -37,15 +37,15 @@
                 lease: Duration::from_millis(LEASE_MS),
             };
             let mut opener = Opener::new(cfg, now);
-            // A process has its list of VMs before it starts its rounds.
+            // An entry has the list of VMs before it starts its sync rounds.
             opener.on_entries(now, &vm_entries(&self.listed, VmRole::Entry));
             let agents: Vec<VmId> = (0..self.plan.agents).map(agent_name).collect();
             opener.on_vms(now, &vm_entries(&agents, VmRole::Upstream));
             Kind::Entry(
                 Box::new(opener),
-                Words {
+                ShellState {
                     list: self.list,
-                    ..Words::default()
+                    ..ShellState::default()
                 },
             )
         } else {
@@ -57,8 +57,8 @@
         };
         let process = Process {
             incarnation,
-            frozen: false,
-            held: Vec::new(),
+            suspended: false,
+            pending: Vec::new(),
             rate,
             kind,
         };
