--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -169,7 +169,7 @@
     /// Counts a request of `customer` and says whether it is within the limit.
     pub(crate) fn limit(&self, customer: &str) -> LimitVerdict {
         let inner = &mut *self.lock();
-        inner.limits.ask(customer, Instant::now(), &mut inner.rng)
+        inner.limits.admit(customer, Instant::now(), &mut inner.rng)
     }
 
     /// Returns what each customer asked lately, a second.
--- a/crates/route/src/limits.rs
+++ b/crates/route/src/limits.rs
@@ -64,7 +64,7 @@
     }
 
     /// Counts a request of `customer` at `now` and says whether it is within the limit.
-    pub fn ask<R>(&mut self, customer: &str, now: Instant, rng: &mut R) -> LimitVerdict
+    pub fn admit<R>(&mut self, customer: &str, now: Instant, rng: &mut R) -> LimitVerdict
     where
         R: Rng,
     {
--- a/crates/route/tests/limits.rs
+++ b/crates/route/tests/limits.rs
@@ -87,7 +87,7 @@
                 entry.owed += entry.rate * STEP.as_secs_f64();
                 while entry.owed >= 1.0 {
                     entry.owed -= 1.0;
-                    let verdict = entry.limits.ask(CUSTOMER, self.now, &mut self.rng);
+                    let verdict = entry.limits.admit(CUSTOMER, self.now, &mut self.rng);
                     entry.within += u32::from(verdict == LimitVerdict::Within);
                 }
             }
@@ -176,10 +176,10 @@
     let now = Instant::now();
     let mut limits = Limits::new(1.0);
     limits.set_document(&document(2.0, 1));
-    assert_eq!(limits.ask(CUSTOMER, now, &mut rng), LimitVerdict::Within);
+    assert_eq!(limits.admit(CUSTOMER, now, &mut rng), LimitVerdict::Within);
     let mut waits = Vec::new();
     for _ in 0..20 {
-        let LimitVerdict::Over(wait) = limits.ask(CUSTOMER, now, &mut rng) else {
+        let LimitVerdict::Over(wait) = limits.admit(CUSTOMER, now, &mut rng) else {
             panic!("within the limit");
         };
         assert!((500..=750).contains(&wait.as_millis()), "{wait:?}");
