--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -13,7 +13,7 @@
 use wagtailreel_core::headers::{DEADLINE_MS, EPOCH, PRIORITY, WEIGHTS};
 use wagtailreel_core::{Digest, Epoch, NotRunReason, Outcome, Priority, ServiceKind, headers};
 use wagtailreel_route::{
-    Ask, Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, prefix_of,
+    Requirements, Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, prefix_of,
 };
 
 use crate::claims::ClaimTicket;
@@ -98,9 +98,9 @@
             (Payload::Generate(_), None) => Repeat::Resumable,
             _ => Repeat::Never,
         };
-        let ask = Ask {
+        let needs = Requirements {
             needs_open: head.document.kind == ServiceKind::Engine,
-            ..Ask::default()
+            ..Requirements::default()
         };
         let room_wait = match head.priority {
             Priority::High => ROOM_WAIT,
@@ -111,7 +111,7 @@
             room_wait,
             ..AttemptsConfig::default()
         };
-        let attempts = Attempts::new(cfg, repeat, ask).with_deadline(head.deadline);
+        let attempts = Attempts::new(cfg, repeat, needs).with_deadline(head.deadline);
         Self {
             cx: Arc::clone(cx),
             head,
@@ -380,7 +380,7 @@
             let left = deadline.saturating_duration_since(Instant::now());
             headers.insert(DEADLINE_MS, text(&left.as_millis().to_string())?);
         }
-        if let Some(pin) = self.attempts.ask().pin {
+        if let Some(pin) = self.attempts.needs().pin {
             headers.insert(PIN, text(&pin.to_string())?);
         }
         if self.attempts.resume_from() > 0 {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -229,7 +229,7 @@
         }
         let choice = inner
             .chooser
-            .choose(&inner.membership, attempts.ask(), now, &mut inner.rng);
+            .choose(&inner.membership, attempts.needs(), now, &mut inner.rng);
         let vm = match choice {
             Choice::Upstream(vm) => vm,
             Choice::Short(shortage) => return Err(attempts.short(shortage, now)),
--- a/crates/route/src/attempts.rs
+++ b/crates/route/src/attempts.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, RngExt as _};
 use wagtailreel_core::{Digest, NotRunReason};
 
-use crate::{Ask, RetryBudget, Shortage};
+use crate::{Requirements, RetryBudget, Shortage};
 
 /// How often and how long a request is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -125,7 +125,7 @@
     cfg: AttemptsConfig,
     repeat: Repeat,
     deadline: Option<Instant>,
-    ask: Ask,
+    needs: Requirements,
     sent: u32,
     resume_from: u64,
     started: bool,
@@ -139,12 +139,12 @@
 
 impl Attempts {
     /// Makes the attempts of a request that has not been sent.
-    pub fn new(cfg: AttemptsConfig, repeat: Repeat, ask: Ask) -> Self {
+    pub fn new(cfg: AttemptsConfig, repeat: Repeat, needs: Requirements) -> Self {
         Self {
             cfg,
             repeat,
             deadline: None,
-            ask,
+            needs,
             sent: 0,
             resume_from: 0,
             started: false,
@@ -166,7 +166,7 @@
 
     /// Sets the hash of the prompt's head, for prefix affinity.
     pub fn set_prefix(&mut self, prefix: u64) {
-        self.ask.prefix = Some(prefix);
+        self.needs.prefix = Some(prefix);
     }
 
     /// Returns whether the request may be started a second time.
@@ -196,8 +196,8 @@
     }
 
     /// Returns what the choice of an upstream has to go by.
-    pub fn ask(&self) -> &Ask {
-        &self.ask
+    pub fn needs(&self) -> &Requirements {
+        &self.needs
     }
 
     /// Returns the index of the first token that the next attempt has to give.
@@ -218,7 +218,7 @@
     /// Takes that an attempt goes to `vm`.
     pub fn sending(&mut self, vm: &str) {
         self.sent += 1;
-        self.ask.tried.insert(vm.to_owned());
+        self.needs.tried.insert(vm.to_owned());
     }
 
     /// Takes that no upstream can be chosen at `now`.
@@ -253,7 +253,7 @@
             Ended::Refused(reason @ (NotRunReason::Closed | NotRunReason::Lease), retry_after) => {
                 // The switch, not the request, kept the agent from running it: neither the
                 // budget nor the count of attempts is spent, and the agent may be asked again.
-                self.ask.tried.remove(vm);
+                self.needs.tried.remove(vm);
                 self.sent = self.sent.saturating_sub(1);
                 self.last_refusal = Some((reason, retry_after));
                 Next::Send
@@ -266,7 +266,7 @@
                 self.not_started(NotRunReason::Cancelled, None, now, budget)
             }
             Ended::Cancelled(CancelState::Started | CancelState::Done) | Ended::CancelLost => {
-                self.resume_at(self.resume_from, self.ask.pin, UnknownReason::AnswerLost)
+                self.resume_at(self.resume_from, self.needs.pin, UnknownReason::AnswerLost)
             }
             Ended::Cut { next, weights } => self.resume_at(next, weights, UnknownReason::Cut),
         }
@@ -281,7 +281,7 @@
     ) -> Next {
         if self.started {
             // An earlier attempt was started, so this one's refusal says nothing of the whole.
-            return self.resume_at(self.resume_from, self.ask.pin, UnknownReason::Cut);
+            return self.resume_at(self.resume_from, self.needs.pin, UnknownReason::Cut);
         }
         self.last_refusal = Some((reason, retry_after));
         if is_final(reason) {
@@ -301,10 +301,10 @@
         self.started = true;
         self.resume_from = self.resume_from.max(next);
         if weights.is_some() {
-            self.ask.pin = weights;
+            self.needs.pin = weights;
         }
         // Tokens that the caller has are only continued by the weights that gave them.
-        let continues = self.resume_from == 0 || self.ask.pin.is_some();
+        let continues = self.resume_from == 0 || self.needs.pin.is_some();
         if self.repeat == Repeat::Never || !continues || self.sent >= self.cfg.most {
             return Next::Unknown(reason);
         }
@@ -318,8 +318,8 @@
         if now < until {
             return Next::Await(until);
         }
-        if !self.ask.waited {
-            self.ask.waited = true;
+        if !self.needs.waited {
+            self.needs.waited = true;
             return Next::Send;
         }
         Next::NotRun(NotRunReason::Closed, None)
@@ -341,7 +341,7 @@
         let until = self.deadline.map_or(until, |deadline| deadline.min(until));
         if now < until {
             // Those that were full may have room by then.
-            self.ask.tried.clear();
+            self.needs.tried.clear();
             return Next::Await(until);
         }
         let retry_after = self.last_refusal.and_then(|it| it.1);
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -35,7 +35,7 @@
 
 /// What one request asks of the choice.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Requirements {
     /// Hash of the prompt's head, for prefix affinity.
     pub prefix: Option<u64>,
     /// The request may run only on these weights.
@@ -104,7 +104,7 @@
         self
     }
 
-    /// Chooses an upstream of `membership` for `ask` at `now`.
+    /// Chooses an upstream of `membership` for `needs` at `now`.
     ///
     /// Upstreams of the entry's own data centre go first, then those of its region, then others.
     /// While its own data centre is closed for a switch the request waits rather than leave it,
@@ -113,7 +113,7 @@
     pub fn choose<R>(
         &mut self,
         membership: &Membership,
-        ask: &Ask,
+        needs: &Requirements,
         now: Instant,
         rng: &mut R,
     ) -> Choice
@@ -130,23 +130,23 @@
             .filter(|member| member.report.data_centre == self.data_centre)
             .collect();
         let home_epoch = home.iter().filter_map(|member| member.open()).max();
-        let switching = !home.is_empty() && home.iter().all(|member| is_shut(member, ask));
-        if switching && ask.pin.is_none() && !ask.waited {
+        let switching = !home.is_empty() && home.iter().all(|member| is_shut(member, needs));
+        if switching && needs.pin.is_none() && !needs.waited {
             return Choice::Short(Shortage::Closed);
         }
         let admitting: Vec<&Member> = usable
             .into_iter()
-            .filter(|member| self.admits(member, ask, home_epoch))
+            .filter(|member| self.admits(member, needs, home_epoch))
             .collect();
         if admitting.is_empty() {
-            let shortage = if ask.pin.is_some() {
+            let shortage = if needs.pin.is_some() {
                 Shortage::Weights
             } else {
                 Shortage::Closed
             };
             return Choice::Short(shortage);
         }
-        self.choose_admitting(&admitting, ask, rng)
+        self.choose_admitting(&admitting, needs, rng)
     }
 
     /// Returns the capacity that requests can use at `now`, and what other entries have there.
@@ -154,9 +154,9 @@
     /// It counts the upstreams that [`Chooser::choose`] would take; while the own data centre is
     /// closed for a switch, those that will open again.
     pub fn room(&self, membership: &Membership, needs_open: bool, now: Instant) -> (u32, u32) {
-        let ask = Ask {
+        let needs = Requirements {
             needs_open,
-            ..Ask::default()
+            ..Requirements::default()
         };
         let home_epoch = membership
             .usable(now)
@@ -167,7 +167,7 @@
             .usable(now)
             .filter(|member| {
                 member.report.data_centre == self.data_centre
-                    || self.admits(member, &ask, home_epoch)
+                    || self.admits(member, &needs, home_epoch)
             })
             .fold((0, 0), |(capacity, others), member| {
                 (
@@ -177,29 +177,29 @@
             })
     }
 
-    fn admits(&self, member: &Member, ask: &Ask, home_epoch: Option<Epoch>) -> bool {
-        if is_shut(member, ask) {
+    fn admits(&self, member: &Member, needs: &Requirements, home_epoch: Option<Epoch>) -> bool {
+        if is_shut(member, needs) {
             return false;
         }
-        if !ask.needs_open {
+        if !needs.needs_open {
             return true;
         }
-        if ask.pin.is_some() {
-            return member.open_weights() == ask.pin;
+        if needs.pin.is_some() {
+            return member.open_weights() == needs.pin;
         }
         member.report.data_centre == self.data_centre
             || home_epoch.is_none()
             || home_epoch == member.open()
     }
 
-    fn choose_admitting<R>(&mut self, admitting: &[&Member], ask: &Ask, rng: &mut R) -> Choice
+    fn choose_admitting<R>(&mut self, admitting: &[&Member], needs: &Requirements, rng: &mut R) -> Choice
     where
         R: Rng,
     {
         let untried: Vec<&Member> = admitting
             .iter()
             .copied()
-            .filter(|member| !ask.tried.contains(&member.report.vm))
+            .filter(|member| !needs.tried.contains(&member.report.vm))
             .collect();
         if untried.is_empty() {
             return Choice::Short(Shortage::Tried);
@@ -216,7 +216,7 @@
             .filter(|member| self.distance(member) == nearest)
             .collect();
         let chosen = match self.policy {
-            Policy::OwnFirst => own_first(&near, ask.prefix, rng),
+            Policy::OwnFirst => own_first(&near, needs.prefix, rng),
             Policy::RoundRobin => self.round_robin(&near),
             Policy::LeastReported => least_reported(&near),
         };
@@ -244,8 +244,8 @@
 
 /// Says whether `member` takes no request now: a plain service's agent says so by a refusal only,
 /// an engine's also by having no epoch open.
-fn is_shut(member: &Member, ask: &Ask) -> bool {
-    member.is_closed() || (ask.needs_open && member.open().is_none())
+fn is_shut(member: &Member, needs: &Requirements) -> bool {
+    member.is_closed() || (needs.needs_open && member.open().is_none())
 }
 
 /// Returns the hash of the head of `prompt`, by which prompts with a common head meet.
--- a/crates/route/tests/choice.rs
+++ b/crates/route/tests/choice.rs
@@ -13,17 +13,17 @@
 use rstest::rstest;
 use wagtailreel_core::{Digest, NotRunReason, Report};
 use wagtailreel_route::{
-    Ask, Choice, Chooser, Membership, MembershipConfig, Policy, Shortage, prefix_of,
+    Requirements, Choice, Chooser, Membership, MembershipConfig, Policy, Shortage, prefix_of,
 };
 
 fn chooser() -> Chooser {
     Chooser::new("quito-hall".to_owned(), "sierra".to_owned())
 }
 
-fn ask() -> Ask {
-    Ask {
+fn needs() -> Requirements {
+    Requirements {
         needs_open: true,
-        ..Ask::default()
+        ..Requirements::default()
     }
 }
 
@@ -45,12 +45,12 @@
 }
 
 /// Sends `requests` one after the other and returns the VMs, none finishing.
-fn send(members: &mut Membership, chooser: &mut Chooser, ask: &Ask, requests: usize) -> String {
+fn send(members: &mut Membership, chooser: &mut Chooser, needs: &Requirements, requests: usize) -> String {
     let mut rng = StdRng::seed_from_u64(7);
     let now = members.members().next().unwrap().received;
     let mut vms = Vec::new();
     for _ in 0..requests {
-        match chooser.choose(members, ask, now, &mut rng) {
+        match chooser.choose(members, needs, now, &mut rng) {
             Choice::Upstream(vm) => {
                 members.started(&vm);
                 vms.push(vm);
@@ -80,7 +80,7 @@
         now,
     );
     let mut chooser = chooser().with_policy(policy);
-    let vms = send(&mut members, &mut chooser, &ask(), 14);
+    let vms = send(&mut members, &mut chooser, &needs(), 14);
     assert_snapshot!(format!("spill_over_{policy}"), vms);
 }
 
@@ -96,11 +96,11 @@
     let mut text = String::new();
     for prompt in ["in memory of", "on the 4th of May"] {
         let mut members = members_of(&reports, now);
-        let ask = Ask {
+        let needs = Requirements {
             prefix: Some(prefix_of(prompt)),
-            ..ask()
+            ..needs()
         };
-        let vms = send(&mut members, &mut chooser(), &ask, 9);
+        let vms = send(&mut members, &mut chooser(), &needs, 9);
         writeln!(text, "{prompt}: {vms}").unwrap();
     }
     assert_snapshot!(text);
@@ -114,14 +114,14 @@
     let reports = [report("u1", 1, 1), far("far", "cuenca-hall", "austro", 1)];
     let mut members = members_of(&reports, now);
     members.refused("u1", NotRunReason::Closed);
-    let ask = Ask {
+    let needs = Requirements {
         needs_open,
-        ..Ask::default()
+        ..Requirements::default()
     };
-    assert_eq!(send(&mut members, &mut chooser(), &ask, 1), "(closed)");
-    let waited = Ask {
+    assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "(closed)");
+    let waited = Requirements {
         waited: true,
-        ..ask
+        ..needs
     };
     assert_eq!(send(&mut members, &mut chooser(), &waited, 1), "far");
 }
@@ -134,15 +134,15 @@
         ..report("u2", 1, 1)
     };
     let mut members = members_of(&[report("u1", 1, 1), other], now);
-    let mut ask = Ask {
+    let mut needs = Requirements {
         pin: Some(weights()),
-        ..ask()
+        ..needs()
     };
-    assert_eq!(send(&mut members, &mut chooser(), &ask, 1), "u1");
-    ask.tried.insert("u1".to_owned());
-    assert_eq!(send(&mut members, &mut chooser(), &ask, 1), "(tried)");
-    ask.pin = Some(Digest::of(b"gone"));
+    assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "u1");
+    needs.tried.insert("u1".to_owned());
+    assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "(tried)");
+    needs.pin = Some(Digest::of(b"gone"));
     let short = Choice::Short(Shortage::Weights);
     let mut rng = StdRng::seed_from_u64(7);
-    assert_eq!(chooser().choose(&members, &ask, now, &mut rng), short);
+    assert_eq!(chooser().choose(&members, &needs, now, &mut rng), short);
 }
--- a/crates/route/tests/retries.rs
+++ b/crates/route/tests/retries.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::{Just, Strategy, any, prop, prop_oneof, proptest};
 use wagtailreel_core::{Digest, NotRunReason};
 use wagtailreel_route::{
-    Ask, Attempts, AttemptsConfig, BudgetConfig, CancelState, Ended, Next, Repeat, RetryBudget,
+    Requirements, Attempts, AttemptsConfig, BudgetConfig, CancelState, Ended, Next, Repeat, RetryBudget,
     Shortage,
 };
 
@@ -21,7 +21,7 @@
 
 fn session(repeat: Repeat, ends: &[Ended]) -> String {
     let start = Instant::now();
-    let mut attempts = Attempts::new(AttemptsConfig::default(), repeat, Ask::default());
+    let mut attempts = Attempts::new(AttemptsConfig::default(), repeat, Requirements::default());
     let mut budget = budget();
     let mut text = String::new();
     for (index, ended) in ends.iter().enumerate() {
@@ -81,7 +81,7 @@
 fn switch_wait() {
     let start = Instant::now();
     let cfg = AttemptsConfig::default();
-    let mut attempts = Attempts::new(cfg, Repeat::Never, Ask::default());
+    let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
     let mut budget = budget();
     let before = budget.left();
     for sequence in 0..5 {
@@ -95,7 +95,7 @@
     assert!((budget.left() - before).abs() < f64::EPSILON);
     let over = start + cfg.switch_wait;
     assert_eq!(attempts.short(Shortage::Closed, over), Next::Send);
-    assert!(attempts.ask().waited);
+    assert!(attempts.needs().waited);
     let last = attempts.short(Shortage::Closed, over);
     assert_eq!(last, Next::NotRun(NotRunReason::Closed, None));
 }
@@ -104,7 +104,7 @@
 fn upstream_wait() {
     let start = Instant::now();
     let cfg = AttemptsConfig::default();
-    let mut attempts = Attempts::new(cfg, Repeat::Never, Ask::default());
+    let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
     let until = start + cfg.upstream_wait;
     for at in [start, start + cfg.upstream_wait / 2] {
         assert_eq!(attempts.short(Shortage::NoUpstream, at), Next::Await(until));
@@ -123,7 +123,7 @@
             room_wait,
             ..AttemptsConfig::default()
         };
-        let mut attempts = Attempts::new(cfg, Repeat::Never, Ask::default());
+        let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
         attempts.sending("u1");
         let next = attempts.ended("u1", full.clone(), start, &mut budget());
         assert_eq!(next, Next::Send);
@@ -134,14 +134,14 @@
     assert_eq!(run(Duration::ZERO).1, refused);
     let (mut attempts, next) = run(wait);
     assert_eq!(next, Next::Await(start + wait));
-    assert!(attempts.ask().tried.is_empty());
+    assert!(attempts.needs().tried.is_empty());
     assert_eq!(attempts.short(Shortage::Full, start + wait), refused);
 }
 
 #[test]
 fn first_look() {
     let cfg = AttemptsConfig::default();
-    let mut attempts = Attempts::new(cfg, Repeat::Never, Ask::default());
+    let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
     assert!(attempts.is_first_look());
     assert!(!attempts.is_first_look());
 }
@@ -173,7 +173,7 @@
     ) {
         let start = Instant::now();
         let repeat = if order { Repeat::Never } else { Repeat::Resumable };
-        let mut attempts = Attempts::new(AttemptsConfig::default(), repeat, Ask::default());
+        let mut attempts = Attempts::new(AttemptsConfig::default(), repeat, Requirements::default());
         let mut budget = RetryBudget::new(BudgetConfig { ratio: 0.1, burst: 2.0 });
         let mut maybe_started = false;
         for ended in ends {
