--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -232,10 +232,10 @@
             .choose(&inner.membership, attempts.needs(), now, &mut inner.rng);
         let vm = match choice {
             Choice::Upstream(vm) => vm,
-            Choice::Short(shortage) => return Err(attempts.short(shortage, now)),
+            Choice::Unavailable(shortage) => return Err(attempts.short(shortage, now)),
         };
         let Some(member) = inner.membership.get(&vm) else {
-            return Err(attempts.short(wagtailreel_route::Shortage::NoUpstream, now));
+            return Err(attempts.short(wagtailreel_route::Unavailable::NoUpstream, now));
         };
         let addr = member.report.data;
         let incarnation = member.report.incarnation;
--- a/crates/route/src/attempts.rs
+++ b/crates/route/src/attempts.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, RngExt as _};
 use wagtailreel_core::{Digest, NotRunReason};
 
-use crate::{Requirements, RetryBudget, Shortage};
+use crate::{Requirements, RetryBudget, Unavailable};
 
 /// How often and how long a request is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -222,7 +222,7 @@
     }
 
     /// Takes that no upstream can be chosen at `now`.
-    pub fn short(&mut self, shortage: Shortage, now: Instant) -> Next {
+    pub fn short(&mut self, shortage: Unavailable, now: Instant) -> Next {
         if self.started {
             return self.await_replica(now);
         }
@@ -230,12 +230,12 @@
             return Next::NotRun(NotRunReason::Deadline, None);
         }
         match shortage {
-            Shortage::Closed => self.await_switch(now),
-            Shortage::NoUpstream => self.await_upstream(now),
-            Shortage::Weights => Next::NotRun(NotRunReason::Weights, None),
-            Shortage::Full => self.await_room(now),
-            Shortage::Tried if self.was_full() => self.await_room(now),
-            Shortage::Tried => self.give_up(),
+            Unavailable::Closed => self.await_switch(now),
+            Unavailable::NoUpstream => self.await_upstream(now),
+            Unavailable::Weights => Next::NotRun(NotRunReason::Weights, None),
+            Unavailable::Full => self.await_room(now),
+            Unavailable::Tried if self.was_full() => self.await_room(now),
+            Unavailable::Tried => self.give_up(),
         }
     }
 
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -54,12 +54,12 @@
     /// Send the request to this VM.
     Upstream(VmId),
     /// No upstream can take it now.
-    Short(Shortage),
+    Unavailable(Unavailable),
 }
 
 /// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum Shortage {
+pub enum Unavailable {
     /// None is known and usable.
     #[display("no-upstream")]
     NoUpstream,
@@ -122,7 +122,7 @@
     {
         let usable: Vec<&Member> = membership.usable(now).collect();
         if usable.is_empty() {
-            return Choice::Short(Shortage::NoUpstream);
+            return Choice::Unavailable(Unavailable::NoUpstream);
         }
         let home: Vec<&Member> = usable
             .iter()
@@ -132,7 +132,7 @@
         let home_epoch = home.iter().filter_map(|member| member.open()).max();
         let switching = !home.is_empty() && home.iter().all(|member| is_shut(member, needs));
         if switching && needs.pin.is_none() && !needs.waited {
-            return Choice::Short(Shortage::Closed);
+            return Choice::Unavailable(Unavailable::Closed);
         }
         let admitting: Vec<&Member> = usable
             .into_iter()
@@ -140,11 +140,11 @@
             .collect();
         if admitting.is_empty() {
             let shortage = if needs.pin.is_some() {
-                Shortage::Weights
+                Unavailable::Weights
             } else {
-                Shortage::Closed
+                Unavailable::Closed
             };
-            return Choice::Short(shortage);
+            return Choice::Unavailable(shortage);
         }
         self.choose_admitting(&admitting, needs, rng)
     }
@@ -202,14 +202,14 @@
             .filter(|member| !needs.tried.contains(&member.report.vm))
             .collect();
         if untried.is_empty() {
-            return Choice::Short(Shortage::Tried);
+            return Choice::Unavailable(Unavailable::Tried);
         }
         let with_room: Vec<&Member> = untried
             .into_iter()
             .filter(|member| member.in_flight() < member.report.capacity)
             .collect();
         let Some(nearest) = with_room.iter().map(|member| self.distance(member)).min() else {
-            return Choice::Short(Shortage::Full);
+            return Choice::Unavailable(Unavailable::Full);
         };
         let near: Vec<&Member> = with_room
             .into_iter()
@@ -220,7 +220,7 @@
             Policy::RoundRobin => self.round_robin(&near),
             Policy::LeastReported => least_reported(&near),
         };
-        chosen.map_or(Choice::Short(Shortage::NoUpstream), |member| {
+        chosen.map_or(Choice::Unavailable(Unavailable::NoUpstream), |member| {
             Choice::Upstream(member.report.vm.clone())
         })
     }
--- a/crates/route/tests/choice.rs
+++ b/crates/route/tests/choice.rs
@@ -13,7 +13,7 @@
 use rstest::rstest;
 use wagtailreel_core::{Digest, NotRunReason, Report};
 use wagtailreel_route::{
-    Requirements, Choice, Chooser, Membership, MembershipConfig, Policy, Shortage, prefix_of,
+    Requirements, Choice, Chooser, Membership, MembershipConfig, Policy, Unavailable, prefix_of,
 };
 
 fn chooser() -> Chooser {
@@ -55,7 +55,7 @@
                 members.started(&vm);
                 vms.push(vm);
             }
-            Choice::Short(shortage) => vms.push(format!("({shortage})")),
+            Choice::Unavailable(shortage) => vms.push(format!("({shortage})")),
         }
     }
     vms.join(" ")
@@ -142,7 +142,7 @@
     needs.tried.insert("u1".to_owned());
     assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "(tried)");
     needs.pin = Some(Digest::of(b"gone"));
-    let short = Choice::Short(Shortage::Weights);
+    let short = Choice::Unavailable(Unavailable::Weights);
     let mut rng = StdRng::seed_from_u64(7);
     assert_eq!(chooser().choose(&members, &needs, now, &mut rng), short);
 }
--- a/crates/route/tests/retries.rs
+++ b/crates/route/tests/retries.rs
@@ -12,7 +12,7 @@
 use wagtailreel_core::{Digest, NotRunReason};
 use wagtailreel_route::{
     Requirements, Attempts, AttemptsConfig, BudgetConfig, CancelState, Ended, Next, Repeat, RetryBudget,
-    Shortage,
+    Unavailable,
 };
 
 fn budget() -> RetryBudget {
@@ -90,13 +90,13 @@
         assert_eq!(attempts.ended("u1", closed, start, &mut budget), Next::Send);
         let until = start + cfg.switch_wait;
         let at = start + Duration::from_millis(sequence * 300);
-        assert_eq!(attempts.short(Shortage::Closed, at), Next::Await(until));
+        assert_eq!(attempts.short(Unavailable::Closed, at), Next::Await(until));
     }
     assert!((budget.left() - before).abs() < f64::EPSILON);
     let over = start + cfg.switch_wait;
-    assert_eq!(attempts.short(Shortage::Closed, over), Next::Send);
+    assert_eq!(attempts.short(Unavailable::Closed, over), Next::Send);
     assert!(attempts.needs().waited);
-    let last = attempts.short(Shortage::Closed, over);
+    let last = attempts.short(Unavailable::Closed, over);
     assert_eq!(last, Next::NotRun(NotRunReason::Closed, None));
 }
 
@@ -107,9 +107,9 @@
     let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
     let until = start + cfg.upstream_wait;
     for at in [start, start + cfg.upstream_wait / 2] {
-        assert_eq!(attempts.short(Shortage::NoUpstream, at), Next::Await(until));
+        assert_eq!(attempts.short(Unavailable::NoUpstream, at), Next::Await(until));
     }
-    let last = attempts.short(Shortage::NoUpstream, until);
+    let last = attempts.short(Unavailable::NoUpstream, until);
     assert_eq!(last, Next::NotRun(NotRunReason::NoUpstream, None));
 }
 
@@ -127,7 +127,7 @@
         attempts.sending("u1");
         let next = attempts.ended("u1", full.clone(), start, &mut budget());
         assert_eq!(next, Next::Send);
-        let next = attempts.short(Shortage::Tried, start);
+        let next = attempts.short(Unavailable::Tried, start);
         (attempts, next)
     };
     let refused = Next::NotRun(NotRunReason::Full, None);
@@ -135,7 +135,7 @@
     let (mut attempts, next) = run(wait);
     assert_eq!(next, Next::Await(start + wait));
     assert!(attempts.needs().tried.is_empty());
-    assert_eq!(attempts.short(Shortage::Full, start + wait), refused);
+    assert_eq!(attempts.short(Unavailable::Full, start + wait), refused);
 }
 
 #[test]
