--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -13,7 +13,7 @@
 use wagtailreel_core::headers::{DEADLINE_MS, EPOCH, PRIORITY, WEIGHTS};
 use wagtailreel_core::{Digest, Epoch, NotRunReason, Outcome, Priority, ServiceKind, headers};
 use wagtailreel_route::{
-    Requirements, Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, prefix_of,
+    Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, Requirements, prefix_of,
 };
 
 use crate::claims::ClaimTicket;
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -232,15 +232,15 @@
             .choose(&inner.membership, attempts.needs(), now, &mut inner.rng);
         let vm = match choice {
             Choice::Upstream(vm) => vm,
-            Choice::Unavailable(shortage) => return Err(attempts.short(shortage, now)),
+            Choice::Unavailable(reason) => return Err(attempts.on_unavailable(reason, now)),
         };
         let Some(member) = inner.membership.get(&vm) else {
-            return Err(attempts.short(wagtailreel_route::Unavailable::NoUpstream, now));
+            return Err(attempts.on_unavailable(wagtailreel_route::Unavailable::NoUpstream, now));
         };
         let addr = member.report.data;
         let incarnation = member.report.incarnation;
         inner.membership.started(&vm);
-        attempts.sending(&vm);
+        attempts.on_send(&vm);
         Ok(Slot {
             service: Arc::clone(self),
             vm,
--- a/crates/route/src/attempts.rs
+++ b/crates/route/src/attempts.rs
@@ -216,20 +216,20 @@
     }
 
     /// Takes that an attempt goes to `vm`.
-    pub fn sending(&mut self, vm: &str) {
+    pub fn on_send(&mut self, vm: &str) {
         self.sent += 1;
         self.needs.tried.insert(vm.to_owned());
     }
 
     /// Takes that no upstream can be chosen at `now`.
-    pub fn short(&mut self, shortage: Unavailable, now: Instant) -> Next {
+    pub fn on_unavailable(&mut self, reason: Unavailable, now: Instant) -> Next {
         if self.started {
             return self.await_replica(now);
         }
         if self.is_late(now) {
             return Next::NotRun(NotRunReason::Deadline, None);
         }
-        match shortage {
+        match reason {
             Unavailable::Closed => self.await_switch(now),
             Unavailable::NoUpstream => self.await_upstream(now),
             Unavailable::Weights => Next::NotRun(NotRunReason::Weights, None),
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -139,12 +139,12 @@
             .filter(|member| self.admits(member, needs, home_epoch))
             .collect();
         if admitting.is_empty() {
-            let shortage = if needs.pin.is_some() {
+            let reason = if needs.pin.is_some() {
                 Unavailable::Weights
             } else {
                 Unavailable::Closed
             };
-            return Choice::Unavailable(shortage);
+            return Choice::Unavailable(reason);
         }
         self.choose_admitting(&admitting, needs, rng)
     }
@@ -192,7 +192,12 @@
             || home_epoch == member.open()
     }
 
-    fn choose_admitting<R>(&mut self, admitting: &[&Member], needs: &Requirements, rng: &mut R) -> Choice
+    fn choose_admitting<R>(
+        &mut self,
+        admitting: &[&Member],
+        needs: &Requirements,
+        rng: &mut R,
+    ) -> Choice
     where
         R: Rng,
     {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -18,7 +18,7 @@
     Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, RetryAfter, UnknownReason,
 };
 pub use budget::{BudgetConfig, RetryBudget};
-pub use chooser::{Requirements, Choice, Chooser, Policy, Unavailable, prefix_of};
+pub use chooser::{Choice, Chooser, Policy, Requirements, Unavailable, prefix_of};
 pub use limits::{LimitVerdict, Limits};
 pub use membership::{Heard, Member, Membership, MembershipConfig, Standing};
 pub use overload::{Admission, Overload, OverloadConfig, QueueEvent, WaiterId};
--- a/crates/route/tests/choice.rs
+++ b/crates/route/tests/choice.rs
@@ -13,7 +13,7 @@
 use rstest::rstest;
 use wagtailreel_core::{Digest, NotRunReason, Report};
 use wagtailreel_route::{
-    Requirements, Choice, Chooser, Membership, MembershipConfig, Policy, Unavailable, prefix_of,
+    Choice, Chooser, Membership, MembershipConfig, Policy, Requirements, Unavailable, prefix_of,
 };
 
 fn chooser() -> Chooser {
@@ -45,7 +45,12 @@
 }
 
 /// Sends `requests` one after the other and returns the VMs, none finishing.
-fn send(members: &mut Membership, chooser: &mut Chooser, needs: &Requirements, requests: usize) -> String {
+fn send(
+    members: &mut Membership,
+    chooser: &mut Chooser,
+    needs: &Requirements,
+    requests: usize,
+) -> String {
     let mut rng = StdRng::seed_from_u64(7);
     let now = members.members().next().unwrap().received;
     let mut vms = Vec::new();
@@ -55,7 +60,7 @@
                 members.started(&vm);
                 vms.push(vm);
             }
-            Choice::Unavailable(shortage) => vms.push(format!("({shortage})")),
+            Choice::Unavailable(reason) => vms.push(format!("({reason})")),
         }
     }
     vms.join(" ")
--- a/crates/route/tests/retries.rs
+++ b/crates/route/tests/retries.rs
@@ -11,8 +11,8 @@
 use proptest::prelude::{Just, Strategy, any, prop, prop_oneof, proptest};
 use wagtailreel_core::{Digest, NotRunReason};
 use wagtailreel_route::{
-    Requirements, Attempts, AttemptsConfig, BudgetConfig, CancelState, Ended, Next, Repeat, RetryBudget,
-    Unavailable,
+    Attempts, AttemptsConfig, BudgetConfig, CancelState, Ended, Next, Repeat, Requirements,
+    RetryBudget, Unavailable,
 };
 
 fn budget() -> RetryBudget {
@@ -26,7 +26,7 @@
     let mut text = String::new();
     for (index, ended) in ends.iter().enumerate() {
         let vm = format!("u{}", index + 1);
-        attempts.sending(&vm);
+        attempts.on_send(&vm);
         let next = attempts.ended(&vm, ended.clone(), start, &mut budget);
         let from = attempts.resume_from();
         writeln!(text, "{vm} {ended:?} -> {next:?}, from {from}").unwrap();
@@ -85,18 +85,24 @@
     let mut budget = budget();
     let before = budget.left();
     for sequence in 0..5 {
-        attempts.sending("u1");
+        attempts.on_send("u1");
         let closed = Ended::Refused(NotRunReason::Closed, None);
         assert_eq!(attempts.ended("u1", closed, start, &mut budget), Next::Send);
         let until = start + cfg.switch_wait;
         let at = start + Duration::from_millis(sequence * 300);
-        assert_eq!(attempts.short(Unavailable::Closed, at), Next::Await(until));
+        assert_eq!(
+            attempts.on_unavailable(Unavailable::Closed, at),
+            Next::Await(until)
+        );
     }
     assert!((budget.left() - before).abs() < f64::EPSILON);
     let over = start + cfg.switch_wait;
-    assert_eq!(attempts.short(Unavailable::Closed, over), Next::Send);
+    assert_eq!(
+        attempts.on_unavailable(Unavailable::Closed, over),
+        Next::Send
+    );
     assert!(attempts.needs().waited);
-    let last = attempts.short(Unavailable::Closed, over);
+    let last = attempts.on_unavailable(Unavailable::Closed, over);
     assert_eq!(last, Next::NotRun(NotRunReason::Closed, None));
 }
 
@@ -107,9 +113,12 @@
     let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
     let until = start + cfg.upstream_wait;
     for at in [start, start + cfg.upstream_wait / 2] {
-        assert_eq!(attempts.short(Unavailable::NoUpstream, at), Next::Await(until));
+        assert_eq!(
+            attempts.on_unavailable(Unavailable::NoUpstream, at),
+            Next::Await(until)
+        );
     }
-    let last = attempts.short(Unavailable::NoUpstream, until);
+    let last = attempts.on_unavailable(Unavailable::NoUpstream, until);
     assert_eq!(last, Next::NotRun(NotRunReason::NoUpstream, None));
 }
 
@@ -124,10 +133,10 @@
             ..AttemptsConfig::default()
         };
         let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
-        attempts.sending("u1");
+        attempts.on_send("u1");
         let next = attempts.ended("u1", full.clone(), start, &mut budget());
         assert_eq!(next, Next::Send);
-        let next = attempts.short(Unavailable::Tried, start);
+        let next = attempts.on_unavailable(Unavailable::Tried, start);
         (attempts, next)
     };
     let refused = Next::NotRun(NotRunReason::Full, None);
@@ -135,7 +144,10 @@
     let (mut attempts, next) = run(wait);
     assert_eq!(next, Next::Await(start + wait));
     assert!(attempts.needs().tried.is_empty());
-    assert_eq!(attempts.short(Unavailable::Full, start + wait), refused);
+    assert_eq!(
+        attempts.on_unavailable(Unavailable::Full, start + wait),
+        refused
+    );
 }
 
 #[test]
@@ -177,7 +189,7 @@
         let mut budget = RetryBudget::new(BudgetConfig { ratio: 0.1, burst: 2.0 });
         let mut maybe_started = false;
         for ended in ends {
-            attempts.sending("u1");
+            attempts.on_send("u1");
             maybe_started |= matches!(
                 ended,
                 Ended::Cancelled(CancelState::Started | CancelState::Done)
