--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -13,7 +13,7 @@
 use wagtailreel_core::headers::{DEADLINE_MS, EPOCH, PRIORITY, WEIGHTS};
 use wagtailreel_core::{Digest, Epoch, NotRunReason, Outcome, Priority, ServiceKind, headers};
 use wagtailreel_route::{
-    Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, Requirements, prefix_of,
+    AttemptEnd, Attempts, AttemptsConfig, CancelState, Next, Repeat, Requirements, prefix_of,
 };
 
 use crate::claims::ClaimTicket;
@@ -192,7 +192,7 @@
     ) -> Result<(), Denial> {
         self.note_ended("cut");
         events::UPSTREAM_FAILED.emit(&[("vm", vm), ("request", &self.head.id)]);
-        let ended = Ended::Cut { next, weights };
+        let ended = AttemptEnd::Cut { next, weights };
         let next = self.head.service.ended(&mut self.attempts, vm, ended);
         match self.settle(next) {
             Step::Again | Step::Wait(_) => Ok(()),
@@ -235,7 +235,7 @@
         let id = format!("{}-{}", self.head.id, self.numbered);
         self.numbered += 1;
         let Some(req) = self.request(addr, &id) else {
-            return Err(self.ended(&vm, Ended::Refused(NotRunReason::Refused, None)));
+            return Err(self.ended(&vm, AttemptEnd::Refused(NotRunReason::Refused, None)));
         };
         if let Some(claim) = &mut self.claim {
             claim.sending();
@@ -253,9 +253,9 @@
                 Some(ended) => ended,
             },
             Some(Err(err)) => failure(&vm, &err),
-            None => Ended::Broken,
+            None => AttemptEnd::Broken,
         };
-        if ended == Ended::Broken {
+        if ended == AttemptEnd::Broken {
             events::UPSTREAM_FAILED.emit(&[("vm", &vm), ("request", &self.head.id)]);
             return Err(self.find_out(attempt, &vm).await);
         }
@@ -266,22 +266,22 @@
     }
 
     /// Returns how the attempt ended if the answer is the agent's own and not the upstream's.
-    fn refusal_of(&self, response: &Response<Incoming>) -> Option<Ended> {
+    fn refusal_of(&self, response: &Response<Incoming>) -> Option<AttemptEnd> {
         let headers = response.headers();
         let text = |name| headers.get(name)?.to_str().ok();
         match text(OUTCOME).and_then(Outcome::from_wire) {
             Some(Outcome::NotRun) => {
                 let reason = text(REASON).and_then(reason_of);
                 let reason = reason.unwrap_or(NotRunReason::Refused);
-                Some(Ended::Refused(reason, retry_after(headers)))
+                Some(AttemptEnd::Refused(reason, retry_after(headers)))
             }
-            Some(Outcome::Unknown) => Some(Ended::Cancelled(CancelState::Started)),
+            Some(Outcome::Unknown) => Some(AttemptEnd::Cancelled(CancelState::Started)),
             Some(Outcome::Answered) => None,
             // A stream begins with 200 and tells its outcome at its end.
             None if self.is_generate() && response.status() == StatusCode::OK => None,
             // Every other answer of an agent says its outcome: this one is not an agent's, so that
             // nothing is known of the attempt.
-            None => Some(Ended::Broken),
+            None => Some(AttemptEnd::Broken),
         }
     }
 
@@ -295,11 +295,11 @@
         attempt.set_over();
         self.claim = attempt.take_claim();
         drop(attempt);
-        let ended = state.map_or(Ended::CancelLost, Ended::Cancelled);
+        let ended = state.map_or(AttemptEnd::CancelLost, AttemptEnd::Cancelled);
         self.ended(vm, ended)
     }
 
-    fn ended(&mut self, vm: &str, ended: Ended) -> Next {
+    fn ended(&mut self, vm: &str, ended: AttemptEnd) -> Next {
         self.note_ended(label_of(&ended));
         self.head.service.ended(&mut self.attempts, vm, ended)
     }
@@ -430,24 +430,24 @@
     serde_json::from_value(serde_json::Value::from(text)).ok()
 }
 
-fn failure(vm: &str, err: &PlatformError) -> Ended {
+fn failure(vm: &str, err: &PlatformError) -> AttemptEnd {
     log::debug!("an attempt at {vm} failed: {err}");
     match err.took_effect() {
-        Effect::No => Ended::NeverSent,
-        Effect::Maybe => Ended::Broken,
+        Effect::No => AttemptEnd::NeverSent,
+        Effect::Maybe => AttemptEnd::Broken,
     }
 }
 
-fn label_of(ended: &Ended) -> &'static str {
+fn label_of(ended: &AttemptEnd) -> &'static str {
     match ended {
-        Ended::Whole => "whole",
-        Ended::NeverSent => "never-sent",
-        Ended::Refused(NotRunReason::Closed | NotRunReason::Lease, _) => "closed",
-        Ended::Refused(..) => "refused",
-        Ended::Broken => "broken",
-        Ended::Cancelled(CancelState::NotRun) => "cancelled",
-        Ended::Cancelled(_) => "lost",
-        Ended::CancelLost => "lost",
-        Ended::Cut { .. } => "cut",
+        AttemptEnd::Whole => "whole",
+        AttemptEnd::NeverSent => "never-sent",
+        AttemptEnd::Refused(NotRunReason::Closed | NotRunReason::Lease, _) => "closed",
+        AttemptEnd::Refused(..) => "refused",
+        AttemptEnd::Broken => "broken",
+        AttemptEnd::Cancelled(CancelState::NotRun) => "cancelled",
+        AttemptEnd::Cancelled(_) => "lost",
+        AttemptEnd::CancelLost => "lost",
+        AttemptEnd::Cut { .. } => "cut",
     }
 }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -14,9 +14,9 @@
     ServiceKind, ServiceName, VmEntry, VmId,
 };
 use wagtailreel_route::{
-    Admission, Attempts, BudgetConfig, Choice, Chooser, Ended, Heard, LimitVerdict, Limits,
-    Membership, MembershipConfig, Next, Overload, OverloadConfig, QueueEvent, RetryBudget,
-    Standing, WaiterId,
+    Admission, AttemptEnd, Attempts, BudgetConfig, Choice, Chooser, LimitVerdict, Limits,
+    Membership, MembershipConfig, Next, Overload, OverloadConfig, QueueEvent, ReportEffect,
+    RetryBudget, Standing, WaiterId,
 };
 
 use crate::metrics::Metrics;
@@ -149,10 +149,10 @@
         {
             let mut inner = self.lock();
             for view in views {
-                let heard = inner
+                let effect = inner
                     .membership
                     .report(&view.report, view.received, view.remote);
-                standing |= heard == Heard::Standing;
+                standing |= effect == ReportEffect::Standing;
             }
         }
         self.refresh();
@@ -250,11 +250,11 @@
     }
 
     /// Takes how an attempt at `vm` ended and returns what to do next.
-    pub(crate) fn ended(&self, attempts: &mut Attempts, vm: &str, ended: Ended) -> Next {
+    pub(crate) fn ended(&self, attempts: &mut Attempts, vm: &str, ended: AttemptEnd) -> Next {
         let inner = &mut *self.lock();
         match &ended {
-            Ended::Refused(reason, _) => inner.membership.refused(vm, *reason),
-            Ended::NeverSent | Ended::CancelLost => inner.membership.unreachable(vm),
+            AttemptEnd::Refused(reason, _) => inner.membership.refused(vm, *reason),
+            AttemptEnd::NeverSent | AttemptEnd::CancelLost => inner.membership.unreachable(vm),
             _ => {}
         }
         attempts.ended(vm, ended, Instant::now(), &mut inner.budget)
--- a/crates/route/src/attempts.rs
+++ b/crates/route/src/attempts.rs
@@ -66,7 +66,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// The whole answer was passed on.
     Whole,
     /// No byte of the request was sent.
@@ -75,9 +75,9 @@
     Refused(NotRunReason, Option<Duration>),
     /// The request was sent, and the connection ended before the answer began.
     Broken,
-    /// The agent answered a cancel that followed [`Ended::Broken`].
+    /// The agent answered a cancel that followed [`AttemptEnd::Broken`].
     Cancelled(CancelState),
-    /// The agent did not answer a cancel that followed [`Ended::Broken`].
+    /// The agent did not answer a cancel that followed [`AttemptEnd::Broken`].
     CancelLost,
     /// The stream ended without its end mark.
     Cut {
@@ -243,14 +243,17 @@
     pub fn ended(
         &mut self,
         vm: &str,
-        ended: Ended,
+        ended: AttemptEnd,
         now: Instant,
         budget: &mut RetryBudget,
     ) -> Next {
         match ended {
-            Ended::Whole => Next::Answered,
-            Ended::NeverSent => self.not_started(NotRunReason::NoUpstream, None, now, budget),
-            Ended::Refused(reason @ (NotRunReason::Closed | NotRunReason::Lease), retry_after) => {
+            AttemptEnd::Whole => Next::Answered,
+            AttemptEnd::NeverSent => self.not_started(NotRunReason::NoUpstream, None, now, budget),
+            AttemptEnd::Refused(
+                reason @ (NotRunReason::Closed | NotRunReason::Lease),
+                retry_after,
+            ) => {
                 // The switch, not the request, kept the agent from running it: neither the
                 // budget nor the count of attempts is spent, and the agent may be asked again.
                 self.needs.tried.remove(vm);
@@ -258,17 +261,18 @@
                 self.last_refusal = Some((reason, retry_after));
                 Next::Send
             }
-            Ended::Refused(reason, retry_after) => {
+            AttemptEnd::Refused(reason, retry_after) => {
                 self.not_started(reason, retry_after, now, budget)
             }
-            Ended::Broken => Next::AskCancel,
-            Ended::Cancelled(CancelState::NotRun) => {
+            AttemptEnd::Broken => Next::AskCancel,
+            AttemptEnd::Cancelled(CancelState::NotRun) => {
                 self.not_started(NotRunReason::Cancelled, None, now, budget)
             }
-            Ended::Cancelled(CancelState::Started | CancelState::Done) | Ended::CancelLost => {
+            AttemptEnd::Cancelled(CancelState::Started | CancelState::Done)
+            | AttemptEnd::CancelLost => {
                 self.resume_at(self.resume_from, self.needs.pin, UnknownReason::AnswerLost)
             }
-            Ended::Cut { next, weights } => self.resume_at(next, weights, UnknownReason::Cut),
+            AttemptEnd::Cut { next, weights } => self.resume_at(next, weights, UnknownReason::Cut),
         }
     }
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -15,11 +15,11 @@
 mod shares;
 
 pub use attempts::{
-    Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, RetryAfter, UnknownReason,
+    AttemptEnd, Attempts, AttemptsConfig, CancelState, Next, Repeat, RetryAfter, UnknownReason,
 };
 pub use budget::{BudgetConfig, RetryBudget};
 pub use chooser::{Choice, Chooser, Policy, Requirements, Unavailable, prefix_of};
 pub use limits::{LimitVerdict, Limits};
-pub use membership::{Heard, Member, Membership, MembershipConfig, Standing};
+pub use membership::{Member, Membership, MembershipConfig, ReportEffect, Standing};
 pub use overload::{Admission, Overload, OverloadConfig, QueueEvent, WaiterId};
 pub use shares::{Demand, Shares, SharesConfig};
--- a/crates/route/src/membership.rs
+++ b/crates/route/src/membership.rs
@@ -52,7 +52,7 @@
 
 /// What a report told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Heard {
+pub enum ReportEffect {
     /// Nothing: a newer report was there before it.
     Late,
     /// Load and counts only.
@@ -129,7 +129,7 @@
     ///
     /// A report with a lower incarnation, or with a sequence that is not higher, is late and is
     /// passed over.
-    pub fn report(&mut self, report: &Report, received: Instant, remote: bool) -> Heard {
+    pub fn report(&mut self, report: &Report, received: Instant, remote: bool) -> ReportEffect {
         let leaving_listed = self.listed.get(&report.vm) == Some(&VmState::Leaving);
         let Some(member) = self.members.get_mut(&report.vm) else {
             let member = Member {
@@ -145,13 +145,13 @@
                 closed: false,
             };
             self.members.insert(report.vm.clone(), member);
-            return Heard::Standing;
+            return ReportEffect::Standing;
         };
         let restarted = report.incarnation > member.report.incarnation;
         let newer = report.incarnation == member.report.incarnation
             && report.sequence > member.report.sequence;
         if !restarted && !newer {
-            return Heard::Late;
+            return ReportEffect::Late;
         }
         let silence = received.saturating_duration_since(member.received);
         let standing = restarted
@@ -171,9 +171,9 @@
         member.unreachable = false;
         member.closed = false;
         if standing {
-            Heard::Standing
+            ReportEffect::Standing
         } else {
-            Heard::Load
+            ReportEffect::Load
         }
     }
 
--- a/crates/route/tests/retries.rs
+++ b/crates/route/tests/retries.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::{Just, Strategy, any, prop, prop_oneof, proptest};
 use wagtailreel_core::{Digest, NotRunReason};
 use wagtailreel_route::{
-    Attempts, AttemptsConfig, BudgetConfig, CancelState, Ended, Next, Repeat, Requirements,
+    AttemptEnd, Attempts, AttemptsConfig, BudgetConfig, CancelState, Next, Repeat, Requirements,
     RetryBudget, Unavailable,
 };
 
@@ -19,7 +19,7 @@
     RetryBudget::new(BudgetConfig::default())
 }
 
-fn session(repeat: Repeat, ends: &[Ended]) -> String {
+fn session(repeat: Repeat, ends: &[AttemptEnd]) -> String {
     let start = Instant::now();
     let mut attempts = Attempts::new(AttemptsConfig::default(), repeat, Requirements::default());
     let mut budget = budget();
@@ -37,8 +37,8 @@
     text
 }
 
-fn cut(next: u64) -> Ended {
-    Ended::Cut {
+fn cut(next: u64) -> AttemptEnd {
+    AttemptEnd::Cut {
         next,
         weights: Some(weights()),
     }
@@ -46,24 +46,34 @@
 
 #[test]
 fn ends_table() {
-    let full = Ended::Refused(NotRunReason::Full, Some(Duration::from_millis(700)));
-    let limit = Ended::Refused(NotRunReason::Limit, None);
-    let unpinned = Ended::Cut {
+    let full = AttemptEnd::Refused(NotRunReason::Full, Some(Duration::from_millis(700)));
+    let limit = AttemptEnd::Refused(NotRunReason::Limit, None);
+    let unpinned = AttemptEnd::Cut {
         next: 3,
         weights: None,
     };
     let sessions = [
-        vec![Ended::Whole],
-        vec![Ended::Broken, Ended::CancelLost],
-        vec![Ended::NeverSent, Ended::NeverSent, Ended::NeverSent],
+        vec![AttemptEnd::Whole],
+        vec![AttemptEnd::Broken, AttemptEnd::CancelLost],
+        vec![
+            AttemptEnd::NeverSent,
+            AttemptEnd::NeverSent,
+            AttemptEnd::NeverSent,
+        ],
         vec![full.clone(), full.clone(), full],
         vec![limit],
-        vec![Ended::Cancelled(CancelState::NotRun), Ended::Whole],
-        vec![Ended::Cancelled(CancelState::Started), Ended::Whole],
-        vec![Ended::Cancelled(CancelState::Done)],
-        vec![Ended::CancelLost],
-        vec![cut(5), Ended::NeverSent, Ended::NeverSent],
-        vec![cut(5), cut(9), Ended::Whole],
+        vec![
+            AttemptEnd::Cancelled(CancelState::NotRun),
+            AttemptEnd::Whole,
+        ],
+        vec![
+            AttemptEnd::Cancelled(CancelState::Started),
+            AttemptEnd::Whole,
+        ],
+        vec![AttemptEnd::Cancelled(CancelState::Done)],
+        vec![AttemptEnd::CancelLost],
+        vec![cut(5), AttemptEnd::NeverSent, AttemptEnd::NeverSent],
+        vec![cut(5), cut(9), AttemptEnd::Whole],
         vec![unpinned],
     ];
     let mut text = String::new();
@@ -86,7 +96,7 @@
     let before = budget.left();
     for sequence in 0..5 {
         attempts.on_send("u1");
-        let closed = Ended::Refused(NotRunReason::Closed, None);
+        let closed = AttemptEnd::Refused(NotRunReason::Closed, None);
         assert_eq!(attempts.ended("u1", closed, start, &mut budget), Next::Send);
         let until = start + cfg.switch_wait;
         let at = start + Duration::from_millis(sequence * 300);
@@ -126,7 +136,7 @@
 fn room_wait() {
     let start = Instant::now();
     let wait = Duration::from_secs(1);
-    let full = Ended::Refused(NotRunReason::Full, None);
+    let full = AttemptEnd::Refused(NotRunReason::Full, None);
     let run = |room_wait| {
         let cfg = AttemptsConfig {
             room_wait,
@@ -158,17 +168,17 @@
     assert!(!attempts.is_first_look());
 }
 
-fn any_end() -> impl Strategy<Value = Ended> {
+fn any_end() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
-        Just(Ended::NeverSent),
-        Just(Ended::Refused(NotRunReason::Full, None)),
-        Just(Ended::Refused(NotRunReason::Closed, None)),
-        Just(Ended::Refused(NotRunReason::Leaving, None)),
-        Just(Ended::Cancelled(CancelState::NotRun)),
-        Just(Ended::Cancelled(CancelState::Started)),
-        Just(Ended::Cancelled(CancelState::Done)),
-        Just(Ended::CancelLost),
-        (0_u64..9, any::<bool>()).prop_map(|(next, known)| Ended::Cut {
+        Just(AttemptEnd::NeverSent),
+        Just(AttemptEnd::Refused(NotRunReason::Full, None)),
+        Just(AttemptEnd::Refused(NotRunReason::Closed, None)),
+        Just(AttemptEnd::Refused(NotRunReason::Leaving, None)),
+        Just(AttemptEnd::Cancelled(CancelState::NotRun)),
+        Just(AttemptEnd::Cancelled(CancelState::Started)),
+        Just(AttemptEnd::Cancelled(CancelState::Done)),
+        Just(AttemptEnd::CancelLost),
+        (0_u64..9, any::<bool>()).prop_map(|(next, known)| AttemptEnd::Cut {
             next,
             weights: known.then(|| Digest::of(b"weights")),
         }),
@@ -192,9 +202,9 @@
             attempts.on_send("u1");
             maybe_started |= matches!(
                 ended,
-                Ended::Cancelled(CancelState::Started | CancelState::Done)
-                    | Ended::CancelLost
-                    | Ended::Cut { .. }
+                AttemptEnd::Cancelled(CancelState::Started | CancelState::Done)
+                    | AttemptEnd::CancelLost
+                    | AttemptEnd::Cut { .. }
             );
             match attempts.ended("u1", ended, start, &mut budget) {
                 Next::Send => assert!(!(maybe_started && order), "an order was sent again"),
