--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -102,13 +102,13 @@
             needs_open: head.document.kind == ServiceKind::Engine,
             ..Requirements::default()
         };
-        let room_wait = match head.priority {
+        let capacity_wait = match head.priority {
             Priority::High => ROOM_WAIT,
             Priority::Normal | Priority::Low => Duration::ZERO,
         };
         let cfg = AttemptsConfig {
             switch_wait: cx.switch_wait(),
-            room_wait,
+            capacity_wait,
             ..AttemptsConfig::default()
         };
         let attempts = Attempts::new(cfg, repeat, needs).with_deadline(head.deadline);
@@ -160,7 +160,7 @@
                 Step::Again => {}
                 Step::Wait(until) => {
                     // A standing that changes wakes it; time alone does if only room is wanted.
-                    let for_room = self.attempts.is_started() || self.attempts.awaits_room();
+                    let for_room = self.attempts.is_started() || self.attempts.awaits_capacity();
                     let until = if for_room {
                         until.min(began + ROOM_EVERY)
                     } else {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -224,7 +224,7 @@
     pub(crate) fn choose(self: &Arc<Self>, attempts: &mut Attempts) -> Result<Slot, Next> {
         let now = Instant::now();
         let inner = &mut *self.lock();
-        if attempts.is_first_look() {
+        if attempts.is_first_choice() {
             inner.budget.request();
         }
         let choice = inner
--- a/crates/route/src/attempts.rs
+++ b/crates/route/src/attempts.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptsConfig {
     /// Most times that a request is sent, the first included.
-    pub most: u32,
+    pub max_attempts: u32,
     /// Longest wait at a switch: twice the longest lease.
     pub switch_wait: Duration,
     /// Longest wait for the first upstream that is usable: an entry that starts, or wakes after a
@@ -24,17 +24,17 @@
     ///
     /// A request is let in by what its entry knows, which is late: other entries may have taken
     /// the room meanwhile. Whoever is to be held through an overload waits for the next one.
-    pub room_wait: Duration,
+    pub capacity_wait: Duration,
 }
 
 impl Default for AttemptsConfig {
     fn default() -> Self {
         Self {
-            most: 3,
+            max_attempts: 3,
             switch_wait: Duration::from_secs(2),
             upstream_wait: Duration::from_millis(500),
             resume_wait: Duration::from_secs(1),
-            room_wait: Duration::ZERO,
+            capacity_wait: Duration::ZERO,
         }
     }
 }
@@ -130,11 +130,11 @@
     resume_from: u64,
     started: bool,
     last_refusal: Option<(NotRunReason, Option<Duration>)>,
-    switch_until: Option<Instant>,
-    upstream_until: Option<Instant>,
-    resume_until: Option<Instant>,
-    room_until: Option<Instant>,
-    looked: bool,
+    switch_wait_until: Option<Instant>,
+    upstream_wait_until: Option<Instant>,
+    resume_wait_until: Option<Instant>,
+    capacity_wait_until: Option<Instant>,
+    has_chosen: bool,
 }
 
 impl Attempts {
@@ -149,11 +149,11 @@
             resume_from: 0,
             started: false,
             last_refusal: None,
-            switch_until: None,
-            upstream_until: None,
-            resume_until: None,
-            room_until: None,
-            looked: false,
+            switch_wait_until: None,
+            upstream_wait_until: None,
+            resume_wait_until: None,
+            capacity_wait_until: None,
+            has_chosen: false,
         }
     }
 
@@ -176,18 +176,18 @@
 
     /// Says whether the request has waited because all upstreams were closed for a switch.
     pub fn is_at_switch(&self) -> bool {
-        self.switch_until.is_some()
+        self.switch_wait_until.is_some()
     }
 
     /// Says whether the request waits for room.
-    pub fn awaits_room(&self) -> bool {
-        self.room_until.is_some()
+    pub fn awaits_capacity(&self) -> bool {
+        self.capacity_wait_until.is_some()
     }
 
     /// Says whether this is the first look for an upstream, which counts the request once however
     /// often it waits.
-    pub fn is_first_look(&mut self) -> bool {
-        !std::mem::replace(&mut self.looked, true)
+    pub fn is_first_choice(&mut self) -> bool {
+        !std::mem::replace(&mut self.has_chosen, true)
     }
 
     /// Says whether an attempt may have been started.
@@ -233,9 +233,9 @@
             Unavailable::Closed => self.await_switch(now),
             Unavailable::NoUpstream => self.await_upstream(now),
             Unavailable::Weights => Next::NotRun(NotRunReason::Weights, None),
-            Unavailable::Full => self.await_room(now),
-            Unavailable::Tried if self.was_full() => self.await_room(now),
-            Unavailable::Tried => self.give_up(),
+            Unavailable::Full => self.await_capacity(now),
+            Unavailable::Tried if self.was_full() => self.await_capacity(now),
+            Unavailable::Tried => self.final_refusal(),
         }
     }
 
@@ -294,10 +294,10 @@
         if self.is_late(now) {
             return Next::NotRun(NotRunReason::Deadline, None);
         }
-        if self.sent < self.cfg.most && budget.retry() {
+        if self.sent < self.cfg.max_attempts && budget.retry() {
             return Next::Send;
         }
-        self.give_up()
+        self.final_refusal()
     }
 
     /// A resumed request takes the place of one that was let in, so it spends no budget.
@@ -309,7 +309,7 @@
         }
         // Tokens that the caller has are only continued by the weights that gave them.
         let continues = self.resume_from == 0 || self.needs.pin.is_some();
-        if self.repeat == Repeat::Never || !continues || self.sent >= self.cfg.most {
+        if self.repeat == Repeat::Never || !continues || self.sent >= self.cfg.max_attempts {
             return Next::Unknown(reason);
         }
         Next::Send
@@ -317,7 +317,7 @@
 
     fn await_switch(&mut self, now: Instant) -> Next {
         let wait = self.cfg.switch_wait;
-        let until = *self.switch_until.get_or_insert(now + wait);
+        let until = *self.switch_wait_until.get_or_insert(now + wait);
         let until = self.deadline.map_or(until, |deadline| deadline.min(until));
         if now < until {
             return Next::Await(until);
@@ -331,17 +331,17 @@
 
     fn await_upstream(&mut self, now: Instant) -> Next {
         let wait = self.cfg.upstream_wait;
-        let until = *self.upstream_until.get_or_insert(now + wait);
+        let until = *self.upstream_wait_until.get_or_insert(now + wait);
         let until = self.deadline.map_or(until, |deadline| deadline.min(until));
         if now < until {
             return Next::Await(until);
         }
-        self.give_up()
+        self.final_refusal()
     }
 
-    fn await_room(&mut self, now: Instant) -> Next {
-        let wait = self.cfg.room_wait;
-        let until = *self.room_until.get_or_insert(now + wait);
+    fn await_capacity(&mut self, now: Instant) -> Next {
+        let wait = self.cfg.capacity_wait;
+        let until = *self.capacity_wait_until.get_or_insert(now + wait);
         let until = self.deadline.map_or(until, |deadline| deadline.min(until));
         if now < until {
             // Those that were full may have room by then.
@@ -358,7 +358,7 @@
 
     fn await_replica(&mut self, now: Instant) -> Next {
         let wait = self.cfg.resume_wait;
-        let until = *self.resume_until.get_or_insert(now + wait);
+        let until = *self.resume_wait_until.get_or_insert(now + wait);
         if now < until {
             return Next::Await(until);
         }
@@ -370,7 +370,7 @@
         Next::Unknown(reason)
     }
 
-    fn give_up(&self) -> Next {
+    fn final_refusal(&self) -> Next {
         let (reason, retry_after) = self
             .last_refusal
             .unwrap_or((NotRunReason::NoUpstream, None));
--- a/crates/route/tests/retries.rs
+++ b/crates/route/tests/retries.rs
@@ -133,13 +133,13 @@
 }
 
 #[test]
-fn room_wait() {
+fn capacity_wait() {
     let start = Instant::now();
     let wait = Duration::from_secs(1);
     let full = AttemptEnd::Refused(NotRunReason::Full, None);
-    let run = |room_wait| {
+    let run = |capacity_wait| {
         let cfg = AttemptsConfig {
-            room_wait,
+            capacity_wait,
             ..AttemptsConfig::default()
         };
         let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
@@ -161,11 +161,11 @@
 }
 
 #[test]
-fn first_look() {
+fn first_choice() {
     let cfg = AttemptsConfig::default();
     let mut attempts = Attempts::new(cfg, Repeat::Never, Requirements::default());
-    assert!(attempts.is_first_look());
-    assert!(!attempts.is_first_look());
+    assert!(attempts.is_first_choice());
+    assert!(!attempts.is_first_choice());
 }
 
 fn any_end() -> impl Strategy<Value = AttemptEnd> {
@@ -219,7 +219,7 @@
                 next => panic!("{next:?} does not follow"),
             }
         }
-        assert!(attempts.sent() <= AttemptsConfig::default().most + 1);
+        assert!(attempts.sent() <= AttemptsConfig::default().max_attempts + 1);
     }
 
     /// Retries are at most a tenth of the requests above the burst.
