--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -137,7 +137,7 @@
         {
             let mut inner = self.lock();
             inner.membership.list(&self.name, vms);
-            inner.membership.forget(Instant::now());
+            inner.membership.prune(Instant::now());
         }
         self.refresh();
         self.changed.send_replace(());
@@ -329,8 +329,11 @@
             let document = inner.document.as_ref();
             let needs_open = document.is_some_and(|document| document.kind == ServiceKind::Engine);
             let now = Instant::now();
-            let (capacity, others) = inner.chooser.room(&inner.membership, needs_open, now);
-            inner.overload.set_room(capacity, others)
+            let (capacity, others) =
+                inner
+                    .chooser
+                    .capacity_and_load(&inner.membership, needs_open, now);
+            inner.overload.set_capacity(capacity, others)
         };
         self.settle(events);
     }
@@ -350,7 +353,7 @@
         for event in events {
             let (id, verdict) = match event {
                 QueueEvent::Admit(id) => (id, Ok(self.ticket())),
-                QueueEvent::GiveUp(id, reason, retry_after) => (id, Err((reason, retry_after))),
+                QueueEvent::Reject(id, reason, retry_after) => (id, Err((reason, retry_after))),
             };
             let tx = self.lock().waiters.remove(&id);
             if let Some(tx) = tx {
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -153,7 +153,12 @@
     ///
     /// It counts the upstreams that [`Chooser::choose`] would take; while the own data centre is
     /// closed for a switch, those that will open again.
-    pub fn room(&self, membership: &Membership, needs_open: bool, now: Instant) -> (u32, u32) {
+    pub fn capacity_and_load(
+        &self,
+        membership: &Membership,
+        needs_open: bool,
+        now: Instant,
+    ) -> (u32, u32) {
         let needs = Requirements {
             needs_open,
             ..Requirements::default()
@@ -169,10 +174,10 @@
                 member.report.data_centre == self.data_centre
                     || self.admits(member, &needs, home_epoch)
             })
-            .fold((0, 0), |(capacity, others), member| {
+            .fold((0, 0), |(capacity, other_in_flight), member| {
                 (
                     capacity.saturating_add(member.report.capacity),
-                    others.saturating_add(member.others),
+                    other_in_flight.saturating_add(member.other_in_flight),
                 )
             })
     }
@@ -265,7 +270,8 @@
 
 /// Returns the share of `member`'s capacity in use: the own count is exact and the others' late.
 fn cost(member: &Member) -> f64 {
-    let in_flight = f64::from(member.own) + OTHERS_WEIGHT * f64::from(member.others);
+    let in_flight =
+        f64::from(member.own_in_flight) + OTHERS_WEIGHT * f64::from(member.other_in_flight);
     in_flight / f64::from(member.report.capacity.max(1))
 }
 
@@ -292,7 +298,7 @@
 
 fn least_reported<'a>(near: &[&'a Member]) -> Option<&'a Member> {
     near.iter()
-        .min_by_key(|member| (member.others, &member.report.vm))
+        .min_by_key(|member| (member.other_in_flight, &member.report.vm))
         .copied()
 }
 
--- a/crates/route/src/membership.rs
+++ b/crates/route/src/membership.rs
@@ -13,7 +13,7 @@
     /// The same for a member of another data centre, whose reports come late.
     pub suspect_remote_after: Duration,
     /// A member without a report for longer than this, and not in the list, is forgotten.
-    pub forget_after: Duration,
+    pub prune_after: Duration,
 }
 
 impl Default for MembershipConfig {
@@ -21,7 +21,7 @@
         Self {
             suspect_after: Duration::from_secs(1),
             suspect_remote_after: Duration::from_secs(3),
-            forget_after: Duration::from_secs(60),
+            prune_after: Duration::from_secs(60),
         }
     }
 }
@@ -71,9 +71,9 @@
     /// The member is in another data centre, and its reports come over an entry there.
     pub remote: bool,
     /// Requests of this entry that are at the member now; exact.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// Requests of other entries at the member, as of the last report; late.
-    pub others: u32,
+    pub other_in_flight: u32,
     /// Hash of the VM's name, for prefix affinity.
     pub(crate) name_hash: u64,
     leaving_listed: bool,
@@ -85,7 +85,7 @@
 impl Member {
     /// Returns the requests that are thought to be at the member.
     pub fn in_flight(&self) -> u32 {
-        self.own.saturating_add(self.others)
+        self.own_in_flight.saturating_add(self.other_in_flight)
     }
 
     /// Says whether the member refused since its last report because it is closed.
@@ -136,8 +136,8 @@
                 report: report.clone(),
                 received,
                 remote,
-                own: 0,
-                others: reported_load(report),
+                own_in_flight: 0,
+                other_in_flight: reported_load(report),
                 name_hash: hash_name(&report.vm),
                 leaving_listed,
                 leaving_refused: false,
@@ -167,7 +167,7 @@
         member.report = report.clone();
         member.received = received;
         member.remote = remote;
-        member.others = reported_load(report).saturating_sub(member.own);
+        member.other_in_flight = reported_load(report).saturating_sub(member.own_in_flight);
         member.unreachable = false;
         member.closed = false;
         if standing {
@@ -200,8 +200,8 @@
             NotRunReason::Leaving => member.leaving_refused = true,
             NotRunReason::Closed | NotRunReason::Lease => member.closed = true,
             NotRunReason::Full => {
-                let room = member.report.capacity.saturating_sub(member.own);
-                member.others = member.others.max(room);
+                let free = member.report.capacity.saturating_sub(member.own_in_flight);
+                member.other_in_flight = member.other_in_flight.max(free);
             }
             _ => {}
         }
@@ -217,27 +217,27 @@
     /// Counts a request that goes to `vm` now.
     pub fn started(&mut self, vm: &str) {
         if let Some(member) = self.members.get_mut(vm) {
-            member.own = member.own.saturating_add(1);
+            member.own_in_flight = member.own_in_flight.saturating_add(1);
         }
     }
 
     /// Counts a request that is over at `vm`.
     pub fn finished(&mut self, vm: &str) {
         if let Some(member) = self.members.get_mut(vm) {
-            member.own = member.own.saturating_sub(1);
+            member.own_in_flight = member.own_in_flight.saturating_sub(1);
         }
     }
 
     /// Forgets members that are silent, not listed, and have no request of this entry.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn prune(&mut self, now: Instant) {
         let Self {
             cfg,
             members,
             listed,
         } = self;
         members.retain(|name, member| {
-            let silent = now.saturating_duration_since(member.received) > cfg.forget_after;
-            !silent || member.own > 0 || listed.contains_key(name)
+            let silent = now.saturating_duration_since(member.received) > cfg.prune_after;
+            !silent || member.own_in_flight > 0 || listed.contains_key(name)
         });
     }
 
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -62,7 +62,7 @@
     /// It goes on now.
     Admit(WaiterId),
     /// It is given up and gets its final answer now; it may come back after the time.
-    GiveUp(WaiterId, NotRunReason, Duration),
+    Reject(WaiterId, NotRunReason, Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -82,7 +82,7 @@
 pub struct Overload {
     cfg: OverloadConfig,
     capacity: u32,
-    others: u32,
+    other_in_flight: u32,
     in_flight: u32,
     mean: f64,
     waiters: BTreeMap<Place, Waiter>,
@@ -95,7 +95,7 @@
         Self {
             cfg,
             capacity: 0,
-            others: 0,
+            other_in_flight: 0,
             in_flight: 0,
             mean: cfg.first_mean.as_secs_f64(),
             waiters: BTreeMap::new(),
@@ -162,9 +162,9 @@
     }
 
     /// Takes the capacity of the upstreams and the load of other entries there, which is late.
-    pub fn set_room(&mut self, capacity: u32, others: u32) -> Vec<QueueEvent> {
+    pub fn set_capacity(&mut self, capacity: u32, other_in_flight: u32) -> Vec<QueueEvent> {
         self.capacity = capacity;
-        self.others = others;
+        self.other_in_flight = other_in_flight;
         self.admit_waiters()
     }
 
@@ -186,7 +186,7 @@
                     Some(deadline) if deadline <= now => NotRunReason::Deadline,
                     _ => NotRunReason::Full,
                 };
-                QueueEvent::GiveUp(place.1, reason, self.retry_after(1, rng))
+                QueueEvent::Reject(place.1, reason, self.retry_after(1, rng))
             })
             .collect()
     }
@@ -208,7 +208,7 @@
             Priority::Normal => self.cfg.normal_share,
             Priority::High => 1.0,
         };
-        let used = f64::from(self.in_flight) + f64::from(self.others);
+        let used = f64::from(self.in_flight) + f64::from(self.other_in_flight);
         // At least one request is let in, so that a service with one slot is open to all.
         used < (f64::from(self.capacity) * share).max(1.0)
     }
@@ -246,7 +246,7 @@
         }
         self.waiters.remove(&last);
         let wait = self.retry_after(self.waiters.len() + 1, rng);
-        Some(QueueEvent::GiveUp(last.1, NotRunReason::Full, wait))
+        Some(QueueEvent::Reject(last.1, NotRunReason::Full, wait))
     }
 
     fn admit_waiters(&mut self) -> Vec<QueueEvent> {
--- a/crates/route/src/shares.rs
+++ b/crates/route/src/shares.rs
@@ -18,7 +18,7 @@
     /// A peer not heard from for longer than this keeps the share that it had.
     pub unseen_after: Duration,
     /// A peer that is unseen and not listed keeps its share for this long.
-    pub forget_after: Duration,
+    pub prune_after: Duration,
 }
 
 impl Default for SharesConfig {
@@ -26,7 +26,7 @@
         Self {
             even: 0.2,
             unseen_after: Duration::from_secs(2),
-            forget_after: Duration::from_secs(30),
+            prune_after: Duration::from_secs(30),
         }
     }
 }
@@ -149,7 +149,7 @@
         let listed = &self.listed;
         self.peers.retain(|vm, peer| {
             let unseen = now.saturating_duration_since(peer.seen);
-            listed.contains(vm) || unseen <= cfg.forget_after
+            listed.contains(vm) || unseen <= cfg.prune_after
         });
         for peer in self.peers.values_mut() {
             peer.out_of_sight = now.saturating_duration_since(peer.seen) > cfg.unseen_after;
--- a/crates/route/tests/membership.rs
+++ b/crates/route/tests/membership.rs
@@ -72,7 +72,7 @@
         &members,
         at(1700),
     );
-    members.forget(at(70_000));
+    members.prune(at(70_000));
     line(
         &mut text,
         "70 s, only what is listed is kept",
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -14,7 +14,7 @@
     for event in events {
         match event {
             QueueEvent::Admit(id) => writeln!(text, "    waiter {id} goes on").unwrap(),
-            QueueEvent::GiveUp(id, reason, retry_after) => {
+            QueueEvent::Reject(id, reason, retry_after) => {
                 let ms = retry_after.as_millis();
                 writeln!(
                     text,
@@ -35,7 +35,7 @@
         first_mean: Duration::from_millis(200),
         ..OverloadConfig::default()
     });
-    overload.set_room(10, 0);
+    overload.set_capacity(10, 0);
     let low = (Priority::Low, None);
     let normal = (Priority::Normal, None);
     let high = (Priority::High, None);
@@ -58,7 +58,7 @@
         events(&mut text, overload.finish(Some(Duration::from_millis(200))));
     }
     writeln!(text, "another entry is seen to use 5").unwrap();
-    events(&mut text, overload.set_room(10, 5));
+    events(&mut text, overload.set_capacity(10, 5));
     let (admission, _) = overload.arrive(Priority::Normal, None, start, &mut rng);
     writeln!(text, "normal arrives: {admission:?}").unwrap();
     writeln!(text, "its time is over").unwrap();
@@ -75,7 +75,7 @@
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(3);
     let mut overload = Overload::new(OverloadConfig::default());
-    overload.set_room(1, 0);
+    overload.set_capacity(1, 0);
     overload.arrive(Priority::High, None, start, &mut rng);
     overload.arrive(Priority::High, None, start, &mut rng);
     assert_eq!(overload.waiting(), 1);
