--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -13,10 +13,10 @@
 
 /// How much a request of another entry counts beside an own one. At 1 all entries run to where
 /// the last reports saw little load; at 0 an upstream that others load is not spared.
-const OTHERS_WEIGHT: f64 = 0.5;
+const OTHER_ENTRIES_WEIGHT: f64 = 0.5;
 
 /// A preferred upstream may be busier than the least busy one by this share of its capacity.
-const AFFINITY_SLACK: f64 = 0.125;
+const AFFINITY_LOAD_SLACK: f64 = 0.125;
 
 /// How an upstream is chosen. All but [`Policy::OwnFirst`] are kept as baselines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, derive_more::Display)]
@@ -124,21 +124,22 @@
         if usable.is_empty() {
             return Choice::Unavailable(Unavailable::NoUpstream);
         }
-        let home: Vec<&Member> = usable
+        let local: Vec<&Member> = usable
             .iter()
             .copied()
             .filter(|member| member.report.data_centre == self.data_centre)
             .collect();
-        let home_epoch = home.iter().filter_map(|member| member.open()).max();
-        let switching = !home.is_empty() && home.iter().all(|member| is_shut(member, needs));
+        let local_epoch = local.iter().filter_map(|member| member.open()).max();
+        let switching =
+            !local.is_empty() && local.iter().all(|member| is_closed_for(member, needs));
         if switching && needs.pin.is_none() && !needs.waited {
             return Choice::Unavailable(Unavailable::Closed);
         }
-        let admitting: Vec<&Member> = usable
+        let eligible: Vec<&Member> = usable
             .into_iter()
-            .filter(|member| self.admits(member, needs, home_epoch))
+            .filter(|member| self.is_eligible(member, needs, local_epoch))
             .collect();
-        if admitting.is_empty() {
+        if eligible.is_empty() {
             let reason = if needs.pin.is_some() {
                 Unavailable::Weights
             } else {
@@ -146,7 +147,7 @@
             };
             return Choice::Unavailable(reason);
         }
-        self.choose_admitting(&admitting, needs, rng)
+        self.choose_eligible(&eligible, needs, rng)
     }
 
     /// Returns the capacity that requests can use at `now`, and what other entries have there.
@@ -163,7 +164,7 @@
             needs_open,
             ..Requirements::default()
         };
-        let home_epoch = membership
+        let local_epoch = membership
             .usable(now)
             .filter(|member| member.report.data_centre == self.data_centre)
             .filter_map(Member::open)
@@ -172,7 +173,7 @@
             .usable(now)
             .filter(|member| {
                 member.report.data_centre == self.data_centre
-                    || self.admits(member, &needs, home_epoch)
+                    || self.is_eligible(member, &needs, local_epoch)
             })
             .fold((0, 0), |(capacity, other_in_flight), member| {
                 (
@@ -182,8 +183,13 @@
             })
     }
 
-    fn admits(&self, member: &Member, needs: &Requirements, home_epoch: Option<Epoch>) -> bool {
-        if is_shut(member, needs) {
+    fn is_eligible(
+        &self,
+        member: &Member,
+        needs: &Requirements,
+        local_epoch: Option<Epoch>,
+    ) -> bool {
+        if is_closed_for(member, needs) {
             return false;
         }
         if !needs.needs_open {
@@ -193,20 +199,20 @@
             return member.open_weights() == needs.pin;
         }
         member.report.data_centre == self.data_centre
-            || home_epoch.is_none()
-            || home_epoch == member.open()
+            || local_epoch.is_none()
+            || local_epoch == member.open()
     }
 
-    fn choose_admitting<R>(
+    fn choose_eligible<R>(
         &mut self,
-        admitting: &[&Member],
+        eligible: &[&Member],
         needs: &Requirements,
         rng: &mut R,
     ) -> Choice
     where
         R: Rng,
     {
-        let untried: Vec<&Member> = admitting
+        let untried: Vec<&Member> = eligible
             .iter()
             .copied()
             .filter(|member| !needs.tried.contains(&member.report.vm))
@@ -214,21 +220,25 @@
         if untried.is_empty() {
             return Choice::Unavailable(Unavailable::Tried);
         }
-        let with_room: Vec<&Member> = untried
+        let with_capacity: Vec<&Member> = untried
             .into_iter()
             .filter(|member| member.in_flight() < member.report.capacity)
             .collect();
-        let Some(nearest) = with_room.iter().map(|member| self.distance(member)).min() else {
+        let Some(min_distance) = with_capacity
+            .iter()
+            .map(|member| self.distance(member))
+            .min()
+        else {
             return Choice::Unavailable(Unavailable::Full);
         };
-        let near: Vec<&Member> = with_room
+        let nearest: Vec<&Member> = with_capacity
             .into_iter()
-            .filter(|member| self.distance(member) == nearest)
+            .filter(|member| self.distance(member) == min_distance)
             .collect();
         let chosen = match self.policy {
-            Policy::OwnFirst => own_first(&near, needs.prefix, rng),
-            Policy::RoundRobin => self.round_robin(&near),
-            Policy::LeastReported => least_reported(&near),
+            Policy::OwnFirst => own_first(&nearest, needs.prefix, rng),
+            Policy::RoundRobin => self.round_robin(&nearest),
+            Policy::LeastReported => least_reported(&nearest),
         };
         chosen.map_or(Choice::Unavailable(Unavailable::NoUpstream), |member| {
             Choice::Upstream(member.report.vm.clone())
@@ -246,15 +256,15 @@
         }
     }
 
-    fn round_robin<'a>(&mut self, near: &[&'a Member]) -> Option<&'a Member> {
+    fn round_robin<'a>(&mut self, nearest: &[&'a Member]) -> Option<&'a Member> {
         self.turn = self.turn.wrapping_add(1);
-        near.get(self.turn % near.len().max(1)).copied()
+        nearest.get(self.turn % nearest.len().max(1)).copied()
     }
 }
 
 /// Says whether `member` takes no request now: a plain service's agent says so by a refusal only,
 /// an engine's also by having no epoch open.
-fn is_shut(member: &Member, needs: &Requirements) -> bool {
+fn is_closed_for(member: &Member, needs: &Requirements) -> bool {
     member.is_closed() || (needs.needs_open && member.open().is_none())
 }
 
@@ -271,39 +281,43 @@
 /// Returns the share of `member`'s capacity in use: the own count is exact and the others' late.
 fn cost(member: &Member) -> f64 {
     let in_flight =
-        f64::from(member.own_in_flight) + OTHERS_WEIGHT * f64::from(member.other_in_flight);
+        f64::from(member.own_in_flight) + OTHER_ENTRIES_WEIGHT * f64::from(member.other_in_flight);
     in_flight / f64::from(member.report.capacity.max(1))
 }
 
-fn own_first<'a, R>(near: &[&'a Member], prefix: Option<u64>, rng: &mut R) -> Option<&'a Member>
+fn own_first<'a, R>(nearest: &[&'a Member], prefix: Option<u64>, rng: &mut R) -> Option<&'a Member>
 where
     R: Rng,
 {
-    let least = near
+    let min_cost = nearest
         .iter()
         .map(|member| cost(member))
         .min_by(f64::total_cmp)?;
     if let Some(prefix) = prefix {
         // The bound keeps a popular prefix from piling up on one engine.
-        return near
+        return nearest
             .iter()
-            .filter(|member| cost(member) <= least + AFFINITY_SLACK)
-            .max_by_key(|member| mix(prefix ^ member.name_hash))
+            .filter(|member| cost(member) <= min_cost + AFFINITY_LOAD_SLACK)
+            .max_by_key(|member| mix_bits(prefix ^ member.name_hash))
             .copied();
     }
-    let ties: Vec<&&Member> = near.iter().filter(|member| cost(member) <= least).collect();
+    let ties: Vec<&&Member> = nearest
+        .iter()
+        .filter(|member| cost(member) <= min_cost)
+        .collect();
     let index = rng.random_range(0..ties.len().max(1));
     ties.get(index).map(|member| **member)
 }
 
-fn least_reported<'a>(near: &[&'a Member]) -> Option<&'a Member> {
-    near.iter()
+fn least_reported<'a>(nearest: &[&'a Member]) -> Option<&'a Member> {
+    nearest
+        .iter()
         .min_by_key(|member| (member.other_in_flight, &member.report.vm))
         .copied()
 }
 
 /// Spreads the bits of `value` (the finaliser of splitmix64).
-fn mix(value: u64) -> u64 {
+fn mix_bits(value: u64) -> u64 {
     let mut z = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/route/src/limits.rs
+++ b/crates/route/src/limits.rs
@@ -7,19 +7,19 @@
 use wagtailreel_core::{CustomerId, CustomerLimit, Document};
 
 /// Span over which demand is averaged.
-const DEMAND_SPAN: Duration = Duration::from_secs(2);
+const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
 /// A customer that asked nothing for this long is forgotten.
-const IDLE_AFTER: Duration = Duration::from_secs(60);
+const IDLE_BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
 /// Jitter spreads callers that are told to come back over this share of the wait.
-const JITTER: f64 = 0.5;
+const RETRY_JITTER: f64 = 0.5;
 
 /// Longest wait that a caller is told, however small the entry's share is.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Smallest share of a limit; it keeps the wait finite.
-const SMALLEST_SHARE: f64 = 1e-3;
+const MIN_SHARE: f64 = 1e-3;
 
 /// Whether a request is within its customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug)]
 struct Bucket {
     tokens: f64,
-    filled: Instant,
+    last_refill: Instant,
     demand: f64,
-    asked: Instant,
+    last_request: Instant,
     share: f64,
 }
 
@@ -44,15 +44,15 @@
 pub struct Limits {
     limits: BTreeMap<CustomerId, CustomerLimit>,
     default_limit: Option<CustomerLimit>,
-    fresh_share: f64,
+    initial_share: f64,
     buckets: BTreeMap<CustomerId, Bucket>,
 }
 
 impl Limits {
-    /// Makes limits under which a customer not seen before has `fresh_share` of its limit.
-    pub fn new(fresh_share: f64) -> Self {
+    /// Makes limits under which a customer not seen before has `initial_share` of its limit.
+    pub fn new(initial_share: f64) -> Self {
         Self {
-            fresh_share,
+            initial_share,
             ..Self::default()
         }
     }
@@ -69,49 +69,49 @@
         R: Rng,
     {
         let limit = self.limit_of(customer).cloned();
-        let fresh_share = self.fresh_share;
+        let initial_share = self.initial_share;
         let bucket = self
             .buckets
             .entry(customer.to_owned())
             .or_insert_with(|| Bucket {
                 tokens: limit
                     .as_ref()
-                    .map_or(0.0, |limit| depth(limit, fresh_share)),
-                filled: now,
+                    .map_or(0.0, |limit| depth(limit, initial_share)),
+                last_refill: now,
                 demand: 0.0,
-                asked: now,
-                share: fresh_share,
+                last_request: now,
+                share: initial_share,
             });
         bucket.count(now);
         let Some(limit) = limit else {
             return LimitVerdict::Within;
         };
-        bucket.fill(&limit, now);
+        bucket.refill(&limit, now);
         if bucket.tokens >= 1.0 {
             bucket.tokens -= 1.0;
             return LimitVerdict::Within;
         }
-        let rate = limit.requests_per_second * bucket.share.max(SMALLEST_SHARE);
+        let rate = limit.requests_per_second * bucket.share.max(MIN_SHARE);
         let wait = (1.0 - bucket.tokens) / rate;
-        let jittered = wait * (1.0 + JITTER * rng.random::<f64>());
+        let jittered = wait * (1.0 + RETRY_JITTER * rng.random::<f64>());
         LimitVerdict::Over(
             Duration::try_from_secs_f64(jittered)
-                .map_or(LONGEST_WAIT, |wait| wait.min(LONGEST_WAIT)),
+                .map_or(MAX_RETRY_AFTER, |wait| wait.min(MAX_RETRY_AFTER)),
         )
     }
 
     /// Sets each customer's share of its limit at this entry.
-    pub fn set_shares<F>(&mut self, fresh_share: f64, now: Instant, share: F)
+    pub fn set_shares<F>(&mut self, initial_share: f64, now: Instant, share: F)
     where
         F: Fn(&str) -> f64,
     {
-        self.fresh_share = fresh_share;
+        self.initial_share = initial_share;
         let limits = &self.limits;
         let default_limit = self.default_limit.as_ref();
         for (customer, bucket) in &mut self.buckets {
             // What was earned at the old share is credited before the new one holds.
             if let Some(limit) = limits.get(customer).or(default_limit) {
-                bucket.fill(limit, now);
+                bucket.refill(limit, now);
             }
             bucket.share = share(customer);
         }
@@ -119,8 +119,9 @@
 
     /// Returns the requests a second that each customer asked lately, as of `now`.
     pub fn demand(&mut self, now: Instant) -> BTreeMap<CustomerId, f64> {
-        self.buckets
-            .retain(|_, bucket| now.saturating_duration_since(bucket.asked) < IDLE_AFTER);
+        self.buckets.retain(|_, bucket| {
+            now.saturating_duration_since(bucket.last_request) < IDLE_BUCKET_RETENTION
+        });
         self.buckets
             .iter()
             .map(|(customer, bucket)| (customer.clone(), bucket.demand_at(now)))
@@ -134,25 +135,25 @@
 
 impl Bucket {
     fn demand_at(&self, now: Instant) -> f64 {
-        let past = now.saturating_duration_since(self.asked);
-        self.demand * (-past.as_secs_f64() / DEMAND_SPAN.as_secs_f64()).exp()
+        let elapsed = now.saturating_duration_since(self.last_request);
+        self.demand * (-elapsed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
     fn count(&mut self, now: Instant) {
-        self.demand = self.demand_at(now) + 1.0 / DEMAND_SPAN.as_secs_f64();
-        self.asked = now;
+        self.demand = self.demand_at(now) + 1.0 / DEMAND_WINDOW.as_secs_f64();
+        self.last_request = now;
     }
 
-    fn fill(&mut self, limit: &CustomerLimit, now: Instant) {
-        let past = now.saturating_duration_since(self.filled);
-        let earned = past.as_secs_f64() * limit.requests_per_second * self.share;
+    fn refill(&mut self, limit: &CustomerLimit, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.last_refill);
+        let earned = elapsed.as_secs_f64() * limit.requests_per_second * self.share;
         let depth = depth(limit, self.share);
         // A bucket that a larger share filled is not cut to the smaller depth at once, it just
         // earns nothing; else a share that swings would burn what was earned.
         if self.tokens < depth {
             self.tokens = (self.tokens + earned).min(depth);
         }
-        self.filled = now;
+        self.last_refill = now;
     }
 }
 
--- a/crates/route/src/membership.rs
+++ b/crates/route/src/membership.rs
@@ -138,7 +138,7 @@
                 remote,
                 own_in_flight: 0,
                 other_in_flight: reported_load(report),
-                name_hash: hash_name(&report.vm),
+                name_hash: affinity_hash(&report.vm),
                 leaving_listed,
                 leaving_refused: false,
                 unreachable: false,
@@ -280,6 +280,6 @@
 }
 
 /// Hashes a VM's name once, so that choosing by affinity costs a multiplication per member.
-fn hash_name(name: &str) -> u64 {
+fn affinity_hash(name: &str) -> u64 {
     wagtailreel_core::rank_score(b"affinity", name)
 }
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -7,13 +7,13 @@
 use wagtailreel_core::{NotRunReason, Priority};
 
 /// Weight of the newest request in the mean time that a request takes.
-const MEAN_WEIGHT: f64 = 0.05;
+const RUN_TIME_WEIGHT: f64 = 0.05;
 
 /// Jitter spreads callers that are told to come back over this share of the wait.
-const JITTER: f64 = 0.5;
+const RETRY_JITTER: f64 = 0.5;
 
 /// Shortest wait that a caller is told.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// How an entry admits requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,9 +25,9 @@
     /// Most requests that wait, as a share of the capacity.
     pub queue_share: f64,
     /// Longest wait of a request without a deadline.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// Mean time that a request takes, until it is measured.
-    pub first_mean: Duration,
+    pub initial_mean: Duration,
 }
 
 impl Default for OverloadConfig {
@@ -36,8 +36,8 @@
             low_share: 0.7,
             normal_share: 0.9,
             queue_share: 0.25,
-            longest_wait: Duration::from_secs(1),
-            first_mean: Duration::from_secs(1),
+            max_wait: Duration::from_secs(1),
+            initial_mean: Duration::from_secs(1),
         }
     }
 }
@@ -68,11 +68,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     deadline: Option<Instant>,
-    until: Instant,
+    wait_until: Instant,
 }
 
 /// Orders waiters: the highest priority first, then the first that came.
-type Place = (std::cmp::Reverse<Priority>, WaiterId);
+type QueueKey = (std::cmp::Reverse<Priority>, WaiterId);
 
 /// The requests of one service at one entry: in flight and waiting.
 ///
@@ -84,8 +84,8 @@
     capacity: u32,
     other_in_flight: u32,
     in_flight: u32,
-    mean: f64,
-    waiters: BTreeMap<Place, Waiter>,
+    mean_run_time: f64,
+    waiters: BTreeMap<QueueKey, Waiter>,
     next_id: WaiterId,
 }
 
@@ -97,7 +97,7 @@
             capacity: 0,
             other_in_flight: 0,
             in_flight: 0,
-            mean: cfg.first_mean.as_secs_f64(),
+            mean_run_time: cfg.initial_mean.as_secs_f64(),
             waiters: BTreeMap::new(),
             next_id: 1,
         }
@@ -133,30 +133,36 @@
             self.in_flight = self.in_flight.saturating_add(1);
             return (Admission::Admitted, None);
         }
-        let until = self.until(deadline, now);
+        let wait_until = self.wait_until(deadline, now);
         let expected = self.expected_wait(ahead + 1);
-        if now + expected > until {
+        if now + expected > wait_until {
             return (self.refusal(NotRunReason::Full, ahead + 1, rng), None);
         }
-        let mut given_up = None;
-        if self.waiters.len() >= self.most_waiting() {
-            given_up = self.give_way(priority, rng);
-            if given_up.is_none() {
+        let mut rejected = None;
+        if self.waiters.len() >= self.max_waiting() {
+            rejected = self.evict_lower(priority, rng);
+            if rejected.is_none() {
                 return (self.refusal(NotRunReason::Full, ahead + 1, rng), None);
             }
         }
         let id = self.next_id;
         self.next_id += 1;
-        let place = (std::cmp::Reverse(priority), id);
-        self.waiters.insert(place, Waiter { deadline, until });
-        (Admission::Waiting(id), given_up)
+        let key = (std::cmp::Reverse(priority), id);
+        self.waiters.insert(
+            key,
+            Waiter {
+                deadline,
+                wait_until,
+            },
+        );
+        (Admission::Waiting(id), rejected)
     }
 
-    /// Takes the end of an admitted request that took `took`, if it ran.
-    pub fn finish(&mut self, took: Option<Duration>) -> Vec<QueueEvent> {
+    /// Takes the end of an admitted request that took `run_time`, if it ran.
+    pub fn finish(&mut self, run_time: Option<Duration>) -> Vec<QueueEvent> {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(took) = took {
-            self.mean += MEAN_WEIGHT * (took.as_secs_f64() - self.mean);
+        if let Some(run_time) = run_time {
+            self.mean_run_time += RUN_TIME_WEIGHT * (run_time.as_secs_f64() - self.mean_run_time);
         }
         self.admit_waiters()
     }
@@ -173,33 +179,34 @@
     where
         R: Rng,
     {
-        let over: Vec<(Place, Waiter)> = self
+        let expired: Vec<(QueueKey, Waiter)> = self
             .waiters
             .iter()
-            .filter(|(_, waiter)| waiter.until <= now)
-            .map(|(place, waiter)| (*place, *waiter))
+            .filter(|(_, waiter)| waiter.wait_until <= now)
+            .map(|(key, waiter)| (*key, *waiter))
             .collect();
-        over.into_iter()
-            .map(|(place, waiter)| {
-                self.waiters.remove(&place);
+        expired
+            .into_iter()
+            .map(|(key, waiter)| {
+                self.waiters.remove(&key);
                 let reason = match waiter.deadline {
                     Some(deadline) if deadline <= now => NotRunReason::Deadline,
                     _ => NotRunReason::Full,
                 };
-                QueueEvent::Reject(place.1, reason, self.retry_after(1, rng))
+                QueueEvent::Reject(key.1, reason, self.retry_after(1, rng))
             })
             .collect()
     }
 
     /// Returns when [`Overload::tick`] has something to do.
     pub fn next_tick(&self) -> Option<Instant> {
-        self.waiters.values().map(|waiter| waiter.until).min()
+        self.waiters.values().map(|waiter| waiter.wait_until).min()
     }
 
     /// Removes a waiter whose caller has gone; returns whether it was still waiting.
     pub fn cancel(&mut self, id: WaiterId) -> bool {
-        let place = self.waiters.keys().find(|place| place.1 == id).copied();
-        place.is_some_and(|place| self.waiters.remove(&place).is_some())
+        let key = self.waiters.keys().find(|key| key.1 == id).copied();
+        key.is_some_and(|key| self.waiters.remove(&key).is_some())
     }
 
     fn has_room(&self, priority: Priority) -> bool {
@@ -216,27 +223,27 @@
     fn ahead_of(&self, priority: Priority) -> usize {
         self.waiters
             .keys()
-            .filter(|place| place.0.0 >= priority)
+            .filter(|key| key.0.0 >= priority)
             .count()
     }
 
-    fn most_waiting(&self) -> usize {
+    fn max_waiting(&self) -> usize {
         let most = f64::from(self.capacity) * self.cfg.queue_share;
         (most.ceil() as usize).max(1)
     }
 
-    fn until(&self, deadline: Option<Instant>, now: Instant) -> Instant {
-        deadline.unwrap_or(now + self.cfg.longest_wait)
+    fn wait_until(&self, deadline: Option<Instant>, now: Instant) -> Instant {
+        deadline.unwrap_or(now + self.cfg.max_wait)
     }
 
-    /// Returns the time until `ends` of this entry's requests in flight are over.
-    fn expected_wait(&self, ends: usize) -> Duration {
-        let rate = f64::from(self.in_flight.max(1)) / self.mean.max(f64::EPSILON);
-        Duration::try_from_secs_f64(ends as f64 / rate).unwrap_or(Duration::MAX / 4)
+    /// Returns the time until `completions` of this entry's requests in flight are over.
+    fn expected_wait(&self, completions: usize) -> Duration {
+        let rate = f64::from(self.in_flight.max(1)) / self.mean_run_time.max(f64::EPSILON);
+        Duration::try_from_secs_f64(completions as f64 / rate).unwrap_or(Duration::MAX / 4)
     }
 
     /// Gives up the last waiter if its priority is below `priority`.
-    fn give_way<R>(&mut self, priority: Priority, rng: &mut R) -> Option<QueueEvent>
+    fn evict_lower<R>(&mut self, priority: Priority, rng: &mut R) -> Option<QueueEvent>
     where
         R: Rng,
     {
@@ -251,31 +258,31 @@
 
     fn admit_waiters(&mut self) -> Vec<QueueEvent> {
         let mut events = Vec::new();
-        while let Some((place, _)) = self.waiters.first_key_value() {
-            let place = *place;
-            if self.capacity != 0 && !self.has_room(place.0.0) {
+        while let Some((key, _)) = self.waiters.first_key_value() {
+            let key = *key;
+            if self.capacity != 0 && !self.has_room(key.0.0) {
                 break;
             }
-            self.waiters.remove(&place);
+            self.waiters.remove(&key);
             self.in_flight = self.in_flight.saturating_add(1);
-            events.push(QueueEvent::Admit(place.1));
+            events.push(QueueEvent::Admit(key.1));
         }
         events
     }
 
-    fn refusal<R>(&self, reason: NotRunReason, ends: usize, rng: &mut R) -> Admission
+    fn refusal<R>(&self, reason: NotRunReason, completions: usize, rng: &mut R) -> Admission
     where
         R: Rng,
     {
-        Admission::Refused(reason, self.retry_after(ends, rng))
+        Admission::Refused(reason, self.retry_after(completions, rng))
     }
 
-    fn retry_after<R>(&self, ends: usize, rng: &mut R) -> Duration
+    fn retry_after<R>(&self, completions: usize, rng: &mut R) -> Duration
     where
         R: Rng,
     {
-        let wait = self.expected_wait(ends).max(SHORTEST_RETRY);
+        let wait = self.expected_wait(completions).max(MIN_RETRY_AFTER);
         let wait = wait.min(Duration::from_secs(30));
-        wait.mul_f64(1.0 + JITTER * rng.random::<f64>())
+        wait.mul_f64(1.0 + RETRY_JITTER * rng.random::<f64>())
     }
 }
--- a/crates/route/src/shares.rs
+++ b/crates/route/src/shares.rs
@@ -14,9 +14,9 @@
 pub struct SharesConfig {
     /// Part of a limit, 0 to 1, that is dealt out evenly, so that a customer's first request at
     /// an entry is not refused for want of earlier demand.
-    pub even: f64,
+    pub even_part: f64,
     /// A peer not heard from for longer than this keeps the share that it had.
-    pub unseen_after: Duration,
+    pub silent_after: Duration,
     /// A peer that is unseen and not listed keeps its share for this long.
     pub prune_after: Duration,
 }
@@ -24,8 +24,8 @@
 impl Default for SharesConfig {
     fn default() -> Self {
         Self {
-            even: 0.2,
-            unseen_after: Duration::from_secs(2),
+            even_part: 0.2,
+            silent_after: Duration::from_secs(2),
             prune_after: Duration::from_secs(30),
         }
     }
@@ -35,47 +35,47 @@
 #[derive(Clone, Debug)]
 struct Basis {
     /// Entries in sight, the own included.
-    seen: usize,
+    visible: usize,
     /// Demand of all entries in sight.
     total: Demand,
     /// Shares held back for entries out of sight.
-    held: Demand,
-    /// The same for a customer that `held` does not name.
-    held_fresh: f64,
-    even: f64,
+    reserved: Demand,
+    /// The same for a customer that `reserved` does not name.
+    reserved_default: f64,
+    even_part: f64,
 }
 
 impl Basis {
     /// Returns the share of an entry in sight with `demand`.
     fn share(&self, demand: f64, service: &str, customer: &str) -> f64 {
-        let held = find(&self.held, service, customer).unwrap_or(self.held_fresh);
-        let room = (1.0 - held).max(0.0);
-        let even = room / self.seen as f64;
+        let reserved = find(&self.reserved, service, customer).unwrap_or(self.reserved_default);
+        let unreserved = (1.0 - reserved).max(0.0);
+        let even_share = unreserved / self.visible as f64;
         let total = find(&self.total, service, customer).unwrap_or_default();
         if total <= 0.0 {
-            return even;
+            return even_share;
         }
-        self.even * even + (1.0 - self.even) * room * demand / total
+        self.even_part * even_share + (1.0 - self.even_part) * unreserved * demand / total
     }
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    seen: Instant,
+    received_at: Instant,
     demand: Demand,
-    heard: bool,
-    out_of_sight: bool,
+    updated: bool,
+    silent: bool,
     /// The basis of the last tick at which the peer had been heard: when it goes out of sight its
     /// share is reckoned by what both sides knew then, not by what came since.
     basis: Option<Arc<Basis>>,
 }
 
 impl Peer {
-    fn share(&self, service: &str, customer: &str, equal: f64) -> f64 {
+    fn share(&self, service: &str, customer: &str, equal_share: f64) -> f64 {
         let demand = find(&self.demand, service, customer).unwrap_or_default();
         self.basis
             .as_ref()
-            .map_or(equal, |basis| basis.share(demand, service, customer))
+            .map_or(equal_share, |basis| basis.share(demand, service, customer))
     }
 }
 
@@ -97,11 +97,11 @@
     /// Makes the shares of an entry that knows no peer.
     pub fn new(cfg: SharesConfig) -> Self {
         let basis = Basis {
-            seen: 1,
+            visible: 1,
             total: Demand::new(),
-            held: Demand::new(),
-            held_fresh: 0.0,
-            even: cfg.even,
+            reserved: Demand::new(),
+            reserved_default: 0.0,
+            even_part: cfg.even_part,
         };
         Self {
             cfg,
@@ -120,23 +120,23 @@
         self.listed = entries.into_iter().collect();
     }
 
-    /// Takes a peer's demand, heard at `seen`.
-    pub fn peer(&mut self, vm: &VmId, demand: &Demand, seen: Instant) {
+    /// Takes a peer's demand, heard at `received_at`.
+    pub fn peer(&mut self, vm: &VmId, demand: &Demand, received_at: Instant) {
         let Some(peer) = self.peers.get_mut(vm) else {
             let peer = Peer {
-                seen,
+                received_at,
                 demand: demand.clone(),
-                heard: true,
-                out_of_sight: false,
+                updated: true,
+                silent: false,
                 basis: None,
             };
             self.peers.insert(vm.clone(), peer);
             return;
         };
-        if seen > peer.seen {
-            peer.seen = seen;
+        if received_at > peer.received_at {
+            peer.received_at = received_at;
             peer.demand.clone_from(demand);
-            peer.heard = true;
+            peer.updated = true;
         }
     }
 
@@ -148,16 +148,16 @@
         let cfg = self.cfg;
         let listed = &self.listed;
         self.peers.retain(|vm, peer| {
-            let unseen = now.saturating_duration_since(peer.seen);
-            listed.contains(vm) || unseen <= cfg.prune_after
+            let silence = now.saturating_duration_since(peer.received_at);
+            listed.contains(vm) || silence <= cfg.prune_after
         });
         for peer in self.peers.values_mut() {
-            peer.out_of_sight = now.saturating_duration_since(peer.seen) > cfg.unseen_after;
+            peer.silent = now.saturating_duration_since(peer.received_at) > cfg.silent_after;
         }
         self.own.clone_from(own);
-        self.basis = Arc::new(self.deal());
-        for peer in self.peers.values_mut().filter(|peer| peer.heard) {
-            peer.heard = false;
+        self.basis = Arc::new(self.next_basis());
+        for peer in self.peers.values_mut().filter(|peer| peer.updated) {
+            peer.updated = false;
             peer.basis = Some(Arc::clone(&self.basis));
         }
     }
@@ -171,46 +171,46 @@
 
     /// Returns how many entries share a limit, this one included.
     pub fn entries(&self) -> usize {
-        1 + self.peers.len() + self.unheard()
+        1 + self.peers.len() + self.never_heard()
     }
 
     /// Returns how many listed entries were never heard of.
-    fn unheard(&self) -> usize {
+    fn never_heard(&self) -> usize {
         self.listed
             .iter()
             .filter(|vm| !self.peers.contains_key(*vm))
             .count()
     }
 
-    fn deal(&self) -> Basis {
-        let equal = 1.0 / self.entries() as f64;
-        let in_sight = || self.peers.values().filter(|peer| !peer.out_of_sight);
-        let out_of_sight = || self.peers.values().filter(|peer| peer.out_of_sight);
+    fn next_basis(&self) -> Basis {
+        let equal_share = 1.0 / self.entries() as f64;
+        let visible_peers = || self.peers.values().filter(|peer| !peer.silent);
+        let silent_peers = || self.peers.values().filter(|peer| peer.silent);
         let mut total = self.own.clone();
-        for peer in in_sight() {
+        for peer in visible_peers() {
             add(&mut total, &peer.demand);
         }
-        let mut names = total.clone();
-        for peer in out_of_sight() {
-            add(&mut names, &peer.demand);
+        let mut reserved_by_customer = total.clone();
+        for peer in silent_peers() {
+            add(&mut reserved_by_customer, &peer.demand);
         }
-        let unheard = self.unheard() as f64 * equal;
-        let held_of = |service: &str, customer: &str| {
-            let shares = out_of_sight().map(|peer| peer.share(service, customer, equal));
-            unheard + shares.sum::<f64>()
+        let never_heard = self.never_heard() as f64 * equal_share;
+        let reserved_of = |service: &str, customer: &str| {
+            let shares = silent_peers().map(|peer| peer.share(service, customer, equal_share));
+            never_heard + shares.sum::<f64>()
         };
-        let held_fresh = held_of("", "");
-        for (service, customers) in &mut names {
-            for (customer, held) in customers {
-                *held = held_of(service, customer);
+        let reserved_default = reserved_of("", "");
+        for (service, customers) in &mut reserved_by_customer {
+            for (customer, reserved) in customers {
+                *reserved = reserved_of(service, customer);
             }
         }
         Basis {
-            seen: 1 + in_sight().count(),
+            visible: 1 + visible_peers().count(),
             total,
-            held: names,
-            held_fresh,
-            even: self.cfg.even,
+            reserved: reserved_by_customer,
+            reserved_default,
+            even_part: self.cfg.even_part,
         }
     }
 }
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -32,7 +32,7 @@
     let mut rng = StdRng::seed_from_u64(3);
     let mut text = String::new();
     let mut overload = Overload::new(OverloadConfig {
-        first_mean: Duration::from_millis(200),
+        initial_mean: Duration::from_millis(200),
         ..OverloadConfig::default()
     });
     overload.set_capacity(10, 0);
