--- a/crates/route/src/attempts.rs
+++ b/crates/route/src/attempts.rs
@@ -1,4 +1,6 @@
-//! What follows from the end of an attempt: the only place that decides an outcome.
+//! Decides what follows when an attempt ends or no upstream can be chosen.
+//!
+//! The outcome that a caller gets is decided in this module only.
 
 use std::time::{Duration, Instant};
 
@@ -8,22 +10,23 @@
 
 use crate::{Requirements, RetryBudget, Unavailable};
 
-/// How often and how long a request is tried.
+/// Limits on the attempts and waits of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptsConfig {
-    /// Most times that a request is sent, the first included.
+    /// Maximum number of times that a request is sent, including the first.
     pub max_attempts: u32,
-    /// Longest wait at a switch: twice the longest lease.
+    /// Maximum wait while all upstreams are closed for a switch: twice the longest lease.
     pub switch_wait: Duration,
-    /// Longest wait for the first upstream that is usable: an entry that starts, or wakes after a
-    /// pause, hears of them within a report's time.
+    /// Maximum wait for the first usable upstream. An entry that has just started, or that resumes
+    /// after a stall, learns of the upstreams within one report interval.
     pub upstream_wait: Duration,
-    /// Longest wait for a replica that can resume a cut stream.
+    /// Maximum wait for a replica that can resume an interrupted stream.
     pub resume_wait: Duration,
-    /// Longest wait for room after all upstreams turned out to be full; zero refuses at once.
+    /// Maximum wait for capacity after all upstreams turned out to be full; zero refuses at once.
     ///
-    /// A request is let in by what its entry knows, which is late: other entries may have taken
-    /// the room meanwhile. Whoever is to be held through an overload waits for the next one.
+    /// The entry admits a request by load reports that lag behind, so other entries may have
+    /// used the capacity in the meantime. A request that is to outlast an overload waits for the next
+    /// free slot.
     pub capacity_wait: Duration,
 }
 
@@ -42,24 +45,24 @@
 /// Whether a request may be started a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Repeat {
-    /// A stream of tokens that is not marked: a replica may go on where it was cut.
+    /// A token stream that is not marked as an order: a replica may continue it where it was interrupted.
     #[display("resumable")]
     Resumable,
-    /// An order, or a call whose effect is not known: once started it is never sent again.
+    /// An order, or a call whose effect is unknown: once started, the request is never sent again.
     #[display("never")]
     Never,
 }
 
-/// What an agent says when asked to cancel.
+/// An agent's answer to a cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum CancelState {
-    /// The request was not started and never will be: the agent keeps a tombstone.
+    /// The request was not started and never will be, because the agent keeps a tombstone.
     #[display("not-run")]
     NotRun,
-    /// It was started.
+    /// The request was started.
     #[display("started")]
     Started,
-    /// It was started and is over.
+    /// The request was started and has ended.
     #[display("done")]
     Done,
 }
@@ -67,7 +70,7 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer was passed on.
+    /// The whole answer was relayed to the caller.
     Whole,
     /// No byte of the request was sent.
     NeverSent,
@@ -79,47 +82,47 @@
     Cancelled(CancelState),
     /// The agent did not answer a cancel that followed [`AttemptEnd::Broken`].
     CancelLost,
-    /// The stream ended without its end mark.
+    /// The stream ended without its end marker.
     Cut {
-        /// Index of the next token that the caller lacks.
+        /// Index of the next token that the caller needs.
         next: u64,
-        /// Weights that gave the tokens so far.
+        /// Weights that produced the tokens so far.
         weights: Option<Digest>,
     },
 }
 
-/// Why it is not known what became of a request.
+/// Why the outcome of a request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum UnknownReason {
-    /// The request was sent, and no answer came.
+    /// The request was sent, and no answer arrived.
     #[display("answer-lost")]
     AnswerLost,
-    /// The answer broke off, and no replica could go on with it.
+    /// The answer was interrupted, and no replica could continue it.
     #[display("cut")]
     Cut,
 }
 
-/// What to do next.
+/// What the entry does next with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Done: the caller has the whole answer.
     Answered,
-    /// Choose an upstream and send the request; for a resumed one with the ask's pin.
+    /// Choose an upstream and send the request; a resumed request carries the pin of its requirements.
     Send,
-    /// Choose again when the upstreams change, at the latest at the time.
+    /// Choose again when the upstreams change, and at this time at the latest.
     Await(Instant),
     /// Ask the agent to cancel, to learn whether the request was started.
     AskCancel,
-    /// Done: the request was not run and never will be. With a time if it is worth trying again.
+    /// Done: the request was not run and never will be. The time is set if a retry may succeed.
     NotRun(NotRunReason, Option<Duration>),
-    /// Done: it is not known whether the request ran, or its answer is incomplete.
+    /// Done: the entry can't tell whether the request ran, or the answer is incomplete.
     Unknown(UnknownReason),
 }
 
 /// The attempts of one request.
 ///
-/// Invariant: [`Next::NotRun`] is returned only if every attempt is known not to have started,
-/// and a request with [`Repeat::Never`] is sent again only then.
+/// Invariant: [`Next::NotRun`] is returned only if no attempt has started,
+/// and a request with [`Repeat::Never`] is sent again only in that case.
 #[derive(Clone, Debug)]
 pub struct Attempts {
     cfg: AttemptsConfig,
@@ -138,7 +141,7 @@
 }
 
 impl Attempts {
-    /// Makes the attempts of a request that has not been sent.
+    /// Creates the attempts of a request that has not been sent.
     pub fn new(cfg: AttemptsConfig, repeat: Repeat, needs: Requirements) -> Self {
         Self {
             cfg,
@@ -164,7 +167,7 @@
         self
     }
 
-    /// Sets the hash of the prompt's head, for prefix affinity.
+    /// Sets the hash of the prompt's prefix, for prefix affinity.
     pub fn set_prefix(&mut self, prefix: u64) {
         self.needs.prefix = Some(prefix);
     }
@@ -174,33 +177,33 @@
         self.repeat
     }
 
-    /// Says whether the request has waited because all upstreams were closed for a switch.
+    /// Returns whether the request has waited because all upstreams were closed for a switch.
     pub fn is_at_switch(&self) -> bool {
         self.switch_wait_until.is_some()
     }
 
-    /// Says whether the request waits for room.
+    /// Returns whether the request waits for capacity.
     pub fn awaits_capacity(&self) -> bool {
         self.capacity_wait_until.is_some()
     }
 
-    /// Says whether this is the first look for an upstream, which counts the request once however
-    /// often it waits.
+    /// Returns `true` on the first call only, so that the retry budget counts the request once
+    /// however often it waits.
     pub fn is_first_choice(&mut self) -> bool {
         !std::mem::replace(&mut self.has_chosen, true)
     }
 
-    /// Says whether an attempt may have been started.
+    /// Returns whether an attempt may have been started.
     pub fn is_started(&self) -> bool {
         self.started
     }
 
-    /// Returns what the choice of an upstream has to go by.
+    /// Returns what the request requires of an upstream.
     pub fn needs(&self) -> &Requirements {
         &self.needs
     }
 
-    /// Returns the index of the first token that the next attempt has to give.
+    /// Returns the index of the first token that the next attempt must produce.
     pub fn resume_from(&self) -> u64 {
         self.resume_from
     }
@@ -215,13 +218,13 @@
         self.deadline
     }
 
-    /// Takes that an attempt goes to `vm`.
+    /// Records that an attempt is sent to `vm`.
     pub fn on_send(&mut self, vm: &str) {
         self.sent += 1;
         self.needs.tried.insert(vm.to_owned());
     }
 
-    /// Takes that no upstream can be chosen at `now`.
+    /// Returns what to do when no upstream can be chosen at `now`.
     pub fn on_unavailable(&mut self, reason: Unavailable, now: Instant) -> Next {
         if self.started {
             return self.await_replica(now);
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Takes how the attempt at `vm` ended.
+    /// Records how the attempt at `vm` ended and returns what to do next.
     pub fn ended(
         &mut self,
         vm: &str,
@@ -254,8 +257,8 @@
                 reason @ (NotRunReason::Closed | NotRunReason::Lease),
                 retry_after,
             ) => {
-                // The switch, not the request, kept the agent from running it: neither the
-                // budget nor the count of attempts is spent, and the agent may be asked again.
+                // The switch, not the request, is why the agent refused: the refusal consumes neither
+                // the retry budget nor an attempt, and the agent may be tried again.
                 self.needs.tried.remove(vm);
                 self.sent = self.sent.saturating_sub(1);
                 self.last_refusal = Some((reason, retry_after));
@@ -284,7 +287,7 @@
         budget: &mut RetryBudget,
     ) -> Next {
         if self.started {
-            // An earlier attempt was started, so this one's refusal says nothing of the whole.
+            // An earlier attempt was started, so this refusal does not decide the request's outcome.
             return self.resume_at(self.resume_from, self.needs.pin, UnknownReason::Cut);
         }
         self.last_refusal = Some((reason, retry_after));
@@ -300,14 +303,16 @@
         self.final_refusal()
     }
 
-    /// A resumed request takes the place of one that was let in, so it spends no budget.
+    /// Continues the request from token `next` on another replica, if it may be repeated.
+    ///
+    /// A resumed request replaces one that was already admitted, so it uses no retry budget.
     fn resume_at(&mut self, next: u64, weights: Option<Digest>, reason: UnknownReason) -> Next {
         self.started = true;
         self.resume_from = self.resume_from.max(next);
         if weights.is_some() {
             self.needs.pin = weights;
         }
-        // Tokens that the caller has are only continued by the weights that gave them.
+        // Only the weights that produced the caller's tokens may continue them.
         let continues = self.resume_from == 0 || self.needs.pin.is_some();
         if self.repeat == Repeat::Never || !continues || self.sent >= self.cfg.max_attempts {
             return Next::Unknown(reason);
@@ -344,7 +349,7 @@
         let until = *self.capacity_wait_until.get_or_insert(now + wait);
         let until = self.deadline.map_or(until, |deadline| deadline.min(until));
         if now < until {
-            // Those that were full may have room by then.
+            // Upstreams that were full may have free slots by then.
             self.needs.tried.clear();
             return Next::Await(until);
         }
@@ -375,7 +380,7 @@
             .last_refusal
             .unwrap_or((NotRunReason::NoUpstream, None));
         let reason = match reason {
-            // The caller cancelled nothing: the agent could not be reached in time.
+            // The entry sent the cancel, not the caller: the agent could not be reached in time.
             NotRunReason::Cancelled => NotRunReason::NoUpstream,
             reason => reason,
         };
@@ -387,7 +392,7 @@
     }
 }
 
-/// Says whether another upstream would refuse for the same reason.
+/// Returns whether every other upstream would refuse for the same reason.
 fn is_final(reason: NotRunReason) -> bool {
     matches!(
         reason,
@@ -399,13 +404,14 @@
     )
 }
 
-/// When a caller that was told `not-run` may come back.
+/// How long a caller whose request was not run should wait before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfter(pub Duration);
 
 impl RetryAfter {
-    /// Returns when to come back after `reason`, if that is worth trying: as the hint says, or a
-    /// usual time that is spread by up to half.
+    /// Returns the wait after `reason`, or `None` if a retry can't succeed.
+    ///
+    /// The wait is `hint` if there is one, or else a default with a jitter of up to half.
     pub fn for_reason<R>(reason: NotRunReason, hint: Option<Duration>, rng: &mut R) -> Option<Self>
     where
         R: Rng,
@@ -419,7 +425,7 @@
             | NotRunReason::Claimed
             | NotRunReason::Expired => return None,
         };
-        // Whoever gives a hint has spread it already.
+        // A hint already includes jitter.
         let spread = Duration::from_millis(base).mul_f64(1.0 + 0.5 * rng.random::<f64>());
         Some(Self(hint.unwrap_or(spread)))
     }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -1,11 +1,11 @@
-//! A budget that keeps retries a small part of the requests.
+//! A retry budget that limits retries to a small part of the requests.
 
-/// How much may be retried.
+/// Size of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Retries for each request, 0 to 1.
+    /// Retries earned by each request, 0 to 1.
     pub ratio: f64,
-    /// Most retries that may be saved up.
+    /// Maximum number of unused retries that accumulate.
     pub burst: f64,
 }
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Tokens that requests earn and retries spend.
+/// Token bucket that requests fill and retries drain.
 ///
 /// Invariant: over any span, retries are at most `burst + ratio * requests`.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget that is full.
+    /// Creates a full budget.
     pub fn new(cfg: BudgetConfig) -> Self {
         Self {
             cfg,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Counts a request that came in.
+    /// Counts an incoming request.
     pub fn request(&mut self) {
         self.tokens = (self.tokens + self.cfg.ratio).min(self.cfg.burst);
     }
 
-    /// Takes one retry out of the budget; returns whether there was one.
+    /// Uses one retry of the budget; returns `false` if none is left.
     pub fn retry(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Returns the retries that are left.
+    /// Returns the number of retries left.
     pub fn left(&self) -> f64 {
         self.tokens
     }
--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -8,71 +8,73 @@
 
 use crate::{Member, Membership};
 
-/// Bytes at the head of a prompt that make its prefix; prompts that share them share cache.
+/// Length in bytes of the prefix of a prompt; prompts with the same prefix share an engine's cache.
 const PREFIX_BYTES: usize = 256;
 
-/// How much a request of another entry counts beside an own one. At 1 all entries run to where
-/// the last reports saw little load; at 0 an upstream that others load is not spared.
+/// Weight of a request of another entry, relative to a request of this entry.
+///
+/// At 1, all entries converge on the upstreams that the last reports showed as idle. At 0, the load
+/// that other entries put on an upstream is ignored.
 const OTHER_ENTRIES_WEIGHT: f64 = 0.5;
 
-/// A preferred upstream may be busier than the least busy one by this share of its capacity.
+/// Load, as a share of capacity, by which the preferred upstream may exceed the least loaded one.
 const AFFINITY_LOAD_SLACK: f64 = 0.125;
 
-/// How an upstream is chosen. All but [`Policy::OwnFirst`] are kept as baselines.
+/// How an upstream is chosen. All but [`Policy::OwnFirst`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, derive_more::Display)]
 pub enum Policy {
-    /// This entry's own count first, the others' late load second, prefix affinity third.
+    /// Weighs this entry's exact count above the delayed load of other entries, then prefix affinity.
     #[default]
     #[display("own-first")]
     OwnFirst,
-    /// Baseline: one after the other.
+    /// Baseline: each upstream in turn.
     #[display("round-robin")]
     RoundRobin,
-    /// Baseline: the least load by the last reports alone.
+    /// Baseline: the lowest load by the last reports alone.
     #[display("least-reported")]
     LeastReported,
 }
 
-/// What one request asks of the choice.
+/// What one request requires of an upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Requirements {
-    /// Hash of the prompt's head, for prefix affinity.
+    /// Hash of the prompt's prefix, for prefix affinity.
     pub prefix: Option<u64>,
-    /// The request may run only on these weights.
+    /// Weights on which the request must run, if any.
     pub pin: Option<Digest>,
-    /// The upstream must have an epoch open; false for a plain service.
+    /// Whether the upstream must have an open epoch; false for a plain service.
     pub needs_open: bool,
-    /// A request whose wait at a switch is over may go to another data centre.
+    /// Whether the wait for a switch is over; the request may then go to another data centre.
     pub waited: bool,
-    /// Upstreams that refused or failed this request before.
+    /// Upstreams that already refused or failed this request.
     pub tried: BTreeSet<VmId>,
 }
 
-/// What was chosen.
+/// The result of a choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Send the request to this VM.
+    /// The request goes to this VM.
     Upstream(VmId),
-    /// No upstream can take it now.
+    /// No upstream can accept the request now.
     Unavailable(Unavailable),
 }
 
-/// Why no upstream was chosen.
+/// Why no upstream could be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Unavailable {
-    /// None is known and usable.
+    /// No usable upstream is known.
     #[display("no-upstream")]
     NoUpstream,
-    /// All are closed: a switch is under way.
+    /// All upstreams are closed because a switch is in progress.
     #[display("closed")]
     Closed,
-    /// None serves the pinned weights.
+    /// No upstream serves the pinned weights.
     #[display("weights")]
     Weights,
-    /// All are full.
+    /// All upstreams are full.
     #[display("full")]
     Full,
-    /// All that could run it were tried.
+    /// All eligible upstreams were already tried.
     #[display("tried")]
     Tried,
 }
@@ -87,7 +89,7 @@
 }
 
 impl Chooser {
-    /// Makes a chooser for an entry of `data_centre` in `region`.
+    /// Creates a chooser for an entry of `data_centre` in `region`.
     pub fn new(data_centre: DataCentre, region: Region) -> Self {
         Self {
             policy: Policy::default(),
@@ -104,12 +106,12 @@
         self
     }
 
-    /// Chooses an upstream of `membership` for `needs` at `now`.
+    /// Chooses an upstream of `membership` for a request with `needs` at `now`.
     ///
-    /// Upstreams of the entry's own data centre go first, then those of its region, then others.
-    /// While its own data centre is closed for a switch the request waits rather than leave it,
-    /// and it leaves for the epoch that its own data centre has open only: a caller that saw one
-    /// version is not sent back to the one before.
+    /// Upstreams of the entry's own data centre come first, then those of its region, then others.
+    /// While the own data centre is closed for a switch, the request waits instead of going to
+    /// another data centre. Another data centre is used only for the epoch that the own data centre
+    /// has open, so that a caller that saw one version is not sent back to the previous one.
     pub fn choose<R>(
         &mut self,
         membership: &Membership,
@@ -150,10 +152,10 @@
         self.choose_eligible(&eligible, needs, rng)
     }
 
-    /// Returns the capacity that requests can use at `now`, and what other entries have there.
+    /// Returns the capacity that requests can use at `now`, and the load of other entries there.
     ///
-    /// It counts the upstreams that [`Chooser::choose`] would take; while the own data centre is
-    /// closed for a switch, those that will open again.
+    /// The counted upstreams are those that [`Chooser::choose`] may return. While the own data centre is
+    /// closed for a switch, its upstreams count too, because they open again afterwards.
     pub fn capacity_and_load(
         &self,
         membership: &Membership,
@@ -245,7 +247,7 @@
         })
     }
 
-    /// Returns 0 for the own data centre, 1 for the own region, 2 for the rest.
+    /// Returns 0 for the own data centre, 1 for the own region, and 2 for other regions.
     fn distance(&self, member: &Member) -> u8 {
         if member.report.data_centre == self.data_centre {
             0
@@ -262,13 +264,14 @@
     }
 }
 
-/// Says whether `member` takes no request now: a plain service's agent says so by a refusal only,
-/// an engine's also by having no epoch open.
+/// Returns whether `member` accepts no request now.
+///
+/// A plain service's agent signals this by a refusal only, an engine's agent also by having no open epoch.
 fn is_closed_for(member: &Member, needs: &Requirements) -> bool {
     member.is_closed() || (needs.needs_open && member.open().is_none())
 }
 
-/// Returns the hash of the head of `prompt`, by which prompts with a common head meet.
+/// Returns the hash of the prefix of `prompt`, which routes prompts with a common prefix to one engine.
 pub fn prefix_of(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     let head = &bytes[..bytes.len().min(PREFIX_BYTES)];
@@ -278,7 +281,9 @@
     u64::from_be_bytes(first)
 }
 
-/// Returns the share of `member`'s capacity in use: the own count is exact and the others' late.
+/// Returns the share of `member`'s capacity in use.
+///
+/// The count of this entry is exact, and that of other entries lags behind, so the latter has less weight.
 fn cost(member: &Member) -> f64 {
     let in_flight =
         f64::from(member.own_in_flight) + OTHER_ENTRIES_WEIGHT * f64::from(member.other_in_flight);
@@ -294,7 +299,7 @@
         .map(|member| cost(member))
         .min_by(f64::total_cmp)?;
     if let Some(prefix) = prefix {
-        // The bound keeps a popular prefix from piling up on one engine.
+        // The bound keeps a popular prefix from overloading one engine.
         return nearest
             .iter()
             .filter(|member| cost(member) <= min_cost + AFFINITY_LOAD_SLACK)
@@ -316,7 +321,7 @@
         .copied()
 }
 
-/// Spreads the bits of `value` (the finaliser of splitmix64).
+/// Mixes the bits of `value` (the finaliser of splitmix64).
 fn mix_bits(value: u64) -> u64 {
     let mut z = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions of an entry's request path, apart from I/O.
+//! Decisions of an entry's request path, without I/O.
 //!
-//! Every type takes the time as an argument and returns what to do; none reads a clock, opens a
-//! socket or draws a random number of its own. One service has one [`Membership`], one
-//! [`Chooser`], one [`Overload`] and one [`RetryBudget`]; [`Limits`] holds the customers of one
-//! service over all entries, and [`Attempts`] belongs to one request.
+//! Every type takes the time as an argument and returns what to do. None reads a clock, opens a
+//! socket or holds a random number generator. One service has one [`Membership`], one
+//! [`Chooser`], one [`Overload`] and one [`RetryBudget`]; [`Limits`] holds the limits of one service's
+//! customers at this entry, [`Shares`] computes the entry's share of each limit, and [`Attempts`] belongs
+//! to one request.
 
 mod attempts;
 mod budget;
--- a/crates/route/src/limits.rs
+++ b/crates/route/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the customers of one service at one entry.
+//! Rate limits of the customers of one service at one entry.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,27 +6,27 @@
 use rand::{Rng, RngExt as _};
 use wagtailreel_core::{CustomerId, CustomerLimit, Document};
 
-/// Span over which demand is averaged.
+/// Time constant of the moving average of demand.
 const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
-/// A customer that asked nothing for this long is forgotten.
+/// A customer's bucket is removed after this long without a request.
 const IDLE_BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
-/// Jitter spreads callers that are told to come back over this share of the wait.
+/// Retry waits are lengthened by up to this fraction, so that refused callers don't retry together.
 const RETRY_JITTER: f64 = 0.5;
 
-/// Longest wait that a caller is told, however small the entry's share is.
+/// Maximum retry wait told to a caller, however small the entry's share is.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Smallest share of a limit; it keeps the wait finite.
+/// Minimum share of a limit, which keeps the retry wait finite.
 const MIN_SHARE: f64 = 1e-3;
 
 /// Whether a request is within its customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// It is.
+    /// The request is within the limit.
     Within,
-    /// It is not; the caller may come back after this time.
+    /// The request is over the limit, and the caller may retry after this time.
     Over(Duration),
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Limits {
-    /// Makes limits under which a customer not seen before has `initial_share` of its limit.
+    /// Creates limits under which a customer without earlier requests has `initial_share` of its limit.
     pub fn new(initial_share: f64) -> Self {
         Self {
             initial_share,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Takes the limits of the service's document.
+    /// Applies the limits of the service's document.
     pub fn set_document(&mut self, document: &Document) {
         self.limits.clone_from(&document.limits);
         self.default_limit.clone_from(&document.default_limit);
     }
 
-    /// Counts a request of `customer` at `now` and says whether it is within the limit.
+    /// Counts a request of `customer` at `now` and returns whether the request is within the limit.
     pub fn admit<R>(&mut self, customer: &str, now: Instant, rng: &mut R) -> LimitVerdict
     where
         R: Rng,
@@ -109,7 +109,7 @@
         let limits = &self.limits;
         let default_limit = self.default_limit.as_ref();
         for (customer, bucket) in &mut self.buckets {
-            // What was earned at the old share is credited before the new one holds.
+            // Tokens earned at the old share are credited before the new share applies.
             if let Some(limit) = limits.get(customer).or(default_limit) {
                 bucket.refill(limit, now);
             }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns the requests a second that each customer asked lately, as of `now`.
+    /// Returns each customer's recent requests per second, as of `now`.
     pub fn demand(&mut self, now: Instant) -> BTreeMap<CustomerId, f64> {
         self.buckets.retain(|_, bucket| {
             now.saturating_duration_since(bucket.last_request) < IDLE_BUCKET_RETENTION
@@ -148,8 +148,8 @@
         let elapsed = now.saturating_duration_since(self.last_refill);
         let earned = elapsed.as_secs_f64() * limit.requests_per_second * self.share;
         let depth = depth(limit, self.share);
-        // A bucket that a larger share filled is not cut to the smaller depth at once, it just
-        // earns nothing; else a share that swings would burn what was earned.
+        // A bucket above its depth after a share shrank keeps its tokens and earns none. Cutting it to
+        // the new depth would discard earned tokens whenever a share fluctuates.
         if self.tokens < depth {
             self.tokens = (self.tokens + earned).min(depth);
         }
@@ -157,7 +157,7 @@
     }
 }
 
-/// Returns the depth of a bucket: the share of the burst, but room for one request at least.
+/// Returns the depth of a bucket: the share of the burst, but at least one request.
 fn depth(limit: &CustomerLimit, share: f64) -> f64 {
     (f64::from(limit.burst) * share).max(1.0)
 }
--- a/crates/route/src/membership.rs
+++ b/crates/route/src/membership.rs
@@ -1,18 +1,18 @@
-//! Which upstreams of one service may get new work.
+//! Tracks which upstreams of one service may get new requests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use wagtailreel_core::{Digest, Epoch, NotRunReason, Report, VmEntry, VmId, VmRole, VmState};
 
-/// How membership judges silence.
+/// Times after which a silent member is suspected or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipConfig {
     /// A member without a report for longer than this is suspected.
     pub suspect_after: Duration,
     /// The same for a member of another data centre, whose reports come late.
     pub suspect_remote_after: Duration,
-    /// A member without a report for longer than this, and not in the list, is forgotten.
+    /// A member without a report for longer than this is removed, unless the list of VMs names it.
     pub prune_after: Duration,
 }
 
@@ -36,43 +36,43 @@
     }
 }
 
-/// Whether a member may get new work.
+/// Whether a member may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 pub enum Standing {
-    /// It may.
+    /// The member may get new requests.
     #[display("usable")]
     Usable,
-    /// It was silent for too long, or the last request did not reach it.
+    /// The member was silent for too long, or the last request did not reach it.
     #[display("suspected")]
     Suspected,
-    /// It, the list of VMs or a refusal says that it leaves.
+    /// The member's report, the list of VMs or a refusal says that the member leaves.
     #[display("leaving")]
     Leaving,
 }
 
-/// What a report told.
+/// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportEffect {
-    /// Nothing: a newer report was there before it.
+    /// Nothing, because a newer report arrived first.
     Late,
-    /// Load and counts only.
+    /// The load and the counts only.
     Load,
-    /// Something that decides whether or for which weights the member gets work.
+    /// Something that decides whether the member gets requests, or for which weights.
     Standing,
 }
 
-/// One upstream of the service, as this entry knows it.
+/// The last known state of one upstream of the service.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// The last report.
     pub report: Report,
-    /// When the last report came.
+    /// When the last report was received.
     pub received: Instant,
-    /// The member is in another data centre, and its reports come over an entry there.
+    /// Whether the member is in another data centre, and its reports are relayed by an entry there.
     pub remote: bool,
-    /// Requests of this entry that are at the member now; exact.
+    /// Requests of this entry at the member now; exact.
     pub own_in_flight: u32,
-    /// Requests of other entries at the member, as of the last report; late.
+    /// Requests of other entries at the member, as of the last report; this count lags behind.
     pub other_in_flight: u32,
     /// Hash of the VM's name, for prefix affinity.
     pub(crate) name_hash: u64,
@@ -83,22 +83,24 @@
 }
 
 impl Member {
-    /// Returns the requests that are thought to be at the member.
+    /// Returns the estimated number of requests at the member.
     pub fn in_flight(&self) -> u32 {
         self.own_in_flight.saturating_add(self.other_in_flight)
     }
 
-    /// Says whether the member refused since its last report because it is closed.
+    /// Returns whether the member has refused a request as closed since its last report.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Returns the epoch that the member admits, unless it refused since its last report.
+    /// Returns the epoch that the member has open, or `None` if the member refused as closed since its last
+    /// report.
     pub fn open(&self) -> Option<Epoch> {
         self.report.open.filter(|_| !self.closed)
     }
 
-    /// Returns the digest of the open bundle, unless the member refused since its last report.
+    /// Returns the digest of the open bundle, or `None` if the member refused as closed since its
+    /// last report.
     pub fn open_weights(&self) -> Option<Digest> {
         self.report.open_weights.filter(|_| !self.closed)
     }
@@ -106,8 +108,8 @@
 
 /// The upstreams of one service.
 ///
-/// Invariant: `leaving` is sticky for one start of an agent. Only a higher incarnation
-/// makes a leaving member usable again, or a newer list if it was the list that said so.
+/// Invariant: `leaving` is sticky for one run of an agent. Only a higher incarnation makes a leaving
+/// member usable again, or a newer list if the list of VMs marked the member as leaving.
 #[derive(Clone, Debug)]
 pub struct Membership {
     cfg: MembershipConfig,
@@ -116,7 +118,7 @@
 }
 
 impl Membership {
-    /// Makes an empty membership.
+    /// Creates an empty membership.
     pub fn new(cfg: MembershipConfig) -> Self {
         Self {
             cfg,
@@ -125,10 +127,11 @@
         }
     }
 
-    /// Takes a report that came at `received`; `remote` if over an entry of another data centre.
+    /// Applies a report received at `received`; `remote` says that an entry of another data centre
+    /// relayed the report.
     ///
     /// A report with a lower incarnation, or with a sequence that is not higher, is late and is
-    /// passed over.
+    /// ignored.
     pub fn report(&mut self, report: &Report, received: Instant, remote: bool) -> ReportEffect {
         let leaving_listed = self.listed.get(&report.vm) == Some(&VmState::Leaving);
         let Some(member) = self.members.get_mut(&report.vm) else {
@@ -177,8 +180,7 @@
         }
     }
 
-    /// Takes the list of VMs; entries of other services are passed over by the caller's choice
-    /// of `service`.
+    /// Applies the list of VMs; VMs of services other than `service` are ignored.
     pub fn list(&mut self, service: &str, vms: &[VmEntry]) {
         self.listed = vms
             .iter()
@@ -190,8 +192,8 @@
         }
     }
 
-    /// Takes a refusal by `vm`, which holds until the member's next report; `leaving` holds for
-    /// as long as the agent runs.
+    /// Records a refusal by `vm`, which counts until the member's next report; a refusal as leaving counts
+    /// for as long as the agent runs.
     pub fn refused(&mut self, vm: &str, reason: NotRunReason) {
         let Some(member) = self.members.get_mut(vm) else {
             return;
@@ -207,28 +209,28 @@
         }
     }
 
-    /// Takes that a request did not reach `vm`; it is suspected until its next report.
+    /// Records that a request did not reach `vm`, which is suspected until its next report.
     pub fn unreachable(&mut self, vm: &str) {
         if let Some(member) = self.members.get_mut(vm) {
             member.unreachable = true;
         }
     }
 
-    /// Counts a request that goes to `vm` now.
+    /// Counts a request that is sent to `vm`.
     pub fn started(&mut self, vm: &str) {
         if let Some(member) = self.members.get_mut(vm) {
             member.own_in_flight = member.own_in_flight.saturating_add(1);
         }
     }
 
-    /// Counts a request that is over at `vm`.
+    /// Counts a request that has ended at `vm`.
     pub fn finished(&mut self, vm: &str) {
         if let Some(member) = self.members.get_mut(vm) {
             member.own_in_flight = member.own_in_flight.saturating_sub(1);
         }
     }
 
-    /// Forgets members that are silent, not listed, and have no request of this entry.
+    /// Removes members that are silent, not listed, and have no request of this entry in flight.
     pub fn prune(&mut self, now: Instant) {
         let Self {
             cfg,
@@ -258,12 +260,12 @@
         self.members.get(vm)
     }
 
-    /// Returns all members in the order of their names.
+    /// Returns all members, sorted by VM name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the members that may get new work at `now`.
+    /// Returns the members that may get new requests at `now`.
     pub fn usable(&self, now: Instant) -> impl Iterator<Item = &Member> {
         self.members
             .values()
@@ -271,7 +273,7 @@
     }
 }
 
-/// Returns the requests at the agent: its own count, or the engine's if that is higher.
+/// Returns the number of requests at the agent: the agent's count, or the engine's if that is higher.
 fn reported_load(report: &Report) -> u32 {
     let engine = report
         .load
@@ -279,7 +281,7 @@
     report.in_flight.max(engine)
 }
 
-/// Hashes a VM's name once, so that choosing by affinity costs a multiplication per member.
+/// Hashes a VM's name once, so that a choice by affinity needs only a few multiplications per member.
 fn affinity_hash(name: &str) -> u64 {
     wagtailreel_core::rank_score(b"affinity", name)
 }
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -1,4 +1,4 @@
-//! How many requests of one service an entry lets in, and in which order they wait.
+//! Admission of the requests of one service at one entry, and the queue of those that wait.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,27 +6,27 @@
 use rand::{Rng, RngExt as _};
 use wagtailreel_core::{NotRunReason, Priority};
 
-/// Weight of the newest request in the mean time that a request takes.
+/// Weight of the newest request in the moving average of run times.
 const RUN_TIME_WEIGHT: f64 = 0.05;
 
-/// Jitter spreads callers that are told to come back over this share of the wait.
+/// Retry waits are lengthened by up to this fraction, so that refused callers don't retry together.
 const RETRY_JITTER: f64 = 0.5;
 
-/// Shortest wait that a caller is told.
+/// Minimum retry wait told to a caller, before jitter.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// How an entry admits requests.
+/// Limits on admission and waiting at one entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadConfig {
-    /// Share of the capacity, 0 to 1, up to which requests of low priority are let in.
+    /// Share of the capacity, 0 to 1, up to which requests of low priority are admitted.
     pub low_share: f64,
-    /// The same for normal priority; high priority has the whole.
+    /// The same for normal priority; high priority may use all of the capacity.
     pub normal_share: f64,
-    /// Most requests that wait, as a share of the capacity.
+    /// Maximum number of waiting requests, as a share of the capacity.
     pub queue_share: f64,
-    /// Longest wait of a request without a deadline.
+    /// Maximum wait of a request without a deadline.
     pub max_wait: Duration,
-    /// Mean time that a request takes, until it is measured.
+    /// Initial value of the mean run time, before any request has completed.
     pub initial_mean: Duration,
 }
 
@@ -42,26 +42,26 @@
     }
 }
 
-/// Identifies a request that waits.
+/// Identifier of a waiting request.
 pub type WaiterId = u64;
 
-/// What becomes of a request that arrives.
+/// Decision on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It goes on now.
+    /// The request proceeds now.
     Admitted,
-    /// It waits until a [`QueueEvent`] names it.
+    /// The request waits until a [`QueueEvent`] with this identifier.
     Waiting(WaiterId),
-    /// It is refused now and may come back after the time.
+    /// The request is refused, and the caller may retry after this time.
     Refused(NotRunReason, Duration),
 }
 
-/// What becomes of a request that waits.
+/// Decision on a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueEvent {
-    /// It goes on now.
+    /// The request proceeds now.
     Admit(WaiterId),
-    /// It is given up and gets its final answer now; it may come back after the time.
+    /// The request is refused with a final answer, and the caller may retry after this time.
     Reject(WaiterId, NotRunReason, Duration),
 }
 
@@ -71,13 +71,13 @@
     wait_until: Instant,
 }
 
-/// Orders waiters: the highest priority first, then the first that came.
+/// Sorts waiters by priority, highest first, then by order of arrival.
 type QueueKey = (std::cmp::Reverse<Priority>, WaiterId);
 
-/// The requests of one service at one entry: in flight and waiting.
+/// The requests of one service at one entry, in flight and waiting.
 ///
-/// Invariant: a request waits only while nothing better placed could go on; every waiter gets
-/// exactly one event, unless it is cancelled.
+/// Invariant: requests wait only while the first waiter in the queue can't be admitted, and every
+/// waiter gets exactly one event unless it is cancelled.
 #[derive(Clone, Debug)]
 pub struct Overload {
     cfg: OverloadConfig,
@@ -90,7 +90,7 @@
 }
 
 impl Overload {
-    /// Makes the state of an entry with nothing in flight and no known capacity.
+    /// Creates the state of an entry with no requests in flight and no known capacity.
     pub fn new(cfg: OverloadConfig) -> Self {
         Self {
             cfg,
@@ -103,17 +103,17 @@
         }
     }
 
-    /// Returns the requests in flight that this entry admitted.
+    /// Returns the number of requests in flight that this entry admitted.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns the requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Takes a request that arrives at `now`, with what becomes of others by it.
+    /// Decides on a request that arrives at `now`, and returns the event of a waiter that it displaces.
     pub fn arrive<R>(
         &mut self,
         priority: Priority,
@@ -128,7 +128,8 @@
             return (self.refusal(NotRunReason::Deadline, 1, rng), None);
         }
         let ahead = self.ahead_of(priority);
-        // Without any known capacity the choice of an upstream gives the precise answer.
+        // Without known capacity, the request is admitted so that the choice of an upstream returns the
+        // precise reason.
         if self.capacity == 0 || (ahead == 0 && self.has_room(priority)) {
             self.in_flight = self.in_flight.saturating_add(1);
             return (Admission::Admitted, None);
@@ -158,7 +159,7 @@
         (Admission::Waiting(id), rejected)
     }
 
-    /// Takes the end of an admitted request that took `run_time`, if it ran.
+    /// Records the end of an admitted request; `run_time` is `None` if the request did not run.
     pub fn finish(&mut self, run_time: Option<Duration>) -> Vec<QueueEvent> {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(run_time) = run_time {
@@ -167,14 +168,14 @@
         self.admit_waiters()
     }
 
-    /// Takes the capacity of the upstreams and the load of other entries there, which is late.
+    /// Sets the capacity of the upstreams and the load of other entries there, which lags behind.
     pub fn set_capacity(&mut self, capacity: u32, other_in_flight: u32) -> Vec<QueueEvent> {
         self.capacity = capacity;
         self.other_in_flight = other_in_flight;
         self.admit_waiters()
     }
 
-    /// Gives up waiters whose time is over at `now`.
+    /// Refuses the waiters whose wait is over at `now`.
     pub fn tick<R>(&mut self, now: Instant, rng: &mut R) -> Vec<QueueEvent>
     where
         R: Rng,
@@ -198,12 +199,12 @@
             .collect()
     }
 
-    /// Returns when [`Overload::tick`] has something to do.
+    /// Returns the time of the next expiry, at which [`Overload::tick`] is due.
     pub fn next_tick(&self) -> Option<Instant> {
         self.waiters.values().map(|waiter| waiter.wait_until).min()
     }
 
-    /// Removes a waiter whose caller has gone; returns whether it was still waiting.
+    /// Removes a waiter whose caller disconnected; returns whether the request was still waiting.
     pub fn cancel(&mut self, id: WaiterId) -> bool {
         let key = self.waiters.keys().find(|key| key.1 == id).copied();
         key.is_some_and(|key| self.waiters.remove(&key).is_some())
@@ -216,7 +217,7 @@
             Priority::High => 1.0,
         };
         let used = f64::from(self.in_flight) + f64::from(self.other_in_flight);
-        // At least one request is let in, so that a service with one slot is open to all.
+        // At least one request is admitted, so that a service with one slot accepts every priority.
         used < (f64::from(self.capacity) * share).max(1.0)
     }
 
@@ -236,13 +237,13 @@
         deadline.unwrap_or(now + self.cfg.max_wait)
     }
 
-    /// Returns the time until `completions` of this entry's requests in flight are over.
+    /// Returns the expected time until `completions` of this entry's requests in flight have ended.
     fn expected_wait(&self, completions: usize) -> Duration {
         let rate = f64::from(self.in_flight.max(1)) / self.mean_run_time.max(f64::EPSILON);
         Duration::try_from_secs_f64(completions as f64 / rate).unwrap_or(Duration::MAX / 4)
     }
 
-    /// Gives up the last waiter if its priority is below `priority`.
+    /// Refuses the last waiter if its priority is below `priority`.
     fn evict_lower<R>(&mut self, priority: Priority, rng: &mut R) -> Option<QueueEvent>
     where
         R: Rng,
--- a/crates/route/src/shares.rs
+++ b/crates/route/src/shares.rs
@@ -1,4 +1,4 @@
-//! This entry's share of each limit, agreed on without a shared counter.
+//! This entry's share of each rate limit, computed from exchanged demand without a shared counter.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 
 use wagtailreel_core::{CustomerId, ServiceName, VmId};
 
-/// Requests a second, by service and customer, that one entry was asked for.
+/// Requests per second that reach one entry, by service and customer.
 pub type Demand = BTreeMap<ServiceName, BTreeMap<CustomerId, f64>>;
 
-/// How shares follow demand.
+/// How shares are computed from demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharesConfig {
-    /// Part of a limit, 0 to 1, that is dealt out evenly, so that a customer's first request at
-    /// an entry is not refused for want of earlier demand.
+    /// Part of a limit, 0 to 1, that is divided evenly between the entries. Without this part, a
+    /// customer's first request at an entry would be refused, because the entry had no demand before.
     pub even_part: f64,
-    /// A peer not heard from for longer than this keeps the share that it had.
+    /// A peer without a report for longer than this is silent and keeps its last share.
     pub silent_after: Duration,
-    /// A peer that is unseen and not listed keeps its share for this long.
+    /// A peer that is silent and not listed keeps its share for this long after its last report.
     pub prune_after: Duration,
 }
 
@@ -31,22 +31,22 @@
     }
 }
 
-/// What shares are dealt by: a snapshot of the entries in sight and of what is held back.
+/// Input of the shares: a snapshot of the visible entries and of the reserved shares.
 #[derive(Clone, Debug)]
 struct Basis {
-    /// Entries in sight, the own included.
+    /// Number of visible entries, including this one. A visible entry is one that is not silent.
     visible: usize,
-    /// Demand of all entries in sight.
+    /// Demand of all visible entries.
     total: Demand,
-    /// Shares held back for entries out of sight.
+    /// Shares reserved for silent entries and entries without any report.
     reserved: Demand,
-    /// The same for a customer that `reserved` does not name.
+    /// The reserved share of a customer that `reserved` does not contain.
     reserved_default: f64,
     even_part: f64,
 }
 
 impl Basis {
-    /// Returns the share of an entry in sight with `demand`.
+    /// Returns the share of a visible entry with `demand`.
     fn share(&self, demand: f64, service: &str, customer: &str) -> f64 {
         let reserved = find(&self.reserved, service, customer).unwrap_or(self.reserved_default);
         let unreserved = (1.0 - reserved).max(0.0);
@@ -65,8 +65,8 @@
     demand: Demand,
     updated: bool,
     silent: bool,
-    /// The basis of the last tick at which the peer had been heard: when it goes out of sight its
-    /// share is reckoned by what both sides knew then, not by what came since.
+    /// The basis at the last tick with a new report of the peer. Once the peer is silent, its share is
+    /// computed from what both sides knew then, not from later reports.
     basis: Option<Arc<Basis>>,
 }
 
@@ -79,11 +79,11 @@
     }
 }
 
-/// The shares of all entries, as one of them reckons.
+/// The shares of all entries, as computed by one of them.
 ///
-/// Invariant: when all entries see each other and agree on the demand, the shares of a limit add
-/// up to 1. When some are cut off, each side holds the other's last share back, so the sum does
-/// not grow by a cut.
+/// Invariant: when all entries receive each other's reports and agree on the demand, the shares of a
+/// limit add up to 1. In a network partition, each side reserves the other's last share, so that the
+/// sum does not grow.
 #[derive(Clone, Debug)]
 pub struct Shares {
     cfg: SharesConfig,
@@ -94,7 +94,7 @@
 }
 
 impl Shares {
-    /// Makes the shares of an entry that knows no peer.
+    /// Creates the shares of an entry that knows no peer.
     pub fn new(cfg: SharesConfig) -> Self {
         let basis = Basis {
             visible: 1,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes the names of the other entries in the list of VMs.
+    /// Sets the names of the other entries in the list of VMs.
     pub fn list<I>(&mut self, entries: I)
     where
         I: IntoIterator<Item = VmId>,
@@ -120,7 +120,7 @@
         self.listed = entries.into_iter().collect();
     }
 
-    /// Takes a peer's demand, heard at `received_at`.
+    /// Records a peer's demand, received at `received_at`; an older report is ignored.
     pub fn peer(&mut self, vm: &VmId, demand: &Demand, received_at: Instant) {
         let Some(peer) = self.peers.get_mut(vm) else {
             let peer = Peer {
@@ -140,10 +140,10 @@
         }
     }
 
-    /// Deals the shares anew by this entry's demand `own` and what was heard of peers.
+    /// Recomputes the shares from this entry's demand `own` and the reported demand of peers.
     ///
-    /// Peers that went out of sight keep the share that they had, and those that are gone from
-    /// the list too are forgotten.
+    /// Silent peers keep their last share. Peers that are also gone from the list are removed
+    /// after [`SharesConfig::prune_after`].
     pub fn tick(&mut self, own: &Demand, now: Instant) {
         let cfg = self.cfg;
         let listed = &self.listed;
@@ -162,19 +162,18 @@
         }
     }
 
-    /// Returns this entry's share of the limit of `customer` at `service`, 0 to 1, as of the
-    /// last tick.
+    /// Returns this entry's share, 0 to 1, of the limit of `customer` at `service`, as of the last tick.
     pub fn own_share(&self, service: &str, customer: &str) -> f64 {
         let demand = find(&self.own, service, customer).unwrap_or_default();
         self.basis.share(demand, service, customer)
     }
 
-    /// Returns how many entries share a limit, this one included.
+    /// Returns the number of entries that share a limit, including this one.
     pub fn entries(&self) -> usize {
         1 + self.peers.len() + self.never_heard()
     }
 
-    /// Returns how many listed entries were never heard of.
+    /// Returns the number of listed entries without any report.
     fn never_heard(&self) -> usize {
         self.listed
             .iter()
