--- a/crates/route/tests/choice.rs
+++ b/crates/route/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Choice of the upstream for a request.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -27,7 +27,7 @@
     }
 }
 
-fn far(vm: &str, data_centre: &str, region: &str, epoch: u64) -> Report {
+fn report_at(vm: &str, data_centre: &str, region: &str, epoch: u64) -> Report {
     Report {
         data_centre: data_centre.to_owned(),
         region: region.to_owned(),
@@ -44,7 +44,7 @@
     members
 }
 
-/// Sends `requests` one after the other and returns the VMs, none finishing.
+/// Sends `requests` requests in turn, none of which finishes, and returns the chosen VMs.
 fn send(
     members: &mut Membership,
     chooser: &mut Chooser,
@@ -66,6 +66,7 @@
     vms.join(" ")
 }
 
+/// Requests fill the own data centre before the region and the other regions.
 #[rstest]
 #[case::own_first(Policy::OwnFirst)]
 #[case::round_robin(Policy::RoundRobin)]
@@ -78,9 +79,9 @@
         &[
             report("u1", 1, 1),
             busy,
-            far("far", "cuenca-hall", "austro", 1),
-            far("near", "loja-hall", "sierra", 1),
-            far("newer", "guayaquil-hall", "costa", 2),
+            report_at("far", "cuenca-hall", "austro", 1),
+            report_at("near", "loja-hall", "sierra", 1),
+            report_at("newer", "guayaquil-hall", "costa", 2),
         ],
         now,
     );
@@ -89,8 +90,9 @@
     assert_snapshot!(format!("spill_over_{policy}"), vms);
 }
 
+/// Requests with one prefix share an upstream until it exceeds the load bound.
 #[test]
-fn prefix_bound() {
+fn prefix_affinity_bounded() {
     let now = Instant::now();
     let reports: Vec<Report> = ["u1", "u2", "u3"]
         .map(|vm| Report {
@@ -111,12 +113,16 @@
     assert_snapshot!(text);
 }
 
+/// While the own data centre is closed for a switch, a request goes elsewhere only after its wait.
 #[rstest]
 #[case::engine(true)]
 #[case::plain(false)]
-fn closed_waits(#[case] needs_open: bool) {
+fn closed_data_centre_waits(#[case] needs_open: bool) {
     let now = Instant::now();
-    let reports = [report("u1", 1, 1), far("far", "cuenca-hall", "austro", 1)];
+    let reports = [
+        report("u1", 1, 1),
+        report_at("far", "cuenca-hall", "austro", 1),
+    ];
     let mut members = members_of(&reports, now);
     members.refused("u1", NotRunReason::Closed);
     let needs = Requirements {
@@ -131,6 +137,7 @@
     assert_eq!(send(&mut members, &mut chooser(), &waited, 1), "far");
 }
 
+/// A request pinned to weights goes only to upstreams that serve them.
 #[test]
 fn pinned_resume() {
     let now = Instant::now();
--- a/crates/route/tests/limits.rs
+++ b/crates/route/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits over all entries without a shared counter.
+//! Rate limits across all entries without a shared counter.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -26,19 +26,19 @@
     document
 }
 
-/// One entry with its limits and its view of the others.
+/// One entry with its limits and the shares that it computes.
 struct Entry {
     vm: VmId,
     limits: Limits,
     shares: Shares,
     demand: Demand,
-    /// Requests a second that callers send to it.
+    /// Requests per second that callers send to the entry.
     rate: f64,
-    owed: f64,
+    pending_requests: f64,
     within: u32,
 }
 
-/// Entries that tell each other their demand every 200 ms.
+/// Entries that exchange their demand every 200 ms.
 struct Fleet {
     now: Instant,
     steps: u32,
@@ -60,7 +60,7 @@
                 shares,
                 demand: Demand::new(),
                 rate: *rate,
-                owed: 0.0,
+                pending_requests: 0.0,
                 within: 0,
             }
         });
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Runs for `span`; entries hear each other if `linked` says so of their positions.
+    /// Runs for `span`; entries receive each other's demand if `linked` holds for their positions.
     fn run<F>(&mut self, span: Duration, linked: F)
     where
         F: Fn(usize, usize) -> bool,
@@ -84,9 +84,9 @@
             self.now += STEP;
             self.steps += 1;
             for entry in &mut self.entries {
-                entry.owed += entry.rate * STEP.as_secs_f64();
-                while entry.owed >= 1.0 {
-                    entry.owed -= 1.0;
+                entry.pending_requests += entry.rate * STEP.as_secs_f64();
+                while entry.pending_requests >= 1.0 {
+                    entry.pending_requests -= 1.0;
                     let verdict = entry.limits.admit(CUSTOMER, self.now, &mut self.rng);
                     entry.within += u32::from(verdict == LimitVerdict::Within);
                 }
@@ -106,22 +106,22 @@
             let customers = entry.limits.demand(now);
             entry.demand = BTreeMap::from([(SERVICE.to_owned(), customers)]);
         }
-        let told: Vec<(VmId, Demand)> = self
+        let reported: Vec<(VmId, Demand)> = self
             .entries
             .iter()
             .map(|entry| (entry.vm.clone(), entry.demand.clone()))
             .collect();
         for (to, entry) in self.entries.iter_mut().enumerate() {
-            for (from, (vm, demand)) in told.iter().enumerate() {
+            for (from, (vm, demand)) in reported.iter().enumerate() {
                 if from != to && linked(from, to) {
                     entry.shares.peer(vm, demand, now);
                 }
             }
             entry.shares.tick(&entry.demand, now);
-            let fresh = entry.shares.own_share(SERVICE, "");
+            let initial_share = entry.shares.own_share(SERVICE, "");
             let shares = &entry.shares;
             let share = |customer: &str| shares.own_share(SERVICE, customer);
-            entry.limits.set_shares(fresh, now, share);
+            entry.limits.set_shares(initial_share, now, share);
         }
     }
 
@@ -132,7 +132,7 @@
             .sum()
     }
 
-    fn line(&self, text: &mut String, what: &str, span: Duration) {
+    fn write_rates(&self, text: &mut String, phase: &str, span: Duration) {
         let rates: Vec<String> = self
             .entries
             .iter()
@@ -147,29 +147,31 @@
             .collect();
         let total: u32 = self.entries.iter().map(|entry| entry.within).sum();
         let total = f64::from(total) / span.as_secs_f64();
-        writeln!(text, "{what}: {}; in all {total:.0}/s", rates.join(", ")).unwrap();
+        writeln!(text, "{phase}: {}; in all {total:.0}/s", rates.join(", ")).unwrap();
     }
 }
 
+/// During a network partition, each side keeps its shares and does not exceed the limit in total.
 #[test]
-fn cut_keeps_share() {
+fn partition_keeps_shares() {
     let mut fleet = Fleet::new(&[120.0, 60.0, 20.0]);
     let mut text = String::from("limit 100/s, burst 10\n");
     let span = Duration::from_secs(10);
     fleet.run(span, |_, _| true);
-    fleet.line(&mut text, "linked", span);
+    fleet.write_rates(&mut text, "linked", span);
     fleet.run(span, |from, to| (from == 2) == (to == 2));
-    fleet.line(&mut text, "e3 is cut off", span);
+    fleet.write_rates(&mut text, "e3 is cut off", span);
     fleet.entries[0].rate = 300.0;
     fleet.entries[2].rate = 200.0;
     fleet.run(span, |from, to| (from == 2) == (to == 2));
-    fleet.line(&mut text, "both sides ask for more", span);
+    fleet.write_rates(&mut text, "both sides ask for more", span);
     fleet.run(Duration::from_secs(3), |_, _| true);
     fleet.run(span, |_, _| true);
-    fleet.line(&mut text, "linked again", span);
+    fleet.write_rates(&mut text, "linked again", span);
     assert_snapshot!(text);
 }
 
+/// Refused callers get different waits, so that they don't retry together.
 #[test]
 fn retry_after_spread() {
     let mut rng = StdRng::seed_from_u64(5);
@@ -191,12 +193,12 @@
 }
 
 proptest! {
-    /// Whatever the demand and whoever is cut off, the shares never add up to more than 1.
+    /// The shares never add up to more than 1, for any demand and any network partition.
     #[test]
-    fn sum_is_one(
+    fn shares_sum_bounded(
         rates in prop::collection::vec(0.0_f64..300.0, 2..7),
         later in prop::collection::vec(0.0_f64..300.0, 7),
-        cut in 0_usize..7,
+        split in 0_usize..7,
     ) {
         let mut fleet = Fleet::new(&rates);
         fleet.run(Duration::from_secs(4), |_, _| true);
@@ -204,7 +206,7 @@
         for (entry, rate) in fleet.entries.iter_mut().zip(&later) {
             entry.rate = *rate;
         }
-        fleet.run(Duration::from_secs(8), |from, to| (from < cut) == (to < cut));
+        fleet.run(Duration::from_secs(8), |from, to| (from < split) == (to < split));
         assert!(fleet.share_sum() < 1.0 + 1e-6, "{}", fleet.share_sum());
     }
 }
--- a/crates/route/tests/overload.rs
+++ b/crates/route/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Who is let in, who waits and who gives way.
+//! Which requests are admitted, wait, or are displaced by a higher priority.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Write as _;
@@ -10,15 +10,15 @@
 use wagtailreel_core::Priority;
 use wagtailreel_route::{Overload, OverloadConfig, QueueEvent};
 
-fn events(text: &mut String, events: Vec<QueueEvent>) {
+fn write_events(text: &mut String, events: Vec<QueueEvent>) {
     for event in events {
         match event {
-            QueueEvent::Admit(id) => writeln!(text, "    waiter {id} goes on").unwrap(),
+            QueueEvent::Admit(id) => writeln!(text, "    waiter {id} is admitted").unwrap(),
             QueueEvent::Reject(id, reason, retry_after) => {
                 let ms = retry_after.as_millis();
                 writeln!(
                     text,
-                    "    waiter {id} is given up: {reason}, back in {ms} ms"
+                    "    waiter {id} is refused: {reason}, retry after {ms} ms"
                 )
                 .unwrap();
             }
@@ -26,8 +26,9 @@
     }
 }
 
+/// A full queue refuses its last waiter of lower priority in favour of a new request.
 #[test]
-fn low_gives_way() {
+fn full_queue_drops_lower_priority() {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(3);
     let mut text = String::new();
@@ -39,10 +40,10 @@
     let low = (Priority::Low, None);
     let normal = (Priority::Normal, None);
     let high = (Priority::High, None);
-    let hurried = (Priority::Low, Some(Duration::from_millis(20)));
+    let short_deadline = (Priority::Low, Some(Duration::from_millis(20)));
     let arrivals = [
         vec![low; 10],
-        vec![hurried],
+        vec![short_deadline],
         vec![normal; 5],
         vec![high; 5],
         vec![low],
@@ -51,18 +52,18 @@
         let deadline = deadline.map(|wait| start + wait);
         let (admission, event) = overload.arrive(priority, deadline, start, &mut rng);
         writeln!(text, "{priority} arrives: {admission:?}").unwrap();
-        events(&mut text, event.into_iter().collect());
+        write_events(&mut text, event.into_iter().collect());
     }
     for _ in 0..4 {
-        writeln!(text, "one ends").unwrap();
-        events(&mut text, overload.finish(Some(Duration::from_millis(200))));
+        writeln!(text, "one request ends").unwrap();
+        write_events(&mut text, overload.finish(Some(Duration::from_millis(200))));
     }
-    writeln!(text, "another entry is seen to use 5").unwrap();
-    events(&mut text, overload.set_capacity(10, 5));
+    writeln!(text, "another entry is reported to use 5").unwrap();
+    write_events(&mut text, overload.set_capacity(10, 5));
     let (admission, _) = overload.arrive(Priority::Normal, None, start, &mut rng);
     writeln!(text, "normal arrives: {admission:?}").unwrap();
-    writeln!(text, "its time is over").unwrap();
-    events(
+    writeln!(text, "its maximum wait is over").unwrap();
+    write_events(
         &mut text,
         overload.tick(start + Duration::from_secs(1), &mut rng),
     );
@@ -70,8 +71,9 @@
     assert_snapshot!(text);
 }
 
+/// A waiter whose caller disconnected is not admitted when capacity becomes free.
 #[test]
-fn caller_gone() {
+fn cancelled_waiter_not_admitted() {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(3);
     let mut overload = Overload::new(OverloadConfig::default());
--- a/crates/route/tests/retries.rs
+++ b/crates/route/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt.
+//! What an entry does after an attempt ends.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -19,7 +19,7 @@
     RetryBudget::new(BudgetConfig::default())
 }
 
-fn session(repeat: Repeat, ends: &[AttemptEnd]) -> String {
+fn transcript(repeat: Repeat, ends: &[AttemptEnd]) -> String {
     let start = Instant::now();
     let mut attempts = Attempts::new(AttemptsConfig::default(), repeat, Requirements::default());
     let mut budget = budget();
@@ -52,7 +52,7 @@
         next: 3,
         weights: None,
     };
-    let sessions = [
+    let sequences = [
         vec![AttemptEnd::Whole],
         vec![AttemptEnd::Broken, AttemptEnd::CancelLost],
         vec![
@@ -79,14 +79,15 @@
     let mut text = String::new();
     for repeat in [Repeat::Resumable, Repeat::Never] {
         writeln!(text, "== {repeat}").unwrap();
-        for ends in &sessions {
-            text.push_str(&session(repeat, ends));
+        for ends in &sequences {
+            text.push_str(&transcript(repeat, ends));
             text.push('\n');
         }
     }
     assert_snapshot!(text);
 }
 
+/// A switch uses neither attempts nor retry budget, and the wait has one bound.
 #[test]
 fn switch_wait() {
     let start = Instant::now();
@@ -186,10 +187,10 @@
 }
 
 proptest! {
-    /// However attempts end, "not run" is said only if none was started, an order is not sent
-    /// again once it may have started, and the sum of retries keeps to the budget.
+    /// For any sequence of ends: "not run" is returned only if no attempt was started, an order is
+    /// not sent again once it may have started, and retries keep to the budget.
     #[test]
-    fn never_blurred(
+    fn outcome_is_truthful(
         ends in prop::collection::vec(any_end(), 1..12),
         order in any::<bool>(),
     ) {
@@ -207,13 +208,13 @@
                     | AttemptEnd::Cut { .. }
             );
             match attempts.ended("u1", ended, start, &mut budget) {
-                Next::Send => assert!(!(maybe_started && order), "an order was sent again"),
+                Next::Send => assert!(!(maybe_started && order), "an order was sent twice"),
                 Next::NotRun(..) => {
-                    assert!(!maybe_started, "told not-run though it may have started");
+                    assert!(!maybe_started, "not-run returned although the request may have started");
                     break;
                 }
                 Next::Unknown(_) => {
-                    assert!(maybe_started, "told unknown though it was not run");
+                    assert!(maybe_started, "unknown returned although the request was not run");
                     break;
                 }
                 next => panic!("{next:?} does not follow"),
@@ -222,7 +223,7 @@
         assert!(attempts.sent() <= AttemptsConfig::default().max_attempts + 1);
     }
 
-    /// Retries are at most a tenth of the requests above the burst.
+    /// Retries are at most the burst plus a tenth of the requests.
     #[test]
     fn budget_holds(steps in prop::collection::vec(any::<bool>(), 1..400)) {
         let mut budget = RetryBudget::new(BudgetConfig::default());
