--- a/crates/route/src/chooser.rs
+++ b/crates/route/src/chooser.rs
@@ -13,8 +13,8 @@
 
 /// Weight of a request of another entry, relative to a request of this entry.
 ///
-/// At 1, all entries converge on the upstreams that the last reports showed as idle. At 0, the load
-/// that other entries put on an upstream is ignored.
+/// At 1, all entries converge on the upstreams that the last reports showed as little loaded. At 0, the
+/// load that other entries put on an upstream is ignored.
 const OTHER_ENTRIES_WEIGHT: f64 = 0.5;
 
 /// Load, as a share of capacity, by which the preferred upstream may exceed the least loaded one.
--- a/crates/route/src/membership.rs
+++ b/crates/route/src/membership.rs
@@ -10,7 +10,7 @@
 pub struct MembershipConfig {
     /// A member without a report for longer than this is suspected.
     pub suspect_after: Duration,
-    /// The same for a member of another data centre, whose reports come late.
+    /// The same for a member of another data centre, whose reports arrive with a delay.
     pub suspect_remote_after: Duration,
     /// A member without a report for longer than this is removed, unless the list of VMs names it.
     pub prune_after: Duration,
