--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -14,9 +14,9 @@
     ServiceKind, ServiceName, VmEntry, VmId,
 };
 use wagtailreel_route::{
-    Admission, Attempts, BudgetConfig, Choice, Chooser, Ended, Heard, LimitVerdict, Limits,
-    Membership, MembershipConfig, Next, Overload, OverloadConfig, QueueEvent, RetryBudget,
-    Standing, WaiterId,
+    Admission, AttemptEnd, Attempts, BudgetConfig, Choice, Chooser, LimitVerdict, Limits,
+    Membership, MembershipConfig, Next, Overload, OverloadConfig, QueueEvent, ReportEffect,
+    RetryBudget, Standing, WaiterId,
 };
 
 use crate::metrics::Metrics;
@@ -137,7 +137,7 @@
         {
             let mut inner = self.lock();
             inner.membership.list(&self.name, vms);
-            inner.membership.forget(Instant::now());
+            inner.membership.prune(Instant::now());
         }
         self.refresh();
         self.changed.send_replace(());
@@ -149,10 +149,10 @@
         {
             let mut inner = self.lock();
             for view in views {
-                let heard = inner
+                let effect = inner
                     .membership
                     .report(&view.report, view.received, view.remote);
-                standing |= heard == Heard::Standing;
+                standing |= effect == ReportEffect::Standing;
             }
         }
         self.refresh();
@@ -169,7 +169,7 @@
     /// Counts a request of `customer` and says whether it is within the limit.
     pub(crate) fn limit(&self, customer: &str) -> LimitVerdict {
         let inner = &mut *self.lock();
-        inner.limits.ask(customer, Instant::now(), &mut inner.rng)
+        inner.limits.admit(customer, Instant::now(), &mut inner.rng)
     }
 
     /// Returns what each customer asked lately, a second.
@@ -224,23 +224,23 @@
     pub(crate) fn choose(self: &Arc<Self>, attempts: &mut Attempts) -> Result<Slot, Next> {
         let now = Instant::now();
         let inner = &mut *self.lock();
-        if attempts.is_first_look() {
+        if attempts.is_first_choice() {
             inner.budget.request();
         }
         let choice = inner
             .chooser
-            .choose(&inner.membership, attempts.ask(), now, &mut inner.rng);
+            .choose(&inner.membership, attempts.needs(), now, &mut inner.rng);
         let vm = match choice {
             Choice::Upstream(vm) => vm,
-            Choice::Short(shortage) => return Err(attempts.short(shortage, now)),
+            Choice::Unavailable(reason) => return Err(attempts.on_unavailable(reason, now)),
         };
         let Some(member) = inner.membership.get(&vm) else {
-            return Err(attempts.short(wagtailreel_route::Shortage::NoUpstream, now));
+            return Err(attempts.on_unavailable(wagtailreel_route::Unavailable::NoUpstream, now));
         };
         let addr = member.report.data;
         let incarnation = member.report.incarnation;
         inner.membership.started(&vm);
-        attempts.sending(&vm);
+        attempts.on_send(&vm);
         Ok(Slot {
             service: Arc::clone(self),
             vm,
@@ -250,11 +250,11 @@
     }
 
     /// Takes how an attempt at `vm` ended and returns what to do next.
-    pub(crate) fn ended(&self, attempts: &mut Attempts, vm: &str, ended: Ended) -> Next {
+    pub(crate) fn ended(&self, attempts: &mut Attempts, vm: &str, ended: AttemptEnd) -> Next {
         let inner = &mut *self.lock();
         match &ended {
-            Ended::Refused(reason, _) => inner.membership.refused(vm, *reason),
-            Ended::NeverSent | Ended::CancelLost => inner.membership.unreachable(vm),
+            AttemptEnd::Refused(reason, _) => inner.membership.refused(vm, *reason),
+            AttemptEnd::NeverSent | AttemptEnd::CancelLost => inner.membership.unreachable(vm),
             _ => {}
         }
         attempts.ended(vm, ended, Instant::now(), &mut inner.budget)
@@ -329,8 +329,11 @@
             let document = inner.document.as_ref();
             let needs_open = document.is_some_and(|document| document.kind == ServiceKind::Engine);
             let now = Instant::now();
-            let (capacity, others) = inner.chooser.room(&inner.membership, needs_open, now);
-            inner.overload.set_room(capacity, others)
+            let (capacity, others) =
+                inner
+                    .chooser
+                    .capacity_and_load(&inner.membership, needs_open, now);
+            inner.overload.set_capacity(capacity, others)
         };
         self.settle(events);
     }
@@ -350,7 +353,7 @@
         for event in events {
             let (id, verdict) = match event {
                 QueueEvent::Admit(id) => (id, Ok(self.ticket())),
-                QueueEvent::GiveUp(id, reason, retry_after) => (id, Err((reason, retry_after))),
+                QueueEvent::Reject(id, reason, retry_after) => (id, Err((reason, retry_after))),
             };
             let tx = self.lock().waiters.remove(&id);
             if let Some(tx) = tx {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions of an entry's request path, apart from I/O.
+//! Decisions of an entry's request path, without I/O.
 //!
-//! Every type takes the time as an argument and returns what to do; none reads a clock, opens a
-//! socket or draws a random number of its own. One service has one [`Membership`], one
-//! [`Chooser`], one [`Overload`] and one [`RetryBudget`]; [`Limits`] holds the customers of one
-//! service over all entries, and [`Attempts`] belongs to one request.
+//! Every type takes the time as an argument and returns what to do. None reads a clock, opens a
+//! socket or holds a random number generator. One service has one [`Membership`], one
+//! [`Chooser`], one [`Overload`] and one [`RetryBudget`]; [`Limits`] holds the limits of one service's
+//! customers at this entry, [`Shares`] computes the entry's share of each limit, and [`Attempts`] belongs
+//! to one request.
 
 mod attempts;
 mod budget;
@@ -15,11 +16,11 @@
 mod shares;
 
 pub use attempts::{
-    Attempts, AttemptsConfig, CancelState, Ended, Next, Repeat, RetryAfter, UnknownReason,
+    AttemptEnd, Attempts, AttemptsConfig, CancelState, Next, Repeat, RetryAfter, UnknownReason,
 };
 pub use budget::{BudgetConfig, RetryBudget};
-pub use chooser::{Ask, Choice, Chooser, Policy, Shortage, prefix_of};
+pub use chooser::{Choice, Chooser, Policy, Requirements, Unavailable, prefix_of};
 pub use limits::{LimitVerdict, Limits};
-pub use membership::{Heard, Member, Membership, MembershipConfig, Standing};
+pub use membership::{Member, Membership, MembershipConfig, ReportEffect, Standing};
 pub use overload::{Admission, Overload, OverloadConfig, QueueEvent, WaiterId};
 pub use shares::{Demand, Shares, SharesConfig};
--- a/crates/route/src/overload.rs
+++ b/crates/route/src/overload.rs
@@ -1,4 +1,4 @@
-//! How many requests of one service an entry lets in, and in which order they wait.
+//! Admission of the requests of one service at one entry, and the queue of those that wait.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,28 +6,28 @@
 use rand::{Rng, RngExt as _};
 use wagtailreel_core::{NotRunReason, Priority};
 
-/// Weight of the newest request in the mean time that a request takes.
-const MEAN_WEIGHT: f64 = 0.05;
+/// Weight of the newest request in the moving average of run times.
+const RUN_TIME_WEIGHT: f64 = 0.05;
 
-/// Jitter spreads callers that are told to come back over this share of the wait.
-const JITTER: f64 = 0.5;
+/// Retry waits are lengthened by up to this fraction, so that refused callers don't retry together.
+const RETRY_JITTER: f64 = 0.5;
 
-/// Shortest wait that a caller is told.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+/// Minimum retry wait told to a caller, before jitter.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// How an entry admits requests.
+/// Limits on admission and waiting at one entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadConfig {
-    /// Share of the capacity, 0 to 1, up to which requests of low priority are let in.
+    /// Share of the capacity, 0 to 1, up to which requests of low priority are admitted.
     pub low_share: f64,
-    /// The same for normal priority; high priority has the whole.
+    /// The same for normal priority; high priority may use all of the capacity.
     pub normal_share: f64,
-    /// Most requests that wait, as a share of the capacity.
+    /// Maximum number of waiting requests, as a share of the capacity.
     pub queue_share: f64,
-    /// Longest wait of a request without a deadline.
-    pub longest_wait: Duration,
-    /// Mean time that a request takes, until it is measured.
-    pub first_mean: Duration,
+    /// Maximum wait of a request without a deadline.
+    pub max_wait: Duration,
+    /// Initial value of the mean run time, before any request has completed.
+    pub initial_mean: Duration,
 }
 
 impl Default for OverloadConfig {
@@ -36,84 +36,84 @@
             low_share: 0.7,
             normal_share: 0.9,
             queue_share: 0.25,
-            longest_wait: Duration::from_secs(1),
-            first_mean: Duration::from_secs(1),
+            max_wait: Duration::from_secs(1),
+            initial_mean: Duration::from_secs(1),
         }
     }
 }
 
-/// Identifies a request that waits.
+/// Identifier of a waiting request.
 pub type WaiterId = u64;
 
-/// What becomes of a request that arrives.
+/// Decision on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It goes on now.
+    /// The request proceeds now.
     Admitted,
-    /// It waits until a [`QueueEvent`] names it.
+    /// The request waits until a [`QueueEvent`] with this identifier.
     Waiting(WaiterId),
-    /// It is refused now and may come back after the time.
+    /// The request is refused, and the caller may retry after this time.
     Refused(NotRunReason, Duration),
 }
 
-/// What becomes of a request that waits.
+/// Decision on a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueEvent {
-    /// It goes on now.
+    /// The request proceeds now.
     Admit(WaiterId),
-    /// It is given up and gets its final answer now; it may come back after the time.
-    GiveUp(WaiterId, NotRunReason, Duration),
+    /// The request is refused with a final answer, and the caller may retry after this time.
+    Reject(WaiterId, NotRunReason, Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     deadline: Option<Instant>,
-    until: Instant,
+    wait_until: Instant,
 }
 
-/// Orders waiters: the highest priority first, then the first that came.
-type Place = (std::cmp::Reverse<Priority>, WaiterId);
+/// Sorts waiters by priority, highest first, then by order of arrival.
+type QueueKey = (std::cmp::Reverse<Priority>, WaiterId);
 
-/// The requests of one service at one entry: in flight and waiting.
+/// The requests of one service at one entry, in flight and waiting.
 ///
-/// Invariant: a request waits only while nothing better placed could go on; every waiter gets
-/// exactly one event, unless it is cancelled.
+/// Invariant: requests wait only while the first waiter in the queue can't be admitted, and every
+/// waiter gets exactly one event unless it is cancelled.
 #[derive(Clone, Debug)]
 pub struct Overload {
     cfg: OverloadConfig,
     capacity: u32,
-    others: u32,
+    other_in_flight: u32,
     in_flight: u32,
-    mean: f64,
-    waiters: BTreeMap<Place, Waiter>,
+    mean_run_time: f64,
+    waiters: BTreeMap<QueueKey, Waiter>,
     next_id: WaiterId,
 }
 
 impl Overload {
-    /// Makes the state of an entry with nothing in flight and no known capacity.
+    /// Creates the state of an entry with no requests in flight and no known capacity.
     pub fn new(cfg: OverloadConfig) -> Self {
         Self {
             cfg,
             capacity: 0,
-            others: 0,
+            other_in_flight: 0,
             in_flight: 0,
-            mean: cfg.first_mean.as_secs_f64(),
+            mean_run_time: cfg.initial_mean.as_secs_f64(),
             waiters: BTreeMap::new(),
             next_id: 1,
         }
     }
 
-    /// Returns the requests in flight that this entry admitted.
+    /// Returns the number of requests in flight that this entry admitted.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns the requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Takes a request that arrives at `now`, with what becomes of others by it.
+    /// Decides on a request that arrives at `now`, and returns the event of a waiter that it displaces.
     pub fn arrive<R>(
         &mut self,
         priority: Priority,
@@ -128,78 +128,86 @@
             return (self.refusal(NotRunReason::Deadline, 1, rng), None);
         }
         let ahead = self.ahead_of(priority);
-        // Without any known capacity the choice of an upstream gives the precise answer.
+        // Without known capacity, the request is admitted so that the choice of an upstream returns the
+        // precise reason.
         if self.capacity == 0 || (ahead == 0 && self.has_room(priority)) {
             self.in_flight = self.in_flight.saturating_add(1);
             return (Admission::Admitted, None);
         }
-        let until = self.until(deadline, now);
+        let wait_until = self.wait_until(deadline, now);
         let expected = self.expected_wait(ahead + 1);
-        if now + expected > until {
+        if now + expected > wait_until {
             return (self.refusal(NotRunReason::Full, ahead + 1, rng), None);
         }
-        let mut given_up = None;
-        if self.waiters.len() >= self.most_waiting() {
-            given_up = self.give_way(priority, rng);
-            if given_up.is_none() {
+        let mut rejected = None;
+        if self.waiters.len() >= self.max_waiting() {
+            rejected = self.evict_lower(priority, rng);
+            if rejected.is_none() {
                 return (self.refusal(NotRunReason::Full, ahead + 1, rng), None);
             }
         }
         let id = self.next_id;
         self.next_id += 1;
-        let place = (std::cmp::Reverse(priority), id);
-        self.waiters.insert(place, Waiter { deadline, until });
-        (Admission::Waiting(id), given_up)
+        let key = (std::cmp::Reverse(priority), id);
+        self.waiters.insert(
+            key,
+            Waiter {
+                deadline,
+                wait_until,
+            },
+        );
+        (Admission::Waiting(id), rejected)
     }
 
-    /// Takes the end of an admitted request that took `took`, if it ran.
-    pub fn finish(&mut self, took: Option<Duration>) -> Vec<QueueEvent> {
+    /// Records the end of an admitted request; `run_time` is `None` if the request did not run.
+    pub fn finish(&mut self, run_time: Option<Duration>) -> Vec<QueueEvent> {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(took) = took {
-            self.mean += MEAN_WEIGHT * (took.as_secs_f64() - self.mean);
+        if let Some(run_time) = run_time {
+            self.mean_run_time += RUN_TIME_WEIGHT * (run_time.as_secs_f64() - self.mean_run_time);
         }
         self.admit_waiters()
     }
 
-    /// Takes the capacity of the upstreams and the load of other entries there, which is late.
-    pub fn set_room(&mut self, capacity: u32, others: u32) -> Vec<QueueEvent> {
+    /// Sets the capacity of the upstreams and the load of other entries there, which lags behind.
+    pub fn set_capacity(&mut self, capacity: u32, other_in_flight: u32) -> Vec<QueueEvent> {
         self.capacity = capacity;
-        self.others = others;
+        self.other_in_flight = other_in_flight;
         self.admit_waiters()
     }
 
-    /// Gives up waiters whose time is over at `now`.
+    /// Refuses the waiters whose wait is over at `now`.
     pub fn tick<R>(&mut self, now: Instant, rng: &mut R) -> Vec<QueueEvent>
     where
         R: Rng,
     {
-        let over: Vec<(Place, Waiter)> = self
+        let expired: Vec<(QueueKey, Waiter)> = self
             .waiters
             .iter()
-            .filter(|(_, waiter)| waiter.until <= now)
-            .map(|(place, waiter)| (*place, *waiter))
+            .filter(|(_, waiter)| waiter.wait_until <= now)
+            .map(|(key, waiter)| (*key, *waiter))
             .collect();
-        over.into_iter()
-            .map(|(place, waiter)| {
-                self.waiters.remove(&place);
+        expired
+            .into_iter()
+            .map(|(key, waiter)| {
+                self.waiters.remove(&key);
                 let reason = match waiter.deadline {
                     Some(deadline) if deadline <= now => NotRunReason::Deadline,
                     _ => NotRunReason::Full,
                 };
-                QueueEvent::GiveUp(place.1, reason, self.retry_after(1, rng))
+                QueueEvent::Reject(key.1, reason, self.retry_after(1, rng))
             })
             .collect()
     }
 
-    /// Returns when [`Overload::tick`] has something to do.
+    /// Returns the time of the next expiry, at which [`Overload::tick`] is due.
     pub fn next_tick(&self) -> Option<Instant> {
-        self.waiters.values().map(|waiter| waiter.until).min()
+        self.waiters.values().map(|waiter| waiter.wait_until).min()
     }
 
-    /// Removes a waiter whose caller has gone; returns whether it was still waiting.
+    /// Removes a waiter whose caller disconnected; returns whether the request was still waiting.
     pub fn cancel(&mut self, id: WaiterId) -> bool {
-        let place = self.waiters.keys().find(|place| place.1 == id).copied();
-        place.is_some_and(|place| self.waiters.remove(&place).is_some())
+        let key = self.waiters.keys().find(|key| key.1 == id).copied();
+        key.is_some_and(|key| self.waiters.remove(&key).is_some())
     }
 
     fn has_room(&self, priority: Priority) -> bool {
@@ -208,35 +216,35 @@
             Priority::Normal => self.cfg.normal_share,
             Priority::High => 1.0,
         };
-        let used = f64::from(self.in_flight) + f64::from(self.others);
-        // At least one request is let in, so that a service with one slot is open to all.
+        let used = f64::from(self.in_flight) + f64::from(self.other_in_flight);
+        // At least one request is admitted, so that a service with one slot accepts every priority.
         used < (f64::from(self.capacity) * share).max(1.0)
     }
 
     fn ahead_of(&self, priority: Priority) -> usize {
         self.waiters
             .keys()
-            .filter(|place| place.0.0 >= priority)
+            .filter(|key| key.0.0 >= priority)
             .count()
     }
 
-    fn most_waiting(&self) -> usize {
+    fn max_waiting(&self) -> usize {
         let most = f64::from(self.capacity) * self.cfg.queue_share;
         (most.ceil() as usize).max(1)
     }
 
-    fn until(&self, deadline: Option<Instant>, now: Instant) -> Instant {
-        deadline.unwrap_or(now + self.cfg.longest_wait)
+    fn wait_until(&self, deadline: Option<Instant>, now: Instant) -> Instant {
+        deadline.unwrap_or(now + self.cfg.max_wait)
     }
 
-    /// Returns the time until `ends` of this entry's requests in flight are over.
-    fn expected_wait(&self, ends: usize) -> Duration {
-        let rate = f64::from(self.in_flight.max(1)) / self.mean.max(f64::EPSILON);
-        Duration::try_from_secs_f64(ends as f64 / rate).unwrap_or(Duration::MAX / 4)
+    /// Returns the expected time until `completions` of this entry's requests in flight have ended.
+    fn expected_wait(&self, completions: usize) -> Duration {
+        let rate = f64::from(self.in_flight.max(1)) / self.mean_run_time.max(f64::EPSILON);
+        Duration::try_from_secs_f64(completions as f64 / rate).unwrap_or(Duration::MAX / 4)
     }
 
-    /// Gives up the last waiter if its priority is below `priority`.
-    fn give_way<R>(&mut self, priority: Priority, rng: &mut R) -> Option<QueueEvent>
+    /// Refuses the last waiter if its priority is below `priority`.
+    fn evict_lower<R>(&mut self, priority: Priority, rng: &mut R) -> Option<QueueEvent>
     where
         R: Rng,
     {
@@ -246,36 +254,36 @@
         }
         self.waiters.remove(&last);
         let wait = self.retry_after(self.waiters.len() + 1, rng);
-        Some(QueueEvent::GiveUp(last.1, NotRunReason::Full, wait))
+        Some(QueueEvent::Reject(last.1, NotRunReason::Full, wait))
     }
 
     fn admit_waiters(&mut self) -> Vec<QueueEvent> {
         let mut events = Vec::new();
-        while let Some((place, _)) = self.waiters.first_key_value() {
-            let place = *place;
-            if self.capacity != 0 && !self.has_room(place.0.0) {
+        while let Some((key, _)) = self.waiters.first_key_value() {
+            let key = *key;
+            if self.capacity != 0 && !self.has_room(key.0.0) {
                 break;
             }
-            self.waiters.remove(&place);
+            self.waiters.remove(&key);
             self.in_flight = self.in_flight.saturating_add(1);
-            events.push(QueueEvent::Admit(place.1));
+            events.push(QueueEvent::Admit(key.1));
         }
         events
     }
 
-    fn refusal<R>(&self, reason: NotRunReason, ends: usize, rng: &mut R) -> Admission
+    fn refusal<R>(&self, reason: NotRunReason, completions: usize, rng: &mut R) -> Admission
     where
         R: Rng,
     {
-        Admission::Refused(reason, self.retry_after(ends, rng))
+        Admission::Refused(reason, self.retry_after(completions, rng))
     }
 
-    fn retry_after<R>(&self, ends: usize, rng: &mut R) -> Duration
+    fn retry_after<R>(&self, completions: usize, rng: &mut R) -> Duration
     where
         R: Rng,
     {
-        let wait = self.expected_wait(ends).max(SHORTEST_RETRY);
+        let wait = self.expected_wait(completions).max(MIN_RETRY_AFTER);
         let wait = wait.min(Duration::from_secs(30));
-        wait.mul_f64(1.0 + JITTER * rng.random::<f64>())
+        wait.mul_f64(1.0 + RETRY_JITTER * rng.random::<f64>())
     }
 }
--- a/crates/route/src/shares.rs
+++ b/crates/route/src/shares.rs
@@ -1,4 +1,4 @@
-//! This entry's share of each limit, agreed on without a shared counter.
+//! This entry's share of each rate limit, computed from exchanged demand without a shared counter.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,84 +6,84 @@
 
 use wagtailreel_core::{CustomerId, ServiceName, VmId};
 
-/// Requests a second, by service and customer, that one entry was asked for.
+/// Requests per second that reach one entry, by service and customer.
 pub type Demand = BTreeMap<ServiceName, BTreeMap<CustomerId, f64>>;
 
-/// How shares follow demand.
+/// How shares are computed from demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharesConfig {
-    /// Part of a limit, 0 to 1, that is dealt out evenly, so that a customer's first request at
-    /// an entry is not refused for want of earlier demand.
-    pub even: f64,
-    /// A peer not heard from for longer than this keeps the share that it had.
-    pub unseen_after: Duration,
-    /// A peer that is unseen and not listed keeps its share for this long.
-    pub forget_after: Duration,
+    /// Part of a limit, 0 to 1, that is divided evenly between the entries. Without this part, a
+    /// customer's first request at an entry would be refused, because the entry had no demand before.
+    pub even_part: f64,
+    /// A peer without a report for longer than this is silent and keeps its last share.
+    pub silent_after: Duration,
+    /// A peer that is silent and not listed keeps its share for this long after its last report.
+    pub prune_after: Duration,
 }
 
 impl Default for SharesConfig {
     fn default() -> Self {
         Self {
-            even: 0.2,
-            unseen_after: Duration::from_secs(2),
-            forget_after: Duration::from_secs(30),
+            even_part: 0.2,
+            silent_after: Duration::from_secs(2),
+            prune_after: Duration::from_secs(30),
         }
     }
 }
 
-/// What shares are dealt by: a snapshot of the entries in sight and of what is held back.
+/// Input of the shares: a snapshot of the visible entries and of the reserved shares.
 #[derive(Clone, Debug)]
 struct Basis {
-    /// Entries in sight, the own included.
-    seen: usize,
-    /// Demand of all entries in sight.
+    /// Number of visible entries, including this one. A visible entry is one that is not silent.
+    visible: usize,
+    /// Demand of all visible entries.
     total: Demand,
-    /// Shares held back for entries out of sight.
-    held: Demand,
-    /// The same for a customer that `held` does not name.
-    held_fresh: f64,
-    even: f64,
+    /// Shares reserved for silent entries and entries without any report.
+    reserved: Demand,
+    /// The reserved share of a customer that `reserved` does not contain.
+    reserved_default: f64,
+    even_part: f64,
 }
 
 impl Basis {
-    /// Returns the share of an entry in sight with `demand`.
+    /// Returns the share of a visible entry with `demand`.
     fn share(&self, demand: f64, service: &str, customer: &str) -> f64 {
-        let held = find(&self.held, service, customer).unwrap_or(self.held_fresh);
-        let room = (1.0 - held).max(0.0);
-        let even = room / self.seen as f64;
+        let reserved = find(&self.reserved, service, customer).unwrap_or(self.reserved_default);
+        let unreserved = (1.0 - reserved).max(0.0);
+        let even_share = unreserved / self.visible as f64;
         let total = find(&self.total, service, customer).unwrap_or_default();
         if total <= 0.0 {
-            return even;
+            return even_share;
         }
-        self.even * even + (1.0 - self.even) * room * demand / total
+        self.even_part * even_share + (1.0 - self.even_part) * unreserved * demand / total
     }
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    seen: Instant,
+    received_at: Instant,
     demand: Demand,
-    heard: bool,
-    out_of_sight: bool,
-    /// The basis of the last tick at which the peer had been heard: when it goes out of sight its
-    /// share is reckoned by what both sides knew then, not by what came since.
+    updated: bool,
+    silent: bool,
+    /// The basis at the last tick with a new report of the peer. Once the peer is silent, its share is
+    /// computed from what both sides knew then, not from later reports.
     basis: Option<Arc<Basis>>,
 }
 
 impl Peer {
-    fn share(&self, service: &str, customer: &str, equal: f64) -> f64 {
+    fn share(&self, service: &str, customer: &str, equal_share: f64) -> f64 {
         let demand = find(&self.demand, service, customer).unwrap_or_default();
         self.basis
             .as_ref()
-            .map_or(equal, |basis| basis.share(demand, service, customer))
+            .map_or(equal_share, |basis| basis.share(demand, service, customer))
     }
 }
 
-/// The shares of all entries, as one of them reckons.
+/// The shares of all entries, as computed by one of them.
 ///
-/// Invariant: when all entries see each other and agree on the demand, the shares of a limit add
-/// up to 1. When some are cut off, each side holds the other's last share back, so the sum does
-/// not grow by a cut.
+/// Invariant: when all entries receive each other's reports and agree on the demand, the shares of a
+/// limit add up to 1. In a network partition, each side reserves the other's last share, so that the
+/// sum does not grow.
 #[derive(Clone, Debug)]
 pub struct Shares {
     cfg: SharesConfig,
@@ -94,14 +94,14 @@
 }
 
 impl Shares {
-    /// Makes the shares of an entry that knows no peer.
+    /// Creates the shares of an entry that knows no peer.
     pub fn new(cfg: SharesConfig) -> Self {
         let basis = Basis {
-            seen: 1,
+            visible: 1,
             total: Demand::new(),
-            held: Demand::new(),
-            held_fresh: 0.0,
-            even: cfg.even,
+            reserved: Demand::new(),
+            reserved_default: 0.0,
+            even_part: cfg.even_part,
         };
         Self {
             cfg,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes the names of the other entries in the list of VMs.
+    /// Sets the names of the other entries in the list of VMs.
     pub fn list<I>(&mut self, entries: I)
     where
         I: IntoIterator<Item = VmId>,
@@ -120,97 +120,96 @@
         self.listed = entries.into_iter().collect();
     }
 
-    /// Takes a peer's demand, heard at `seen`.
-    pub fn peer(&mut self, vm: &VmId, demand: &Demand, seen: Instant) {
+    /// Records a peer's demand, received at `received_at`; an older report is ignored.
+    pub fn peer(&mut self, vm: &VmId, demand: &Demand, received_at: Instant) {
         let Some(peer) = self.peers.get_mut(vm) else {
             let peer = Peer {
-                seen,
+                received_at,
                 demand: demand.clone(),
-                heard: true,
-                out_of_sight: false,
+                updated: true,
+                silent: false,
                 basis: None,
             };
             self.peers.insert(vm.clone(), peer);
             return;
         };
-        if seen > peer.seen {
-            peer.seen = seen;
+        if received_at > peer.received_at {
+            peer.received_at = received_at;
             peer.demand.clone_from(demand);
-            peer.heard = true;
+            peer.updated = true;
         }
     }
 
-    /// Deals the shares anew by this entry's demand `own` and what was heard of peers.
+    /// Recomputes the shares from this entry's demand `own` and the reported demand of peers.
     ///
-    /// Peers that went out of sight keep the share that they had, and those that are gone from
-    /// the list too are forgotten.
+    /// Silent peers keep their last share. Peers that are also gone from the list are removed
+    /// after [`SharesConfig::prune_after`].
     pub fn tick(&mut self, own: &Demand, now: Instant) {
         let cfg = self.cfg;
         let listed = &self.listed;
         self.peers.retain(|vm, peer| {
-            let unseen = now.saturating_duration_since(peer.seen);
-            listed.contains(vm) || unseen <= cfg.forget_after
+            let silence = now.saturating_duration_since(peer.received_at);
+            listed.contains(vm) || silence <= cfg.prune_after
         });
         for peer in self.peers.values_mut() {
-            peer.out_of_sight = now.saturating_duration_since(peer.seen) > cfg.unseen_after;
+            peer.silent = now.saturating_duration_since(peer.received_at) > cfg.silent_after;
         }
         self.own.clone_from(own);
-        self.basis = Arc::new(self.deal());
-        for peer in self.peers.values_mut().filter(|peer| peer.heard) {
-            peer.heard = false;
+        self.basis = Arc::new(self.next_basis());
+        for peer in self.peers.values_mut().filter(|peer| peer.updated) {
+            peer.updated = false;
             peer.basis = Some(Arc::clone(&self.basis));
         }
     }
 
-    /// Returns this entry's share of the limit of `customer` at `service`, 0 to 1, as of the
-    /// last tick.
+    /// Returns this entry's share, 0 to 1, of the limit of `customer` at `service`, as of the last tick.
     pub fn own_share(&self, service: &str, customer: &str) -> f64 {
         let demand = find(&self.own, service, customer).unwrap_or_default();
         self.basis.share(demand, service, customer)
     }
 
-    /// Returns how many entries share a limit, this one included.
+    /// Returns the number of entries that share a limit, including this one.
     pub fn entries(&self) -> usize {
-        1 + self.peers.len() + self.unheard()
+        1 + self.peers.len() + self.never_heard()
     }
 
-    /// Returns how many listed entries were never heard of.
-    fn unheard(&self) -> usize {
+    /// Returns the number of listed entries without any report.
+    fn never_heard(&self) -> usize {
         self.listed
             .iter()
             .filter(|vm| !self.peers.contains_key(*vm))
             .count()
     }
 
-    fn deal(&self) -> Basis {
-        let equal = 1.0 / self.entries() as f64;
-        let in_sight = || self.peers.values().filter(|peer| !peer.out_of_sight);
-        let out_of_sight = || self.peers.values().filter(|peer| peer.out_of_sight);
+    fn next_basis(&self) -> Basis {
+        let equal_share = 1.0 / self.entries() as f64;
+        let visible_peers = || self.peers.values().filter(|peer| !peer.silent);
+        let silent_peers = || self.peers.values().filter(|peer| peer.silent);
         let mut total = self.own.clone();
-        for peer in in_sight() {
+        for peer in visible_peers() {
             add(&mut total, &peer.demand);
         }
-        let mut names = total.clone();
-        for peer in out_of_sight() {
-            add(&mut names, &peer.demand);
+        let mut reserved_by_customer = total.clone();
+        for peer in silent_peers() {
+            add(&mut reserved_by_customer, &peer.demand);
         }
-        let unheard = self.unheard() as f64 * equal;
-        let held_of = |service: &str, customer: &str| {
-            let shares = out_of_sight().map(|peer| peer.share(service, customer, equal));
-            unheard + shares.sum::<f64>()
+        let never_heard = self.never_heard() as f64 * equal_share;
+        let reserved_of = |service: &str, customer: &str| {
+            let shares = silent_peers().map(|peer| peer.share(service, customer, equal_share));
+            never_heard + shares.sum::<f64>()
         };
-        let held_fresh = held_of("", "");
-        for (service, customers) in &mut names {
-            for (customer, held) in customers {
-                *held = held_of(service, customer);
+        let reserved_default = reserved_of("", "");
+        for (service, customers) in &mut reserved_by_customer {
+            for (customer, reserved) in customers {
+                *reserved = reserved_of(service, customer);
             }
         }
         Basis {
-            seen: 1 + in_sight().count(),
+            visible: 1 + visible_peers().count(),
             total,
-            held: names,
-            held_fresh,
-            even: self.cfg.even,
+            reserved: reserved_by_customer,
+            reserved_default,
+            even_part: self.cfg.even_part,
         }
     }
 }
--- a/crates/route/tests/choice.rs
+++ b/crates/route/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Choice of the upstream for a request.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -13,21 +13,21 @@
 use rstest::rstest;
 use wagtailreel_core::{Digest, NotRunReason, Report};
 use wagtailreel_route::{
-    Ask, Choice, Chooser, Membership, MembershipConfig, Policy, Shortage, prefix_of,
+    Choice, Chooser, Membership, MembershipConfig, Policy, Requirements, Unavailable, prefix_of,
 };
 
 fn chooser() -> Chooser {
     Chooser::new("quito-hall".to_owned(), "sierra".to_owned())
 }
 
-fn ask() -> Ask {
-    Ask {
+fn needs() -> Requirements {
+    Requirements {
         needs_open: true,
-        ..Ask::default()
+        ..Requirements::default()
     }
 }
 
-fn far(vm: &str, data_centre: &str, region: &str, epoch: u64) -> Report {
+fn report_at(vm: &str, data_centre: &str, region: &str, epoch: u64) -> Report {
     Report {
         data_centre: data_centre.to_owned(),
         region: region.to_owned(),
@@ -44,23 +44,29 @@
     members
 }
 
-/// Sends `requests` one after the other and returns the VMs, none finishing.
-fn send(members: &mut Membership, chooser: &mut Chooser, ask: &Ask, requests: usize) -> String {
+/// Sends `requests` requests in turn, none of which finishes, and returns the chosen VMs.
+fn send(
+    members: &mut Membership,
+    chooser: &mut Chooser,
+    needs: &Requirements,
+    requests: usize,
+) -> String {
     let mut rng = StdRng::seed_from_u64(7);
     let now = members.members().next().unwrap().received;
     let mut vms = Vec::new();
     for _ in 0..requests {
-        match chooser.choose(members, ask, now, &mut rng) {
+        match chooser.choose(members, needs, now, &mut rng) {
             Choice::Upstream(vm) => {
                 members.started(&vm);
                 vms.push(vm);
             }
-            Choice::Short(shortage) => vms.push(format!("({shortage})")),
+            Choice::Unavailable(reason) => vms.push(format!("({reason})")),
         }
     }
     vms.join(" ")
 }
 
+/// Requests fill the own data centre before the region and the other regions.
 #[rstest]
 #[case::own_first(Policy::OwnFirst)]
 #[case::round_robin(Policy::RoundRobin)]
@@ -73,19 +79,20 @@
         &[
             report("u1", 1, 1),
             busy,
-            far("far", "cuenca-hall", "austro", 1),
-            far("near", "loja-hall", "sierra", 1),
-            far("newer", "guayaquil-hall", "costa", 2),
+            report_at("far", "cuenca-hall", "austro", 1),
+            report_at("near", "loja-hall", "sierra", 1),
+            report_at("newer", "guayaquil-hall", "costa", 2),
         ],
         now,
     );
     let mut chooser = chooser().with_policy(policy);
-    let vms = send(&mut members, &mut chooser, &ask(), 14);
+    let vms = send(&mut members, &mut chooser, &needs(), 14);
     assert_snapshot!(format!("spill_over_{policy}"), vms);
 }
 
+/// Requests with one prefix share an upstream until it exceeds the load bound.
 #[test]
-fn prefix_bound() {
+fn prefix_affinity_bounded() {
     let now = Instant::now();
     let reports: Vec<Report> = ["u1", "u2", "u3"]
         .map(|vm| Report {
@@ -96,36 +103,41 @@
     let mut text = String::new();
     for prompt in ["in memory of", "on the 4th of May"] {
         let mut members = members_of(&reports, now);
-        let ask = Ask {
+        let needs = Requirements {
             prefix: Some(prefix_of(prompt)),
-            ..ask()
+            ..needs()
         };
-        let vms = send(&mut members, &mut chooser(), &ask, 9);
+        let vms = send(&mut members, &mut chooser(), &needs, 9);
         writeln!(text, "{prompt}: {vms}").unwrap();
     }
     assert_snapshot!(text);
 }
 
+/// While the own data centre is closed for a switch, a request goes elsewhere only after its wait.
 #[rstest]
 #[case::engine(true)]
 #[case::plain(false)]
-fn closed_waits(#[case] needs_open: bool) {
+fn closed_data_centre_waits(#[case] needs_open: bool) {
     let now = Instant::now();
-    let reports = [report("u1", 1, 1), far("far", "cuenca-hall", "austro", 1)];
+    let reports = [
+        report("u1", 1, 1),
+        report_at("far", "cuenca-hall", "austro", 1),
+    ];
     let mut members = members_of(&reports, now);
     members.refused("u1", NotRunReason::Closed);
-    let ask = Ask {
+    let needs = Requirements {
         needs_open,
-        ..Ask::default()
+        ..Requirements::default()
     };
-    assert_eq!(send(&mut members, &mut chooser(), &ask, 1), "(closed)");
-    let waited = Ask {
+    assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "(closed)");
+    let waited = Requirements {
         waited: true,
-        ..ask
+        ..needs
     };
     assert_eq!(send(&mut members, &mut chooser(), &waited, 1), "far");
 }
 
+/// A request pinned to weights goes only to upstreams that serve them.
 #[test]
 fn pinned_resume() {
     let now = Instant::now();
@@ -134,15 +146,15 @@
         ..report("u2", 1, 1)
     };
     let mut members = members_of(&[report("u1", 1, 1), other], now);
-    let mut ask = Ask {
+    let mut needs = Requirements {
         pin: Some(weights()),
-        ..ask()
+        ..needs()
     };
-    assert_eq!(send(&mut members, &mut chooser(), &ask, 1), "u1");
-    ask.tried.insert("u1".to_owned());
-    assert_eq!(send(&mut members, &mut chooser(), &ask, 1), "(tried)");
-    ask.pin = Some(Digest::of(b"gone"));
-    let short = Choice::Short(Shortage::Weights);
+    assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "u1");
+    needs.tried.insert("u1".to_owned());
+    assert_eq!(send(&mut members, &mut chooser(), &needs, 1), "(tried)");
+    needs.pin = Some(Digest::of(b"gone"));
+    let short = Choice::Unavailable(Unavailable::Weights);
     let mut rng = StdRng::seed_from_u64(7);
-    assert_eq!(chooser().choose(&members, &ask, now, &mut rng), short);
+    assert_eq!(chooser().choose(&members, &needs, now, &mut rng), short);
 }
