--- a/crates/direct/src/remote.rs
+++ b/crates/direct/src/remote.rs
@@ -217,7 +217,8 @@
         let load = |report: SharedReport| {
             let received_at = received_at(&report)?;
             let status = report.status;
-            Some((report.ip,
+            Some((
+                report.ip,
                 LoadReport {
                     status,
                     received_at,
--- a/crates/direct/src/view/naming.rs
+++ b/crates/direct/src/view/naming.rs
@@ -20,8 +20,9 @@
         let now = BootTime::now();
         let after = asked_at.minus(Duration::from_millis(naming.age_ms.into()));
         let read_as_of = self.read_as_of();
-        let binding_from = self
-            .merge_reported(|namings| namings.merge_report(&naming.weights, after, read_as_of, now));
+        let binding_from = self.merge_reported(|namings| {
+            namings.merge_report(&naming.weights, after, read_as_of, now)
+        });
         if let Some(binding_from) = binding_from {
             events::NAMING_LEARNED.emit(&[
                 ("model", &naming.weights.model),
@@ -96,7 +97,8 @@
 
 /// Logs a naming and when it becomes binding; logs nothing if the naming is not new.
 fn log_naming(
-    weights: &NamedWeights, source: NamingSource,
+    weights: &NamedWeights,
+    source: NamingSource,
     binding_from: Option<BootTime>,
     now: BootTime,
 ) {
--- a/crates/route/src/direct/quarantine.rs
+++ b/crates/route/src/direct/quarantine.rs
@@ -265,8 +265,7 @@
         if finished > before.finished.map(|at| at.plus(TIME_TOLERANCE)) {
             record.finished = finished;
         }
-        record.finished = record.finished
-            .max(self.trusted.last(report.fingerprint));
+        record.finished = record.finished.max(self.trusted.last(report.fingerprint));
         record.trim(now);
         !record.crashes.keys().eq(before.crashes.keys()) || record.finished != before.finished
     }
@@ -282,8 +281,7 @@
     pub fn to_report(&mut self, age: Duration, now: BootTime) -> Vec<CrashReport> {
         let mut due = Vec::new();
         for (fingerprint, record) in &mut self.records {
-            let is_young = record.changed_at()
-                .is_some_and(|at| now.since(at) <= age);
+            let is_young = record.changed_at().is_some_and(|at| now.since(at) <= age);
             let was_reported = record.reported_at.is_some() && record.finished.is_some();
             if is_young && (record.crashes.len() >= REPORT_AFTER_CRASHES || was_reported) {
                 record.reported_at = Some(now);
--- a/crates/stage/src/quarantine_sync.rs
+++ b/crates/stage/src/quarantine_sync.rs
@@ -22,7 +22,9 @@
     pub(crate) fn merge(&self, reports: &[CrashReport]) -> Vec<CrashReport> {
         let now = BootTime::now();
         let mut quarantine = self.lock();
-        let new_reports = reports.iter().filter(|report| quarantine.merge(report, now));
+        let new_reports = reports
+            .iter()
+            .filter(|report| quarantine.merge(report, now));
         let new_reports: BTreeSet<Fingerprint> =
             new_reports.map(|report| report.fingerprint).collect();
         if new_reports.is_empty() {
--- a/crates/stage/src/status.rs
+++ b/crates/stage/src/status.rs
@@ -339,9 +339,7 @@
             started: report.started,
             version: report.version_of(&state.model),
             is_switching: state.is_switching || report.is_busy,
-            queued: report
-                .queued
-                .saturating_add(state.arrivals.pending(now)),
+            queued: report.queued.saturating_add(state.arrivals.pending(now)),
             prefill_ms: u32::try_from(state.arrivals.prefill_left(now).as_millis())
                 .unwrap_or(u32::MAX),
             running: report.running,
