--- a/crates/bench/src/burst/setup.rs
+++ b/crates/bench/src/burst/setup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use derive_more::Display;
-use wagtailreel_core::{Document, ModelRef, SpreadPolicy, Weigh};
+use wagtailreel_core::{Document, ModelRef, SpreadPolicy, SpreadGoal};
 use wagtailreel_standins::OriginModel;
 
 use super::fault::Fault;
@@ -96,10 +96,10 @@
     }
 
     /// Returns what the house weighs.
-    pub fn weigh(self) -> Weigh {
+    pub fn weigh(self) -> SpreadGoal {
         match self {
-            Self::Batbayar => Weigh::OriginBytes,
-            Self::Lapida | Self::Large => Weigh::Time,
+            Self::Batbayar => SpreadGoal::OriginBytes,
+            Self::Lapida | Self::Large => SpreadGoal::Time,
         }
     }
 
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -74,7 +74,7 @@
 /// What a rollout saves first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Weigh {
+pub enum SpreadGoal {
     /// Time until the replicas are live; each data centre draws its own copy.
     #[default]
     Time,
@@ -102,7 +102,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct SpreadSettings {
     /// What a rollout saves first.
-    pub weigh: Weigh,
+    pub weigh: SpreadGoal,
     /// How chunks find their way.
     pub policy: SpreadPolicy,
     /// Highest rate of one VM's transfers in bytes a second, each way; none leaves it to the
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -22,7 +22,7 @@
 pub use digest::{Digest, ParseDigestError};
 pub use document::{
     CustomerLimit, Document, ModelRef, Objectives, Place, Priority, ServiceKind, SpreadPolicy,
-    SpreadSettings, VmSelection, Weigh,
+    SpreadSettings, VmSelection, SpreadGoal,
 };
 pub use ids::{
     ChunkIndex, CustomerId, DataCentre, EditId, Epoch, Incarnation, Offset, OrderKey, Region,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -4,7 +4,7 @@
 
 use wagtailreel_core::{
     CustomerId, CustomerLimit, Document, ModelRef, Objectives, Place, Priority, ServiceKind,
-    SpreadPolicy, SpreadSettings, VmId, VmSelection, Weigh,
+    SpreadPolicy, SpreadSettings, VmId, VmSelection, SpreadGoal,
 };
 
 use crate::fields::{Fields, read_root};
@@ -254,7 +254,7 @@
 }
 
 fn spread(at: &At<'_>, problems: &mut Problems) -> Option<SpreadSettings> {
-    let weighs = [("time", Weigh::Time), ("origin-bytes", Weigh::OriginBytes)];
+    let weighs = [("time", SpreadGoal::Time), ("origin-bytes", SpreadGoal::OriginBytes)];
     let policies = [
         ("balanced", SpreadPolicy::Balanced),
         ("origin", SpreadPolicy::Origin),
@@ -262,7 +262,7 @@
         ("tree", SpreadPolicy::Tree),
     ];
     let mut f = Fields::new(At::new(at.place.clone(), at.node), problems)?;
-    let weigh = f.optional("weigh", problems, Weigh::default(), |at, problems| {
+    let weigh = f.optional("weigh", problems, SpreadGoal::default(), |at, problems| {
         values::choice(at, problems, &weighs)
     });
     let policy = f.optional(
--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use wagtailreel_core::{ChunkIndex, SpreadPolicy, Weigh};
+use wagtailreel_core::{ChunkIndex, SpreadPolicy, SpreadGoal};
 
 use crate::planner::Planner;
 use crate::ranking::NEVER;
@@ -145,7 +145,7 @@
     /// let go.
     fn second_copy(&self, now: Instant) -> Option<ChunkIndex> {
         let is_apt = self.settings.policy == SpreadPolicy::Balanced
-            && self.settings.weigh == Weigh::Time
+            && self.settings.weigh == SpreadGoal::Time
             && self.drawn_at.is_some()
             && self.frontier(now) >= self.have.capacity();
         if !is_apt {
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use wagtailreel_core::{ChunkIndex, DataCentre, Digest, VmId, Weigh, rank_score};
+use wagtailreel_core::{ChunkIndex, DataCentre, Digest, VmId, SpreadGoal, rank_score};
 
 use crate::Site;
 
@@ -11,13 +11,13 @@
 
 /// The own VM's position in the ranking of each chunk, among the VMs that count as alive.
 ///
-/// With [`Weigh::OriginBytes`] a chunk ranks all VMs. With [`Weigh::Time`] it ranks the data
+/// With [`SpreadGoal::OriginBytes`] a chunk ranks all VMs. With [`SpreadGoal::Time`] it ranks the data
 /// centres and, within each, the VMs; the order takes the first VM of each data centre, then the
 /// second of each, so that the first two draws go to two data centres.
 #[derive(Debug)]
 pub(crate) struct Ranking {
     own: Site,
-    weigh: Weigh,
+    weigh: SpreadGoal,
     chunks: Vec<Digest>,
     own_scores: Vec<u64>,
     /// For each chunk, members of the own group that rank before the own VM.
@@ -30,7 +30,7 @@
 
 impl Ranking {
     /// Makes the ranking of a VM that knows no other.
-    pub(crate) fn new(own: Site, weigh: Weigh, chunks: Vec<Digest>) -> Self {
+    pub(crate) fn new(own: Site, weigh: SpreadGoal, chunks: Vec<Digest>) -> Self {
         let own_scores = chunks
             .iter()
             .map(|chunk| rank_score(chunk.as_bytes(), &own.vm))
@@ -100,8 +100,8 @@
     /// Says whether VMs of `data_centre` are ranked together with the own VM.
     fn in_group(&self, data_centre: &str) -> bool {
         match self.weigh {
-            Weigh::OriginBytes => true,
-            Weigh::Time => data_centre == self.own.data_centre,
+            SpreadGoal::OriginBytes => true,
+            SpreadGoal::Time => data_centre == self.own.data_centre,
         }
     }
 
@@ -130,7 +130,7 @@
     /// Computes the positions from the counts.
     fn place(&mut self) {
         self.positions.clone_from(&self.ahead);
-        if self.weigh == Weigh::OriginBytes {
+        if self.weigh == SpreadGoal::OriginBytes {
             return;
         }
         let mut sizes: BTreeMap<&str, u32> = BTreeMap::new();
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use wagtailreel_core::{ChunkIndex, VmId, Weigh};
+use wagtailreel_core::{ChunkIndex, VmId, SpreadGoal};
 
 use crate::peers::Peer;
 use crate::planner::Planner;
@@ -190,7 +190,7 @@
 
     /// Weighs a giver. With origin bytes weighed, links between data centres are dear as well.
     fn load(&self, peer: &Peer) -> Load {
-        let is_far = self.settings.weigh == Weigh::OriginBytes
+        let is_far = self.settings.weigh == SpreadGoal::OriginBytes
             && peer.site.data_centre != self.own.data_centre;
         (is_far, peer.active, peer.given, 0)
     }
--- a/crates/spread/tests/crossing.rs
+++ b/crates/spread/tests/crossing.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use wagtailreel_core::{Digest, SpreadSettings, VmEntry, VmRole, VmState, Weigh, rank_score};
+use wagtailreel_core::{Digest, SpreadSettings, VmEntry, VmRole, VmState, SpreadGoal, rank_score};
 use wagtailreel_spread::{
     Action, ChunkSet, Event, Fetch, Planner, PlannerConfig, Site, Source, Tuning,
 };
@@ -55,7 +55,7 @@
         chunks: digests.collect(),
         have: ChunkSet::new(CHUNKS),
         settings: SpreadSettings {
-            weigh: Weigh::OriginBytes,
+            weigh: SpreadGoal::OriginBytes,
             ..SpreadSettings::default()
         },
         seed: 7,
@@ -142,7 +142,7 @@
             chunks: digests.clone(),
             have: ChunkSet::new(CHUNKS),
             settings: SpreadSettings {
-                weigh: Weigh::OriginBytes,
+                weigh: SpreadGoal::OriginBytes,
                 ..SpreadSettings::default()
             },
             seed: 7,
--- a/crates/spread/tests/faults.rs
+++ b/crates/spread/tests/faults.rs
@@ -8,10 +8,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
-use wagtailreel_core::{SpreadSettings, Weigh};
+use wagtailreel_core::{SpreadSettings, SpreadGoal};
 
 /// Returns a run of 13 VMs and 64 chunks.
-fn setup(weigh: Weigh) -> Setup {
+fn setup(weigh: SpreadGoal) -> Setup {
     let settings = SpreadSettings {
         weigh,
         ..SpreadSettings::default()
@@ -20,9 +20,9 @@
 }
 
 #[rstest]
-#[case::time(Weigh::Time)]
-#[case::origin_bytes(Weigh::OriginBytes)]
-fn killed_vms(#[case] weigh: Weigh) {
+#[case::time(SpreadGoal::Time)]
+#[case::origin_bytes(SpreadGoal::OriginBytes)]
+fn killed_vms(#[case] weigh: SpreadGoal) {
     let mut setup = setup(weigh);
     setup.dead.extend([(3, 200), (7, 500)]);
     let out = Model::new(setup).run(4);
@@ -30,9 +30,9 @@
 }
 
 #[rstest]
-#[case::time(Weigh::Time)]
-#[case::origin_bytes(Weigh::OriginBytes)]
-fn stalled_vm(#[case] weigh: Weigh) {
+#[case::time(SpreadGoal::Time)]
+#[case::origin_bytes(SpreadGoal::OriginBytes)]
+fn stalled_vm(#[case] weigh: SpreadGoal) {
     let mut setup = setup(weigh);
     setup.stalled.insert(5, 300);
     let out = Model::new(setup).run(4);
@@ -42,7 +42,7 @@
 /// Two stalled VMs in turn held the last chunk of another for ever.
 #[test]
 fn stalled_in_turn() {
-    let mut setup = setup(Weigh::Time);
+    let mut setup = setup(SpreadGoal::Time);
     (setup.vms, setup.chunks, setup.seed) = (4, 8, 603);
     setup.corrupt = 0.192_772_845_260_377_02;
     setup.stalled.extend([(0, 98), (3, 106)]);
@@ -51,9 +51,9 @@
 }
 
 #[rstest]
-#[case::time(Weigh::Time, 1.9)]
-#[case::origin_bytes(Weigh::OriginBytes, 1.25)]
-fn cut_and_healed(#[case] weigh: Weigh, #[case] most_drawn: f64) {
+#[case::time(SpreadGoal::Time, 1.9)]
+#[case::origin_bytes(SpreadGoal::OriginBytes, 1.25)]
+fn cut_and_healed(#[case] weigh: SpreadGoal, #[case] most_drawn: f64) {
     let mut setup = setup(weigh);
     setup.cut = 150..700;
     let out = Model::new(setup).run(4);
@@ -62,9 +62,9 @@
 }
 
 #[rstest]
-#[case::time(Weigh::Time, 2.0)]
-#[case::origin_bytes(Weigh::OriginBytes, 1.25)]
-fn lying_vm(#[case] weigh: Weigh, #[case] most_drawn: f64) {
+#[case::time(SpreadGoal::Time, 2.0)]
+#[case::origin_bytes(SpreadGoal::OriginBytes, 1.25)]
+fn lying_vm(#[case] weigh: SpreadGoal, #[case] most_drawn: f64) {
     let mut setup = setup(weigh);
     setup.liar = Some(4);
     let out = Model::new(setup).run(4);
@@ -74,9 +74,9 @@
 }
 
 #[rstest]
-#[case::time(Weigh::Time, 2.0)]
-#[case::origin_bytes(Weigh::OriginBytes, 1.05)]
-fn corrupt_chunks(#[case] weigh: Weigh, #[case] most_drawn: f64) {
+#[case::time(SpreadGoal::Time, 2.0)]
+#[case::origin_bytes(SpreadGoal::OriginBytes, 1.05)]
+fn corrupt_chunks(#[case] weigh: SpreadGoal, #[case] most_drawn: f64) {
     let mut setup = setup(weigh);
     setup.corrupt = 0.01;
     let out = Model::new(setup).run(4);
@@ -85,13 +85,13 @@
 }
 
 #[rstest]
-#[case::time(Weigh::Time, 100..440, 2.0)]
-#[case::origin_bytes(Weigh::OriginBytes, 100..440, 1.02)]
-#[case::time_from_start(Weigh::Time, 0..340, 2.0)]
-#[case::origin_bytes_from_start(Weigh::OriginBytes, 0..340, 1.02)]
-#[case::time_for_long(Weigh::Time, 100..5000, 2.0)]
-#[case::origin_bytes_for_long(Weigh::OriginBytes, 100..5000, 1.02)]
-fn origin_down(#[case] weigh: Weigh, #[case] down: Range<u64>, #[case] most_drawn: f64) {
+#[case::time(SpreadGoal::Time, 100..440, 2.0)]
+#[case::origin_bytes(SpreadGoal::OriginBytes, 100..440, 1.02)]
+#[case::time_from_start(SpreadGoal::Time, 0..340, 2.0)]
+#[case::origin_bytes_from_start(SpreadGoal::OriginBytes, 0..340, 1.02)]
+#[case::time_for_long(SpreadGoal::Time, 100..5000, 2.0)]
+#[case::origin_bytes_for_long(SpreadGoal::OriginBytes, 100..5000, 1.02)]
+fn origin_down(#[case] weigh: SpreadGoal, #[case] down: Range<u64>, #[case] most_drawn: f64) {
     let mut setup = setup(weigh);
     setup.origin_down = down;
     let out = Model::new(setup).run(8);
@@ -104,7 +104,7 @@
     fn any_faults()(
         vms in 1_usize..9,
         chunks in 1_u32..24,
-        weigh in prop_oneof![Just(Weigh::Time), Just(Weigh::OriginBytes)],
+        weigh in prop_oneof![Just(SpreadGoal::Time), Just(SpreadGoal::OriginBytes)],
         seed in 0_u64..1000,
         corrupt in 0.0..0.2,
         dead in prop::collection::btree_map(1_usize..9, 0_u64..400, 0..4),
--- a/crates/spread/tests/idle_peer.rs
+++ b/crates/spread/tests/idle_peer.rs
@@ -7,7 +7,7 @@
 
 use model::{Model, Setup};
 use rstest::rstest;
-use wagtailreel_core::{Digest, SpreadSettings, VmEntry, VmRole, VmState, Weigh};
+use wagtailreel_core::{Digest, SpreadSettings, VmEntry, VmRole, VmState, SpreadGoal};
 use wagtailreel_spread::{Action, ChunkSet, Event, Planner, PlannerConfig, Site, Source};
 
 const CHUNKS: u32 = 64;
@@ -81,7 +81,7 @@
     #[case] idle: usize,
     #[case] data_centres: usize,
     #[case] most_copies: u64,
-    #[values(Weigh::Time, Weigh::OriginBytes)] weigh: Weigh,
+    #[values(SpreadGoal::Time, SpreadGoal::OriginBytes)] weigh: SpreadGoal,
 ) {
     let settings = SpreadSettings {
         weigh,
--- a/crates/spread/tests/ratio.rs
+++ b/crates/spread/tests/ratio.rs
@@ -6,10 +6,10 @@
 
 use model::{Model, Setup};
 use rstest::rstest;
-use wagtailreel_core::{SpreadPolicy, SpreadSettings, Weigh};
+use wagtailreel_core::{SpreadPolicy, SpreadSettings, SpreadGoal};
 
 /// Returns what the model gives for some settings.
-fn run(vms: usize, chunks: u32, weigh: Weigh, policy: SpreadPolicy) -> model::Outcome {
+fn run(vms: usize, chunks: u32, weigh: SpreadGoal, policy: SpreadPolicy) -> model::Outcome {
     let settings = SpreadSettings {
         weigh,
         policy,
@@ -19,16 +19,16 @@
 }
 
 #[rstest]
-#[case(13, 64, Weigh::Time, 1.10, 1.6)]
-#[case(13, 64, Weigh::OriginBytes, 1.10, 1.0)]
-#[case(16, 128, Weigh::Time, 1.06, 1.5)]
-#[case(16, 128, Weigh::OriginBytes, 1.06, 1.0)]
-#[case(100, 64, Weigh::Time, 1.22, 1.8)]
-#[case(100, 64, Weigh::OriginBytes, 1.22, 1.02)]
+#[case(13, 64, SpreadGoal::Time, 1.10, 1.6)]
+#[case(13, 64, SpreadGoal::OriginBytes, 1.10, 1.0)]
+#[case(16, 128, SpreadGoal::Time, 1.06, 1.5)]
+#[case(16, 128, SpreadGoal::OriginBytes, 1.06, 1.0)]
+#[case(100, 64, SpreadGoal::Time, 1.22, 1.8)]
+#[case(100, 64, SpreadGoal::OriginBytes, 1.22, 1.02)]
 fn near_bound(
     #[case] vms: usize,
     #[case] chunks: u32,
-    #[case] weigh: Weigh,
+    #[case] weigh: SpreadGoal,
     #[case] most_time: f64,
     #[case] most_drawn: f64,
 ) {
@@ -49,7 +49,7 @@
     #[case] drawn: f64,
     #[case] given: f64,
 ) {
-    let out = run(13, 64, Weigh::Time, policy);
+    let out = run(13, 64, SpreadGoal::Time, policy);
     println!("{policy:?}: {out:?}");
     assert!(out.is_done && out.ratio >= least_time, "{out:?}");
     assert!((out.origin, out.most_given) == (drawn, given), "{out:?}");
--- a/crates/spread/tests/session.rs
+++ b/crates/spread/tests/session.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use model::{digests, entries};
-use wagtailreel_core::{SpreadPolicy, SpreadSettings, Weigh};
+use wagtailreel_core::{SpreadPolicy, SpreadSettings, SpreadGoal};
 use wagtailreel_spread::{
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Planner, PlannerConfig, Site, Source,
 };
@@ -28,7 +28,7 @@
 
 impl Session {
     /// Starts a session of one of `vms` VMs over two data centres.
-    fn new(vms: usize, chunks: u32, weigh: Weigh, policy: SpreadPolicy) -> Self {
+    fn new(vms: usize, chunks: u32, weigh: SpreadGoal, policy: SpreadPolicy) -> Self {
         let now = Instant::now();
         let entries = entries(vms, 2);
         let cfg = PlannerConfig {
@@ -125,7 +125,7 @@
 
 #[test]
 fn draws_and_spreads() {
-    let mut session = Session::new(3, 6, Weigh::OriginBytes, SpreadPolicy::Balanced);
+    let mut session = Session::new(3, 6, SpreadGoal::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[]);
     session.have("vm-002", &[]);
     session.wait(100);
@@ -143,7 +143,7 @@
 
 #[test]
 fn second_copies() {
-    let mut session = Session::new(4, 6, Weigh::Time, SpreadPolicy::Balanced);
+    let mut session = Session::new(4, 6, SpreadGoal::Time, SpreadPolicy::Balanced);
     for vm in ["vm-001", "vm-002", "vm-003"] {
         session.have(vm, &[]);
     }
@@ -159,7 +159,7 @@
 
 #[test]
 fn takes_over() {
-    let mut session = Session::new(3, 6, Weigh::OriginBytes, SpreadPolicy::Balanced);
+    let mut session = Session::new(3, 6, SpreadGoal::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[]);
     session.lost("vm-002");
     for id in 1..=4 {
@@ -173,7 +173,7 @@
 
 #[test]
 fn corrupt_giver() {
-    let mut session = Session::new(3, 2, Weigh::OriginBytes, SpreadPolicy::Balanced);
+    let mut session = Session::new(3, 2, SpreadGoal::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[0, 1]);
     session.have("vm-002", &[]);
     session.failed(1, Failure::Corrupt);
@@ -186,7 +186,7 @@
 
 #[test]
 fn refusing_origin() {
-    let mut session = Session::new(1, 2, Weigh::Time, SpreadPolicy::Balanced);
+    let mut session = Session::new(1, 2, SpreadGoal::Time, SpreadPolicy::Balanced);
     session.wait(300);
     session.failed(1, busy(2000));
     session.failed(2, Failure::Broken);
@@ -198,7 +198,7 @@
 
 #[test]
 fn stalled_giver() {
-    let mut session = Session::new(3, 1, Weigh::OriginBytes, SpreadPolicy::Balanced);
+    let mut session = Session::new(3, 1, SpreadGoal::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[0]);
     session.have("vm-002", &[]);
     session.wait(2000);
@@ -210,7 +210,7 @@
 
 #[test]
 fn always_busy() {
-    let mut session = Session::new(2, 1, Weigh::OriginBytes, SpreadPolicy::Balanced);
+    let mut session = Session::new(2, 1, SpreadGoal::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[0]);
     for id in 1..30 {
         let asked = session.fetches.get(&id).map(|fetch| fetch.from.clone());
@@ -227,7 +227,7 @@
 
 #[test]
 fn broken_chain() {
-    let mut session = Session::new(4, 2, Weigh::Time, SpreadPolicy::Chain);
+    let mut session = Session::new(4, 2, SpreadGoal::Time, SpreadPolicy::Chain);
     let parents: Vec<String> = session.planner.watched().iter().cloned().collect();
     let parent = parents.first().cloned().unwrap_or_default();
     session.have(&parent, &[0]);
--- a/crates/spread/tests/slow_origin.rs
+++ b/crates/spread/tests/slow_origin.rs
@@ -7,7 +7,7 @@
 
 use model::{Model, Outcome, STEP, Setup};
 use rstest::rstest;
-use wagtailreel_core::{SpreadPolicy, SpreadSettings, Weigh};
+use wagtailreel_core::{SpreadPolicy, SpreadSettings, SpreadGoal};
 use wagtailreel_spread::Tuning;
 
 /// Steps in which a link carries a chunk: 45 ms.
@@ -20,7 +20,7 @@
 
 fn setup(draw_time: Option<Duration>) -> Setup {
     let settings = SpreadSettings {
-        weigh: Weigh::OriginBytes,
+        weigh: SpreadGoal::OriginBytes,
         policy: SpreadPolicy::Balanced,
         rate: None,
     };
--- a/crates/transfer/tests/common/mod.rs
+++ b/crates/transfer/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use wagtailreel_adapters::{HttpOrigin, Origin};
 use wagtailreel_core::{
-    Epoch, ModelRef, SpreadPolicy, SpreadSettings, VmEntry, VmRole, VmState, Weigh, WeightsPhase,
+    Epoch, ModelRef, SpreadPolicy, SpreadSettings, VmEntry, VmRole, VmState, SpreadGoal, WeightsPhase,
 };
 use wagtailreel_standins::{OriginConfig, OriginModel, OriginStandin};
 use wagtailreel_transfer::{EpochProgress, Progress, Transfer, TransferConfig, Wanted};
@@ -91,7 +91,7 @@
 }
 
 /// Returns settings with a policy and what is weighed.
-pub(crate) fn settings(policy: SpreadPolicy, weigh: Weigh) -> SpreadSettings {
+pub(crate) fn settings(policy: SpreadPolicy, weigh: SpreadGoal) -> SpreadSettings {
     SpreadSettings {
         weigh,
         policy,
--- a/crates/transfer/tests/spread.rs
+++ b/crates/transfer/tests/spread.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{CHUNK, Vm, introduce, model, origin, settings};
-use wagtailreel_core::{SpreadPolicy, Weigh};
+use wagtailreel_core::{SpreadPolicy, SpreadGoal};
 
 #[tokio::test]
 async fn one_vm() {
@@ -29,7 +29,7 @@
     }
     introduce(&vms);
     for vm in &vms {
-        let settings = settings(SpreadPolicy::Balanced, Weigh::OriginBytes);
+        let settings = settings(SpreadPolicy::Balanced, SpreadGoal::OriginBytes);
         vm.want_with(3, vec![scribe.part()], settings);
     }
     let whole = origin.bytes(&scribe.part()).unwrap();
