--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -19,7 +19,7 @@
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 use serde::Deserialize;
 use wagtailreel_adapters::{Effect, PlainService, PlatformError};
-use wagtailreel_core::headers::{OUTCOME, OWN_PREFIX, REQUEST};
+use wagtailreel_core::headers::{OUTCOME, HEADER_PREFIX, REQUEST};
 use wagtailreel_core::{NotRunReason, RequestId};
 
 use crate::answers::{self, Cancelled};
@@ -180,7 +180,7 @@
     headers.remove(CONTENT_LENGTH);
     let own: Vec<HeaderName> = headers
         .keys()
-        .filter(|name| name.as_str().starts_with(OWN_PREFIX))
+        .filter(|name| name.as_str().starts_with(HEADER_PREFIX))
         .cloned()
         .collect();
     for name in own {
--- a/crates/core/src/headers.rs
+++ b/crates/core/src/headers.rs
@@ -1,7 +1,7 @@
 //! Names of the system's own HTTP headers, in lower case as they are on the wire.
 
 /// Beginning of the name of every header of the system's own.
-pub const OWN_PREFIX: &str = "wagtailreel-";
+pub const HEADER_PREFIX: &str = "wagtailreel-";
 
 /// Outcome of a request.
 pub const OUTCOME: &str = "wagtailreel-outcome";
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 use snafu::Snafu;
 use tokio_util::task::task_tracker::TaskTrackerToken;
-use wagtailreel_core::headers::OWN_PREFIX;
+use wagtailreel_core::headers::HEADER_PREFIX;
 use wagtailreel_core::{Outcome, ServiceKind};
 use wagtailreel_serve::connection_options;
 
@@ -267,7 +267,7 @@
             || name == header::HOST
             || name == header::AUTHORIZATION
             || name == header::EXPECT
-            || name.as_str().starts_with(OWN_PREFIX)
+            || name.as_str().starts_with(HEADER_PREFIX)
             || named.iter().any(|named| named == name.as_str())
     };
     headers
