--- a/crates/agent/src/engine_watch.rs
+++ b/crates/agent/src/engine_watch.rs
@@ -201,7 +201,7 @@
     fn is_wanted(&self, state: &ServiceState) -> bool {
         let facts = &self.hub.facts;
         state.document.as_ref().is_some_and(|document| {
-            document.model.is_some() && document.names_vm(&facts.data_centre, &facts.vm)
+            document.model.is_some() && document.includes_vm(&facts.data_centre, &facts.vm)
         })
     }
 
--- a/crates/agent/src/plain_watch.rs
+++ b/crates/agent/src/plain_watch.rs
@@ -82,7 +82,7 @@
     fn names_this_vm(&self, state: &ServiceState) -> bool {
         let facts = &self.hub.facts;
         let document = state.document.as_ref();
-        document.is_some_and(|document| document.names_vm(&facts.data_centre, &facts.vm))
+        document.is_some_and(|document| document.includes_vm(&facts.data_centre, &facts.vm))
     }
 }
 
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -206,7 +206,7 @@
     }
 
     /// Says whether the document names the VM `vm` of `data_centre`.
-    pub fn names_vm(&self, data_centre: &str, vm: &str) -> bool {
+    pub fn includes_vm(&self, data_centre: &str, vm: &str) -> bool {
         self.place(data_centre)
             .is_some_and(|place| match &place.vms {
                 VmSelection::All => true,
--- a/crates/entry/src/live.rs
+++ b/crates/entry/src/live.rs
@@ -87,7 +87,7 @@
         let report = &view.report;
         report.service == service
             && report.data_centre == place.data_centre
-            && self.document.names_vm(&report.data_centre, &report.vm)
+            && self.document.includes_vm(&report.data_centre, &report.vm)
             && report.open == Some(self.epoch)
             && !report.leaving
     }
--- a/crates/switch/src/opener/granting.rs
+++ b/crates/switch/src/opener/granting.rs
@@ -95,7 +95,7 @@
         known.is_none_or(|state| {
             let document = state.document.as_ref();
             state.epoch != epoch
-                || document.is_some_and(|document| document.names_vm(&self.cfg.data_centre, vm))
+                || document.is_some_and(|document| document.includes_vm(&self.cfg.data_centre, vm))
         })
     }
 }
