--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -102,7 +102,7 @@
         let applied = self.with_fold(|fold| {
             let applied = fold.restore(view);
             for state in view.services.values() {
-                fold.learn(state);
+                fold.merge_service(state);
             }
             applied
         });
--- a/crates/fold/src/config.rs
+++ b/crates/fold/src/config.rs
@@ -94,7 +94,7 @@
     ///
     /// The offset stays, because an agent knows its own service only: records up to that revision
     /// are still read for the other services and passed over for this one.
-    pub fn learn(&mut self, state: &ServiceState) -> bool {
+    pub fn merge_service(&mut self, state: &ServiceState) -> bool {
         let known = self.view.services.get(&state.service);
         let newer = known.is_none_or(|ours| ours.revision < state.revision);
         if self.stop().is_some() || !newer {
--- a/crates/fold/tests/agreement.rs
+++ b/crates/fold/tests/agreement.rs
@@ -144,7 +144,7 @@
         Step::Learn { at, service } => {
             let state = truth[at % truth.len()].state();
             if let Some(state) = state.services.get(SERVICES[*service]) {
-                fold.learn(state);
+                fold.merge_service(state);
             }
         }
         Step::Lapse { first: lapsed } => {
--- a/crates/fold/tests/restart.rs
+++ b/crates/fold/tests/restart.rs
@@ -61,8 +61,8 @@
     let mut t = Transcript::default();
     let mut new = ConfigFold::new();
     t.say("no entry is left; an agent has its own service at revision 5");
-    assert!(new.learn(&whole.state().services[S]));
-    assert!(!new.learn(&whole.state().services[S]));
+    assert!(new.merge_service(&whole.state().services[S]));
+    assert!(!new.merge_service(&whole.state().services[S]));
     t.state("new entry", &new);
     assert_eq!((new.offset(), new.reached()), (0, 5));
     t.say("the log is back: the rest is read from the start");
@@ -129,7 +129,7 @@
     let (log, three, mut four) = five_records();
     let before = four.state().clone();
     four.restore(three.state());
-    assert!(!four.learn(&three.state().services[P]));
+    assert!(!four.merge_service(&three.state().services[P]));
     assert_eq!(four.state(), &before);
     assert_eq!(four.next(), 5);
     log.feed(&mut four, 5).unwrap();
--- a/crates/fold/tests/stops.rs
+++ b/crates/fold/tests/stops.rs
@@ -31,7 +31,7 @@
     assert_eq!(log.feed(fold, 3).unwrap_err(), stop);
     assert_eq!(fold.check_head(0, 100).unwrap_err(), stop);
     assert!(fold.restore(ahead.state()).is_empty());
-    assert!(!fold.learn(&ahead.state().services[S]));
+    assert!(!fold.merge_service(&ahead.state().services[S]));
     assert!(fold.snapshot().is_none());
     assert_eq!(fold.state(), &state);
 }
@@ -71,7 +71,7 @@
     let mut fold = ConfigFold::new();
     log.feed(&mut fold, 1).unwrap();
     // The agent is in force with revision 2, which this log does not have.
-    assert!(fold.learn(&ahead.state().services[S]));
+    assert!(fold.merge_service(&ahead.state().services[S]));
     assert!(fold.check_head(fold.reached(), 2).is_err());
 }
 
