--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -19,7 +19,7 @@
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 use serde::Deserialize;
 use wagtailreel_adapters::{Effect, PlainService, PlatformError};
-use wagtailreel_core::headers::{OUTCOME, HEADER_PREFIX, REQUEST};
+use wagtailreel_core::headers::{HEADER_PREFIX, OUTCOME, REQUEST};
 use wagtailreel_core::{NotRunReason, RequestId};
 
 use crate::answers::{self, Cancelled};
--- a/crates/bench/src/burst/setup.rs
+++ b/crates/bench/src/burst/setup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use derive_more::Display;
-use wagtailreel_core::{Document, ModelRef, SpreadPolicy, SpreadGoal};
+use wagtailreel_core::{Document, ModelRef, SpreadGoal, SpreadPolicy};
 use wagtailreel_standins::OriginModel;
 
 use super::fault::Fault;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,8 +21,8 @@
 };
 pub use digest::{Digest, ParseDigestError};
 pub use document::{
-    CustomerLimit, Document, ModelRef, Objectives, Place, Priority, ServiceKind, SpreadPolicy,
-    SpreadSettings, VmSelection, SpreadGoal,
+    CustomerLimit, Document, ModelRef, Objectives, Place, Priority, ServiceKind, SpreadGoal,
+    SpreadPolicy, SpreadSettings, VmSelection,
 };
 pub use ids::{
     ChunkIndex, CustomerId, DataCentre, EditId, Epoch, Incarnation, Offset, OrderKey, Region,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -4,7 +4,7 @@
 
 use wagtailreel_core::{
     CustomerId, CustomerLimit, Document, ModelRef, Objectives, Place, Priority, ServiceKind,
-    SpreadPolicy, SpreadSettings, VmId, VmSelection, SpreadGoal,
+    SpreadGoal, SpreadPolicy, SpreadSettings, VmId, VmSelection,
 };
 
 use crate::fields::{Fields, read_root};
@@ -254,7 +254,10 @@
 }
 
 fn spread(at: &At<'_>, problems: &mut Problems) -> Option<SpreadSettings> {
-    let weighs = [("time", SpreadGoal::Time), ("origin-bytes", SpreadGoal::OriginBytes)];
+    let weighs = [
+        ("time", SpreadGoal::Time),
+        ("origin-bytes", SpreadGoal::OriginBytes),
+    ];
     let policies = [
         ("balanced", SpreadPolicy::Balanced),
         ("origin", SpreadPolicy::Origin),
--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use wagtailreel_core::{ChunkIndex, SpreadPolicy, SpreadGoal};
+use wagtailreel_core::{ChunkIndex, SpreadGoal, SpreadPolicy};
 
 use crate::planner::Planner;
 use crate::ranking::NEVER;
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use wagtailreel_core::{ChunkIndex, DataCentre, Digest, VmId, SpreadGoal, rank_score};
+use wagtailreel_core::{ChunkIndex, DataCentre, Digest, SpreadGoal, VmId, rank_score};
 
 use crate::Site;
 
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use wagtailreel_core::{ChunkIndex, VmId, SpreadGoal};
+use wagtailreel_core::{ChunkIndex, SpreadGoal, VmId};
 
 use crate::peers::Peer;
 use crate::planner::Planner;
--- a/crates/spread/tests/crossing.rs
+++ b/crates/spread/tests/crossing.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use wagtailreel_core::{Digest, SpreadSettings, VmEntry, VmRole, VmState, SpreadGoal, rank_score};
+use wagtailreel_core::{Digest, SpreadGoal, SpreadSettings, VmEntry, VmRole, VmState, rank_score};
 use wagtailreel_spread::{
     Action, ChunkSet, Event, Fetch, Planner, PlannerConfig, Site, Source, Tuning,
 };
--- a/crates/spread/tests/faults.rs
+++ b/crates/spread/tests/faults.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
-use wagtailreel_core::{SpreadSettings, SpreadGoal};
+use wagtailreel_core::{SpreadGoal, SpreadSettings};
 
 /// Returns a run of 13 VMs and 64 chunks.
 fn setup(weigh: SpreadGoal) -> Setup {
--- a/crates/spread/tests/idle_peer.rs
+++ b/crates/spread/tests/idle_peer.rs
@@ -7,7 +7,7 @@
 
 use model::{Model, Setup};
 use rstest::rstest;
-use wagtailreel_core::{Digest, SpreadSettings, VmEntry, VmRole, VmState, SpreadGoal};
+use wagtailreel_core::{Digest, SpreadGoal, SpreadSettings, VmEntry, VmRole, VmState};
 use wagtailreel_spread::{Action, ChunkSet, Event, Planner, PlannerConfig, Site, Source};
 
 const CHUNKS: u32 = 64;
--- a/crates/spread/tests/ratio.rs
+++ b/crates/spread/tests/ratio.rs
@@ -6,7 +6,7 @@
 
 use model::{Model, Setup};
 use rstest::rstest;
-use wagtailreel_core::{SpreadPolicy, SpreadSettings, SpreadGoal};
+use wagtailreel_core::{SpreadGoal, SpreadPolicy, SpreadSettings};
 
 /// Returns what the model gives for some settings.
 fn run(vms: usize, chunks: u32, weigh: SpreadGoal, policy: SpreadPolicy) -> model::Outcome {
--- a/crates/spread/tests/session.rs
+++ b/crates/spread/tests/session.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use model::{digests, entries};
-use wagtailreel_core::{SpreadPolicy, SpreadSettings, SpreadGoal};
+use wagtailreel_core::{SpreadGoal, SpreadPolicy, SpreadSettings};
 use wagtailreel_spread::{
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Planner, PlannerConfig, Site, Source,
 };
--- a/crates/spread/tests/slow_origin.rs
+++ b/crates/spread/tests/slow_origin.rs
@@ -7,7 +7,7 @@
 
 use model::{Model, Outcome, STEP, Setup};
 use rstest::rstest;
-use wagtailreel_core::{SpreadPolicy, SpreadSettings, SpreadGoal};
+use wagtailreel_core::{SpreadGoal, SpreadPolicy, SpreadSettings};
 use wagtailreel_spread::Tuning;
 
 /// Steps in which a link carries a chunk: 45 ms.
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -10,7 +10,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::MissedTickBehavior;
 use wagtailreel_adapters::HttpClient;
-use wagtailreel_core::{SpreadSettings, VmEntry, VmId, SpreadGoal, rank_score};
+use wagtailreel_core::{SpreadGoal, SpreadSettings, VmEntry, VmId, rank_score};
 use wagtailreel_fleet::Registry;
 use wagtailreel_spread::{
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Planner, PlannerConfig, Site, Source, Tuning,
--- a/crates/transfer/tests/common/mod.rs
+++ b/crates/transfer/tests/common/mod.rs
@@ -16,7 +16,8 @@
 use tokio::task::{JoinHandle, JoinSet};
 use wagtailreel_adapters::{HttpOrigin, Origin};
 use wagtailreel_core::{
-    Epoch, ModelRef, SpreadPolicy, SpreadSettings, VmEntry, VmRole, VmState, SpreadGoal, WeightsPhase,
+    Epoch, ModelRef, SpreadGoal, SpreadPolicy, SpreadSettings, VmEntry, VmRole, VmState,
+    WeightsPhase,
 };
 use wagtailreel_standins::{OriginConfig, OriginModel, OriginStandin};
 use wagtailreel_transfer::{EpochProgress, Progress, Transfer, TransferConfig, Wanted};
--- a/crates/transfer/tests/spread.rs
+++ b/crates/transfer/tests/spread.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{CHUNK, Vm, introduce, model, origin, settings};
-use wagtailreel_core::{SpreadPolicy, SpreadGoal};
+use wagtailreel_core::{SpreadGoal, SpreadPolicy};
 
 #[tokio::test]
 async fn one_vm() {
