--- a/crates/fold/src/codec.rs
+++ b/crates/fold/src/codec.rs
@@ -78,12 +78,12 @@
     let buf = serde_json::to_vec(&value).context(JsonSnafu)?;
     let length = buf.len();
     ensure!(length <= MAX_RECORD_BYTES, TooLongSnafu { length });
-    check_read_back::<T>(&buf, &plain)?;
+    check_round_trip::<T>(&buf, &plain)?;
     Ok(buf)
 }
 
 /// Reads `buf` as every fold will, and compares.
-fn check_read_back<T>(buf: &[u8], plain: &Value) -> Result<(), EncodeError>
+fn check_round_trip<T>(buf: &[u8], plain: &Value) -> Result<(), EncodeError>
 where
     T: Serialize + DeserializeOwned,
 {
--- a/crates/fold/src/config.rs
+++ b/crates/fold/src/config.rs
@@ -8,10 +8,10 @@
 use crate::applied::Applied;
 use crate::codec::decode;
 use crate::cursor::{Cursor, record_digest};
-use crate::edits::{EditMemory, EditResult, Verdict};
-use crate::rules::{Edit, Refusal, RefusalReason, Winner, check_base, judge};
-use crate::scan::{Incoming, Scan};
+use crate::edits::{EditHistory, EditResult, Verdict};
+use crate::rules::{Edit, Refusal, RefusalReason, Winner, check_base, decide};
 use crate::snapshot::{KnownSnapshots, LogHead, SnapshotRule, SnapshotState};
+use crate::snapshot_search::{Incoming, SnapshotSearch};
 use crate::stop::{FoldStop, UnknownFormatSnafu};
 
 /// The configuration, from the records of the stream `config`.
@@ -21,8 +21,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFold {
     view: StateView,
-    edits: EditMemory,
-    scan: Option<Scan>,
+    edits: EditHistory,
+    search: Option<SnapshotSearch>,
     cursor: Cursor,
     snapshots: KnownSnapshots,
 }
@@ -49,8 +49,8 @@
         data: &Value,
     ) -> Result<Vec<Applied>, FoldStop> {
         self.cursor.check_running()?;
-        let applied = self.take_in(offset, at, data);
-        self.cursor.note(applied)
+        let applied = self.apply_next(offset, at, data);
+        self.cursor.record_stop(applied)
     }
 
     /// Checks the end of the log.
@@ -73,7 +73,7 @@
     /// fills the gap. Does nothing if nothing that the fold needs has lapsed.
     pub fn start_from(&mut self, first: Offset) {
         if first > self.next() {
-            self.scan = Some(Scan::new(first));
+            self.search = Some(SnapshotSearch::new(first));
         }
     }
 
@@ -125,7 +125,7 @@
     /// Returns the offset to read next.
     pub fn next(&self) -> Offset {
         let next = self.view.offset + 1;
-        self.scan.as_ref().map_or(next, Scan::next)
+        self.search.as_ref().map_or(next, SnapshotSearch::next)
     }
 
     /// Returns the offset to read first when the log is back after an outage: the last record
@@ -137,7 +137,7 @@
     /// Says whether the state has no hole before the records that are read: `false` while a
     /// snapshot is awaited.
     pub fn is_ready(&self) -> bool {
-        self.scan.is_none()
+        self.search.is_none()
     }
 
     /// Returns why the fold has stopped, if it has.
@@ -180,7 +180,7 @@
         }
         let state = SnapshotState {
             view: self.view.clone(),
-            edits: self.edits.carried(),
+            edits: self.edits.for_snapshot(),
         };
         let state = serde_json::to_value(&state).ok()?;
         Some(ConfigRecord::Snapshot {
@@ -191,7 +191,7 @@
 
     /// Takes that this process has appended a snapshot at `offset`; none is due until it is read.
     pub fn note_snapshot(&mut self, offset: Offset) {
-        self.snapshots.appended(offset);
+        self.snapshots.record_appended(offset);
     }
 
     /// Says whether a snapshot is due at `now`, given the ends of the log.
@@ -207,7 +207,7 @@
         self.snapshots.is_due(at, head.first, now, rule)
     }
 
-    fn take_in(
+    fn apply_next(
         &mut self,
         offset: Offset,
         at: SystemTime,
@@ -218,17 +218,17 @@
         }
         let incoming = read(offset, at, data)?;
         self.cursor.advance(offset, incoming.digest);
-        if self.scan.is_some() {
-            return Ok(self.scan_on(incoming));
+        if self.search.is_some() {
+            return Ok(self.buffer_record(incoming));
         }
-        Ok(vec![self.step(incoming)])
+        Ok(vec![self.apply_record(incoming)])
     }
 
     /// Holds a record, and ends the search if it is a snapshot that the held records join on to.
-    fn scan_on(&mut self, incoming: Incoming) -> Vec<Applied> {
+    fn buffer_record(&mut self, incoming: Incoming) -> Vec<Applied> {
         let taken = self.take_snapshot(&incoming);
-        if let Some(scan) = &mut self.scan {
-            scan.hold(incoming);
+        if let Some(search) = &mut self.search {
+            search.push(incoming);
         }
         let mut applied: Vec<Applied> = taken.into_iter().collect();
         applied.extend(self.end_scan());
@@ -240,8 +240,11 @@
         let ConfigRecord::Snapshot { at, state } = &incoming.record else {
             return None;
         };
-        let joins = self.scan.as_ref().is_some_and(|scan| scan.joins(*at));
-        if !joins || *at >= incoming.offset {
+        let connects = self
+            .search
+            .as_ref()
+            .is_some_and(|search| search.connects_to(*at));
+        if !connects || *at >= incoming.offset {
             return None;
         }
         let state: SnapshotState = serde_json::from_value(state.clone()).ok()?;
@@ -254,16 +257,16 @@
     /// Ends the search if the state reaches up to the records held, and applies these.
     fn end_scan(&mut self) -> Vec<Applied> {
         let offset = self.view.offset;
-        let Some(scan) = self.scan.take_if(|scan| scan.joins(offset)) else {
+        let Some(search) = self.search.take_if(|search| search.connects_to(offset)) else {
             return Vec::new();
         };
-        let held = scan.into_held().into_iter();
-        let later = held.filter(|incoming| incoming.offset > offset);
-        later.map(|incoming| self.step(incoming)).collect()
+        let buffered = search.into_records().into_iter();
+        let later = buffered.filter(|incoming| incoming.offset > offset);
+        later.map(|incoming| self.apply_record(incoming)).collect()
     }
 
     /// Applies the record after the last one applied.
-    fn step(&mut self, incoming: Incoming) -> Applied {
+    fn apply_record(&mut self, incoming: Incoming) -> Applied {
         let offset = incoming.offset;
         self.view.offset = offset;
         match incoming.record {
@@ -284,7 +287,7 @@
                 self.edit(offset, incoming.digest, edit)
             }
             ConfigRecord::Snapshot { at, state } => {
-                self.pass_snapshot(offset, incoming.at, at, state)
+                self.skip_snapshot(offset, incoming.at, at, state)
             }
         }
     }
@@ -295,11 +298,11 @@
         if let Some(state) = current.filter(|state| state.revision >= offset) {
             if state.revision == offset {
                 let epoch = state.epoch;
-                self.remember(offset, digest, &edit, accepted(offset, epoch));
+                self.record_result(offset, digest, &edit, accepted(offset, epoch));
             }
             return Applied::Known { service, offset };
         }
-        match judge(current, edit.clone(), offset) {
+        match decide(current, edit.clone(), offset) {
             Ok(state) => self.accept(digest, &edit, state),
             Err(reason) => self.refuse(offset, digest, &edit, reason),
         }
@@ -308,7 +311,7 @@
     fn accept(&mut self, digest: Digest, edit: &Edit, state: ServiceState) -> Applied {
         let (revision, epoch) = (state.revision, state.epoch);
         let service = state.service.clone();
-        self.remember(revision, digest, edit, accepted(revision, epoch));
+        self.record_result(revision, digest, edit, accepted(revision, epoch));
         self.view.services.insert(service.clone(), state);
         Applied::Accepted {
             service,
@@ -334,7 +337,7 @@
         let verdict = Verdict::Refused {
             refusal: refusal.clone(),
         };
-        self.remember(offset, digest, edit, verdict);
+        self.record_result(offset, digest, edit, verdict);
         Applied::Refused {
             service,
             edit_id: edit.edit_id.clone(),
@@ -342,7 +345,7 @@
         }
     }
 
-    fn remember(&mut self, offset: Offset, digest: Digest, edit: &Edit, verdict: Verdict) {
+    fn record_result(&mut self, offset: Offset, digest: Digest, edit: &Edit, verdict: Verdict) {
         let result = EditResult {
             offset,
             edit_id: edit.edit_id.clone(),
@@ -356,7 +359,7 @@
 
     fn refusal(&self, service: &str, base: Offset, reason: RefusalReason) -> Refusal {
         let stale = reason == RefusalReason::StaleBase;
-        let reason = if stale && !self.edits.knows_successor(service, base) {
+        let reason = if stale && !self.edits.has_successor(service, base) {
             RefusalReason::Unclear
         } else {
             reason
@@ -371,7 +374,7 @@
     }
 
     /// Passes over a snapshot: all that it says has been applied.
-    fn pass_snapshot(
+    fn skip_snapshot(
         &mut self,
         offset: Offset,
         time: SystemTime,
@@ -380,7 +383,7 @@
     ) -> Applied {
         // One that claims to know the future is of no use to anyone, so another is needed.
         if at < offset {
-            self.snapshots.read(at, time);
+            self.snapshots.record_read(at, time);
         }
         let state: Option<SnapshotState> = serde_json::from_value(state).ok();
         let contradicts = state.map_or_else(Vec::new, |state| state.contradictions(at, &self.view));
--- a/crates/fold/src/cursor.rs
+++ b/crates/fold/src/cursor.rs
@@ -24,7 +24,7 @@
     }
 
     /// Keeps the stop that `result` is, so that the fold stays stopped.
-    pub(crate) fn note<T>(&mut self, result: Result<T, FoldStop>) -> Result<T, FoldStop> {
+    pub(crate) fn record_stop<T>(&mut self, result: Result<T, FoldStop>) -> Result<T, FoldStop> {
         if let Err(stop) = &result {
             self.stop = Some(stop.clone());
         }
@@ -39,7 +39,7 @@
         } else {
             Ok(())
         };
-        self.note(checked)
+        self.record_stop(checked)
     }
 
     /// Says whether the record at `offset` is the one expected; `false` for one read before.
--- a/crates/fold/src/edits.rs
+++ b/crates/fold/src/edits.rs
@@ -9,14 +9,14 @@
 use crate::rules::Refusal;
 
 /// Edits that are remembered for each service.
-const REMEMBERED: usize = 256;
+const MAX_KEPT_EDITS: usize = 256;
 
 /// Edits of each service that a snapshot carries on, so that it stays far below the longest
 /// record that the log takes.
-const CARRIED: usize = 8;
+const MAX_SNAPSHOT_EDITS: usize = 8;
 
 /// Edits that a history lists.
-const LISTED: usize = 64;
+const MAX_LISTED_EDITS: usize = 64;
 
 /// What the fold decided about an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
@@ -62,16 +62,16 @@
 /// not remember the same edits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub(crate) struct EditMemory {
+pub(crate) struct EditHistory {
     services: BTreeMap<ServiceName, VecDeque<EditResult>>,
 }
 
-impl EditMemory {
+impl EditHistory {
     /// Remembers `result`, which is newer than all others of `service`.
     pub(crate) fn push(&mut self, service: &str, result: EditResult) {
         let edits = self.services.entry(service.to_owned()).or_default();
         edits.push_back(result);
-        if edits.len() > REMEMBERED {
+        if edits.len() > MAX_KEPT_EDITS {
             edits.pop_front();
         }
     }
@@ -104,20 +104,23 @@
 
     /// Says whether the edit is known that was accepted on top of `base`. There is one at most, so
     /// any other edit on that base is sure to have been refused.
-    pub(crate) fn knows_successor(&self, service: &str, base: Offset) -> bool {
+    pub(crate) fn has_successor(&self, service: &str, base: Offset) -> bool {
         self.newest_first(service)
             .any(|result| result.base == base && matches!(result.verdict, Verdict::Accepted { .. }))
     }
 
     /// Returns the latest edits of `service`, newest first.
     pub(crate) fn history(&self, service: &str) -> Vec<EditResult> {
-        self.newest_first(service).take(LISTED).cloned().collect()
+        self.newest_first(service)
+            .take(MAX_LISTED_EDITS)
+            .cloned()
+            .collect()
     }
 
     /// Returns what a snapshot carries on.
-    pub(crate) fn carried(&self) -> Self {
+    pub(crate) fn for_snapshot(&self) -> Self {
         let newest = |edits: &VecDeque<EditResult>| {
-            let skipped = edits.len().saturating_sub(CARRIED);
+            let skipped = edits.len().saturating_sub(MAX_SNAPSHOT_EDITS);
             edits.iter().skip(skipped).cloned().collect()
         };
         Self {
@@ -137,7 +140,7 @@
             for result in theirs.into_iter().chain(ours.drain(..)) {
                 all.insert(result.offset, result);
             }
-            let skipped = all.len().saturating_sub(REMEMBERED);
+            let skipped = all.len().saturating_sub(MAX_KEPT_EDITS);
             ours.extend(all.into_values().skip(skipped));
         }
     }
--- a/crates/fold/src/lib.rs
+++ b/crates/fold/src/lib.rs
@@ -20,8 +20,8 @@
 mod publication;
 mod releases;
 mod rules;
-mod scan;
 mod snapshot;
+mod snapshot_search;
 mod stop;
 
 pub use applied::Applied;
--- a/crates/fold/src/orders.rs
+++ b/crates/fold/src/orders.rs
@@ -15,10 +15,10 @@
 use crate::stop::{FoldStop, UnknownFormatSnafu};
 
 /// How many windows claims are remembered for. The second is a reserve: one would do.
-const WINDOWS_KEPT: u32 = 2;
+const RETENTION_WINDOWS: u32 = 2;
 
 /// How far the log's clock may step back. More could hide claims from a fold that starts later.
-const MAX_STEP_BACK: Duration = Duration::from_secs(60);
+const MAX_CLOCK_STEP_BACK: Duration = Duration::from_secs(60);
 
 /// Who holds a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -105,8 +105,8 @@
         data: &Value,
     ) -> Result<Vec<OrderApplied>, FoldStop> {
         self.cursor.check_running()?;
-        let applied = self.take_in(offset, at, data);
-        self.cursor.note(applied)
+        let applied = self.apply_next(offset, at, data);
+        self.cursor.record_stop(applied)
     }
 
     /// Checks the end of the log, as [`ConfigFold::check_head`](crate::ConfigFold::check_head).
@@ -189,7 +189,9 @@
     /// and the maps add.
     pub fn approx_bytes(&self) -> usize {
         let claims = self.claims.values().flatten();
-        let claims: usize = claims.map(|(key, claim)| claim_bytes(key, claim)).sum();
+        let claims: usize = claims
+            .map(|(key, claim)| approx_claim_bytes(key, claim))
+            .sum();
         let held = self.held.iter();
         let held: usize = held
             .map(|(claimant, (service, key))| {
@@ -200,7 +202,7 @@
         claims + held + self.releases.approx_bytes()
     }
 
-    fn take_in(
+    fn apply_next(
         &mut self,
         offset: Offset,
         at: SystemTime,
@@ -219,7 +221,7 @@
         self.applied = offset;
         self.cursor.advance(offset, record_digest(data));
         self.advance(at);
-        Ok(self.step(offset, record))
+        Ok(self.apply_record(offset, record))
     }
 
     /// Moves the log's time on and forgets what it has passed.
@@ -228,10 +230,10 @@
         if self.unseen == Unseen::BeforeNext {
             // What lapsed is older than this record, unless the log's clock stepped back, and a
             // key lies at most the skew ahead of the record that claims it.
-            let ahead = MAX_STEP_BACK + MAX_KEY_SKEW;
+            let ahead = MAX_CLOCK_STEP_BACK + MAX_KEY_SKEW;
             self.unseen = Unseen::KeysUpTo(unix_seconds(self.time) + ahead.as_secs());
         }
-        let kept = self.window * WINDOWS_KEPT;
+        let kept = self.window * RETENTION_WINDOWS;
         self.releases.prune(self.time, kept);
         let oldest = Key {
             seconds: unix_seconds(self.time).saturating_sub(kept.as_secs()),
@@ -245,7 +247,7 @@
         self.claims.retain(|_, claims| !claims.is_empty());
     }
 
-    fn step(&mut self, offset: Offset, record: OrderRecord) -> Vec<OrderApplied> {
+    fn apply_record(&mut self, offset: Offset, record: OrderRecord) -> Vec<OrderApplied> {
         match record {
             OrderRecord::Claims {
                 holder,
@@ -321,11 +323,11 @@
                 holder,
             };
         }
-        self.hold(offset, service, key, parsed, claimant)
+        self.grant(offset, service, key, parsed, claimant)
     }
 
     /// Gives the free key to the claimant.
-    fn hold(
+    fn grant(
         &mut self,
         offset: Offset,
         service: ServiceName,
@@ -395,7 +397,7 @@
     }
 }
 
-fn claim_bytes(key: &Key, claim: &Claim) -> usize {
+fn approx_claim_bytes(key: &Key, claim: &Claim) -> usize {
     let texts = claim.claimant.approx_bytes() - size_of::<Claimant>();
     size_of::<Key>() + key.text.len() + size_of::<Claim>() + texts
 }
--- a/crates/fold/src/releases.rs
+++ b/crates/fold/src/releases.rs
@@ -29,21 +29,21 @@
 /// The claimants that gave up, for as long as a late copy of their claims could come.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Releases {
-    given_up: BTreeSet<Claimant>,
+    released: BTreeSet<Claimant>,
     by_time: VecDeque<(SystemTime, Claimant)>,
 }
 
 impl Releases {
     /// Notes that `claimant` gave up at `at`, the time of the record.
     pub(crate) fn insert(&mut self, at: SystemTime, claimant: Claimant) {
-        if self.given_up.insert(claimant.clone()) {
+        if self.released.insert(claimant.clone()) {
             self.by_time.push_back((at, claimant));
         }
     }
 
     /// Says whether `claimant` gave up.
     pub(crate) fn contains(&self, claimant: &Claimant) -> bool {
-        self.given_up.contains(claimant)
+        self.released.contains(claimant)
     }
 
     /// Forgets what is older than `age` at `now`.
@@ -51,14 +51,14 @@
         let old = |at: SystemTime| now.duration_since(at).is_ok_and(|passed| passed > age);
         while self.by_time.front().is_some_and(|(at, _)| old(*at)) {
             if let Some((_, claimant)) = self.by_time.pop_front() {
-                self.given_up.remove(&claimant);
+                self.released.remove(&claimant);
             }
         }
     }
 
     /// Returns about how many bytes they take up.
     pub(crate) fn approx_bytes(&self) -> usize {
-        let claimants = self.given_up.iter().map(Claimant::approx_bytes);
+        let claimants = self.released.iter().map(Claimant::approx_bytes);
         claimants.sum::<usize>() * 2
     }
 }
--- a/crates/fold/src/rules.rs
+++ b/crates/fold/src/rules.rs
@@ -43,7 +43,7 @@
 
 /// A refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Snafu)]
-#[snafu(display("{reason}{}", standing(winner.as_ref())))]
+#[snafu(display("{reason}{}", winner_suffix(winner.as_ref())))]
 pub struct Refusal {
     /// Why the edit is refused.
     pub reason: RefusalReason,
@@ -51,7 +51,7 @@
     pub winner: Option<Winner>,
 }
 
-fn standing(winner: Option<&Winner>) -> String {
+fn winner_suffix(winner: Option<&Winner>) -> String {
     winner.map_or_else(String::new, |winner| format!(" [stands: {winner}]"))
 }
 
@@ -92,7 +92,7 @@
 /// The invariant of the whole fold rests on this: nothing else is looked at, such as which edits
 /// are remembered. Two folds that hold the same state of a service decide alike, however they
 /// came by it.
-pub(crate) fn judge(
+pub(crate) fn decide(
     current: Option<&ServiceState>,
     edit: Edit,
     offset: Offset,
@@ -119,11 +119,13 @@
     offset: Offset,
 ) -> Epoch {
     match current {
-        Some(state) if loaded(state.document.as_deref()) == loaded(document) => state.epoch,
+        Some(state) if engine_contents(state.document.as_deref()) == engine_contents(document) => {
+            state.epoch
+        }
         _ => offset,
     }
 }
 
-fn loaded(document: Option<&Document>) -> Option<(ServiceKind, Vec<ModelRef>)> {
+fn engine_contents(document: Option<&Document>) -> Option<(ServiceKind, Vec<ModelRef>)> {
     document.map(|document| (document.kind, document.parts()))
 }
--- a/crates/fold/src/snapshot.rs
+++ b/crates/fold/src/snapshot.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use wagtailreel_core::{Offset, ServiceName, ServiceState, StateView, rank};
 
-use crate::edits::EditMemory;
+use crate::edits::EditHistory;
 
 /// What a snapshot record carries in `state`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
     /// The state.
     pub(crate) view: StateView,
     /// The latest edits of each service.
-    pub(crate) edits: EditMemory,
+    pub(crate) edits: EditHistory,
 }
 
 impl SnapshotState {
@@ -53,17 +53,17 @@
 pub(crate) struct KnownSnapshots {
     newest: Option<SnapshotMark>,
     /// Offset of the last one that this process appended.
-    own: Option<Offset>,
+    last_appended: Option<Offset>,
 }
 
 impl KnownSnapshots {
     /// Takes that this process appended one at `offset`.
-    pub(crate) fn appended(&mut self, offset: Offset) {
-        self.own = Some(offset);
+    pub(crate) fn record_appended(&mut self, offset: Offset) {
+        self.last_appended = Some(offset);
     }
 
     /// Takes that the log has one as of `at` since `time`.
-    pub(crate) fn read(&mut self, at: Offset, time: SystemTime) {
+    pub(crate) fn record_read(&mut self, at: Offset, time: SystemTime) {
         if self.newest.is_none_or(|newest| newest.at <= at) {
             let is_read = true;
             self.newest = Some(SnapshotMark { at, time, is_read });
@@ -82,7 +82,10 @@
         now: SystemTime,
         rule: SnapshotRule,
     ) -> bool {
-        if self.own.is_some_and(|own| at < own) {
+        if self
+            .last_appended
+            .is_some_and(|last_appended| at < last_appended)
+        {
             return false;
         }
         // A fold that has seen no snapshot counts from now: one may be in the log already.
@@ -128,10 +131,10 @@
 /// Returns how long the entry `me` waits before it appends the snapshot that is due at `at`.
 ///
 /// Rendezvous hashing ranks the `entries` the same at each of them, and another first each time.
-/// Each rank waits `step` longer; an entry that has read another's snapshot by then finds none
+/// Each rank waits `delay_per_rank` longer; an entry that has read another's snapshot by then finds none
 /// due. Two snapshots are harmless, so nothing depends on the wait. An entry that is not among
 /// `entries` goes last.
-pub fn snapshot_wait<'a, I>(entries: I, me: &str, at: Offset, step: Duration) -> Duration
+pub fn snapshot_wait<'a, I>(entries: I, me: &str, at: Offset, delay_per_rank: Duration) -> Duration
 where
     I: IntoIterator<Item = &'a str>,
 {
@@ -139,5 +142,5 @@
     let ranked = rank(key.as_bytes(), entries);
     let place = ranked.iter().position(|name| *name == me);
     let place = place.unwrap_or(ranked.len());
-    step.saturating_mul(u32::try_from(place).unwrap_or(u32::MAX))
+    delay_per_rank.saturating_mul(u32::try_from(place).unwrap_or(u32::MAX))
 }
--- a/crates/fold/src/scan.rs
+++ b/crates/fold/src/snapshot_search.rs
@@ -6,10 +6,10 @@
 use wagtailreel_core::{ConfigRecord, Digest, Offset};
 
 /// Most records that are held until a snapshot comes.
-const MAX_HELD: usize = 4096;
+const MAX_BUFFERED_RECORDS: usize = 4096;
 
 /// Most bytes of records that are held until a snapshot comes.
-const MAX_HELD_BYTES: usize = 32 << 20;
+const MAX_BUFFERED_BYTES: usize = 32 << 20;
 
 /// A record on its way into the fold.
 #[derive(Clone, Debug)]
@@ -24,19 +24,19 @@
 
 /// The records read since `first`, none of them applied.
 #[derive(Clone, Debug)]
-pub(crate) struct Scan {
+pub(crate) struct SnapshotSearch {
     first: Offset,
     next: Offset,
-    held: VecDeque<Incoming>,
+    buffered: VecDeque<Incoming>,
     bytes: usize,
 }
 
-impl Scan {
+impl SnapshotSearch {
     pub(crate) fn new(first: Offset) -> Self {
         Self {
             first,
             next: first,
-            held: VecDeque::new(),
+            buffered: VecDeque::new(),
             bytes: 0,
         }
     }
@@ -47,7 +47,7 @@
     }
 
     /// Says whether a state as of `at` and the records held have nothing missing in between.
-    pub(crate) fn joins(&self, at: Offset) -> bool {
+    pub(crate) fn connects_to(&self, at: Offset) -> bool {
         at + 1 >= self.first
     }
 
@@ -55,12 +55,12 @@
     ///
     /// Over the bounds the oldest records go, and a later snapshot is needed. One always comes,
     /// because a snapshot says the state as of shortly before itself.
-    pub(crate) fn hold(&mut self, incoming: Incoming) {
+    pub(crate) fn push(&mut self, incoming: Incoming) {
         self.next = incoming.offset + 1;
         self.bytes += incoming.length;
-        self.held.push_back(incoming);
-        while self.held.len() > MAX_HELD || self.bytes > MAX_HELD_BYTES {
-            let Some(dropped) = self.held.pop_front() else {
+        self.buffered.push_back(incoming);
+        while self.buffered.len() > MAX_BUFFERED_RECORDS || self.bytes > MAX_BUFFERED_BYTES {
+            let Some(dropped) = self.buffered.pop_front() else {
                 break;
             };
             self.bytes -= dropped.length;
@@ -69,7 +69,7 @@
     }
 
     /// Returns the records held, oldest first.
-    pub(crate) fn into_held(self) -> VecDeque<Incoming> {
-        self.held
+    pub(crate) fn into_records(self) -> VecDeque<Incoming> {
+        self.buffered
     }
 }
