--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -12,7 +12,7 @@
 )]
 pub struct Digest([u8; 32]);
 
-/// A text is not a digest.
+/// A text that is not a digest.
 #[derive(Debug, Snafu)]
 #[snafu(display("`{text}` is not a digest: write 64 hexadecimal digits"))]
 pub struct ParseDigestError {
@@ -30,8 +30,8 @@
         Self(*blake3::hash(data).as_bytes())
     }
 
-    /// Computes the digest of several parts, each with its length, so that a different division of
-    /// the same bytes has another digest.
+    /// Computes the digest of several parts. The length of each part is hashed too, so that the same
+    /// bytes divided differently have a different digest.
     pub fn of_parts<'a, I>(parts: I) -> Self
     where
         I: IntoIterator<Item = &'a [u8]>,
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -1,4 +1,4 @@
-//! The document that a service team owns.
+//! The configuration document of a service, owned by the service's team.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::{CustomerId, DataCentre, ServiceName, VmId};
 
-/// Names one version of a model or adapter: `name@version` in messages.
+/// Reference to one version of a model or adapter, shown as `name@version` in messages.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[display("{name}@{version}")]
@@ -20,14 +20,14 @@
     pub version: String,
 }
 
-/// What kind of upstream runs the service.
+/// Kind of upstream that runs the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
-    /// A model engine: weights, streams, load reports.
+    /// A model engine, which has weights, streams its answers and reports its load.
     #[default]
     Engine,
-    /// A plain service: a request, a response, no weights.
+    /// A plain service, which answers a request with one response and has no weights.
     Plain,
 }
 
@@ -37,25 +37,25 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Gives way first.
+    /// Yields first under overload.
     #[display("low")]
     Low,
-    /// The ordinary case.
+    /// The default.
     #[default]
     #[display("normal")]
     Normal,
-    /// Gives way last.
+    /// Yields last under overload.
     #[display("high")]
     High,
 }
 
-/// Which VMs of a data centre are meant.
+/// Selects VMs of a data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmSelection {
     /// Every VM of the service in the data centre.
     All,
-    /// Just these VMs.
+    /// Only these VMs.
     Named(Vec<VmId>),
 }
 
@@ -65,71 +65,71 @@
 pub struct Place {
     /// Name of the data centre.
     pub data_centre: DataCentre,
-    /// The VMs in it.
+    /// VMs of the data centre that run the service.
     pub vms: VmSelection,
-    /// How many of the VMs must have loaded new weights before the data centre switches.
+    /// Number of VMs that must have loaded new weights before the data centre switches to them.
     pub ready: u32,
 }
 
-/// What a rollout saves first.
+/// What the distribution of weights minimises first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SpreadGoal {
-    /// Time until the replicas are live; each data centre draws its own copy.
+    /// Time until the replicas are live: each data centre fetches its own copy from the origin.
     #[default]
     Time,
-    /// Bytes drawn from the origin; one copy for all data centres.
+    /// Bytes fetched from the origin: all data centres share one copy.
     OriginBytes,
 }
 
-/// How chunks find their way. All but [`SpreadPolicy::Balanced`] are kept as baselines.
+/// How chunks are distributed. All policies but [`SpreadPolicy::Balanced`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SpreadPolicy {
-    /// Balanced spreading in chunks among peers.
+    /// Peers exchange chunks, with balanced load.
     #[default]
     Balanced,
-    /// Baseline: every VM draws the whole from the origin.
+    /// Baseline: every VM fetches all chunks from the origin.
     Origin,
-    /// Baseline: a chain, each VM fetches from the one before.
+    /// Baseline: a chain in which each VM fetches from the one before it.
     Chain,
     /// Baseline: a tree of fan-out 2.
     Tree,
 }
 
-/// How the service's weights are spread.
+/// How the service's weights are distributed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpreadSettings {
-    /// What a rollout saves first.
+    /// What the distribution of weights minimises first.
     pub weigh: SpreadGoal,
-    /// How chunks find their way.
+    /// How chunks are distributed.
     pub policy: SpreadPolicy,
-    /// Highest rate of one VM's transfers in bytes a second, each way; none leaves it to the
-    /// agent's settings.
+    /// Maximum transfer rate of one VM in bytes per second, in each direction; `None` leaves it to
+    /// the agent's settings.
     pub rate: Option<u64>,
 }
 
-/// What one customer may use of the service, over all entries.
+/// Rate limit of one customer at the service, over all entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: f64,
-    /// Requests that may come at once above the rate.
+    /// Requests that may arrive in a burst above the rate.
     pub burst: u32,
 }
 
-/// Service-level objectives that the burn report measures against.
+/// Service-level objectives, against which the burn report measures.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Objectives {
-    /// Time to the first token that 95 in 100 requests keep, in milliseconds.
+    /// Target for the 95th percentile of the time to the first token, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "first_token_ms")]
     pub first_token: Duration,
-    /// Time between tokens that 95 in 100 gaps keep, in milliseconds.
+    /// Target for the 95th percentile of the time between tokens, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "between_tokens_ms")]
     pub between_tokens: Duration,
@@ -157,37 +157,37 @@
     }
 }
 
-/// The one document of a service: which weights, where, at what priority.
+/// Configuration document of a service: which weights it serves, where, and at what priority.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
     /// Name of the service.
     pub service: ServiceName,
-    /// What kind of upstream runs it.
+    /// Kind of upstream that runs the service.
     #[serde(default)]
     pub kind: ServiceKind,
-    /// The model; an engine service has one, a plain service none.
+    /// The model of an engine service; `None` for a plain service.
     #[serde(default)]
     pub model: Option<ModelRef>,
     /// Adapters loaded with the model, in order.
     #[serde(default)]
     pub adapters: Vec<ModelRef>,
-    /// Where the service runs.
+    /// Data centres that the service runs in.
     #[serde(rename = "where")]
     pub places: Vec<Place>,
-    /// Priority of the service's requests when they name none.
+    /// Priority of requests that name none.
     #[serde(default)]
     pub priority: Priority,
-    /// How the weights are spread.
+    /// How the weights are distributed.
     #[serde(default)]
     pub spread: SpreadSettings,
-    /// Limits of customers; a customer not named here is held by `default_limit`.
+    /// Limits by customer. `default_limit` applies to customers that are not listed.
     #[serde(default)]
     pub limits: BTreeMap<CustomerId, CustomerLimit>,
-    /// Limit of each customer that `limits` does not name; none means no limit.
+    /// Limit of each customer that `limits` does not list; `None` for no limit.
     #[serde(default)]
     pub default_limit: Option<CustomerLimit>,
-    /// What the burn report measures against.
+    /// Objectives, against which the burn report measures.
     #[serde(default)]
     pub objectives: Objectives,
 }
@@ -198,14 +198,15 @@
         self.model.iter().chain(&self.adapters).cloned().collect()
     }
 
-    /// Returns the place in `data_centre`, if the service runs there.
+    /// Returns the service's place in `data_centre`, if the service runs there.
     pub fn place(&self, data_centre: &str) -> Option<&Place> {
         self.places
             .iter()
             .find(|place| place.data_centre == data_centre)
     }
 
-    /// Says whether the document names the VM `vm` of `data_centre`.
+    /// Returns whether the service runs on the VM `vm` of `data_centre`, by name or because all VMs are
+    /// selected.
     pub fn includes_vm(&self, data_centre: &str, vm: &str) -> bool {
         self.place(data_centre)
             .is_some_and(|place| match &place.vms {
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,6 +1,6 @@
-//! Names and numbers that identify things, as type aliases.
+//! Type aliases for names, ids and positions.
 
-/// Name of one VM, unique over all data centres; comes from the process's settings.
+/// Name of one VM, unique over all data centres; set in the process's settings.
 pub type VmId = String;
 
 /// Name of one data centre, such as `quito-hall`.
@@ -15,22 +15,23 @@
 /// Name of a team that owns services and holds one administration token.
 pub type TeamName = String;
 
-/// Name of a customer: a caller that is known by key.
+/// Name of a customer: a caller that is identified by its key.
 pub type CustomerId = String;
 
 /// Identifies one request of one caller, chosen by the entry that accepted it.
 pub type RequestId = String;
 
-/// Key of an order that runs at most once, chosen by the caller: `<unix seconds>.<opaque text>`.
+/// Idempotency key of an order that runs at most once, chosen by the caller:
+/// `<unix seconds>.<opaque text>`.
 pub type OrderKey = String;
 
-/// Identifies one submission of a document, so that sending it again is harmless.
+/// Identifies one submission of a document, so that a re-send has no further effect.
 pub type EditId = String;
 
 /// Position of a record in one stream of the platform's log.
 pub type Offset = u64;
 
-/// Fencing number of a service's weights: the offset of the edit that last changed them.
+/// Fencing token of a service's weights: the offset of the edit that last changed them.
 pub type Epoch = u64;
 
 /// Distinguishes successive starts of the process with one [`VmId`]; later starts are higher.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Types that every wagtailreel process shares.
+//! Types that all wagtailreel processes share.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number. The decision crates (`fold`,
-//! `spread`, `switch`, `route`) take these types in and give them back; the shells (`entry`,
-//! `agent`, `control`, `transfer`) carry them over the network.
+//! This crate does no I/O, reads no clock and uses no random numbers. The crates that make decisions
+//! (`fold`, `spread`, `switch`, `route`) accept and return these types; the crates that do I/O (`entry`,
+//! `agent`, `control`, `transfer`) send them over the network.
 
 mod control;
 mod digest;
--- a/crates/core/src/manifest.rs
+++ b/crates/core/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests of weights and the bundle an engine loads.
+//! Manifests of weights, and the bundle that an engine loads.
 
 use serde::{Deserialize, Serialize};
 use snafu::{Snafu, ensure};
@@ -15,7 +15,7 @@
     pub length: u64,
 }
 
-/// What the origin says of one version of a model or adapter.
+/// Description of one version of a model or adapter, as the origin publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
@@ -23,13 +23,13 @@
     pub name: String,
     /// Version of the model or adapter.
     pub version: String,
-    /// Digest of the whole: all chunks' bytes in order.
+    /// Digest of the bytes of all chunks, in order.
     pub digest: Digest,
     /// The chunks in order.
     pub chunks: Vec<ChunkMeta>,
 }
 
-/// A manifest that can't be used.
+/// Why a manifest can't be used.
 #[derive(Debug, Snafu)]
 pub enum ManifestError {
     /// The manifest lists no chunk.
@@ -52,7 +52,7 @@
         /// Position of the chunk.
         index: usize,
     },
-    /// The manifest is for something else than was asked for.
+    /// The manifest is for another model, adapter or version than was requested.
     #[snafu(display(
         "the origin answered {name}@{version} when asked for {wanted}: check the origin's manifest"
     ))]
@@ -61,13 +61,13 @@
         name: String,
         /// Version in the manifest.
         version: String,
-        /// What was asked for.
+        /// Requested name and version.
         wanted: String,
     },
 }
 
 impl Manifest {
-    /// Makes a manifest from the bytes of a model, cut into chunks of `chunk_length` bytes.
+    /// Makes a manifest of `data`, split into chunks of `chunk_length` bytes.
     ///
     /// # Panics
     ///
@@ -88,11 +88,12 @@
         }
     }
 
-    /// Checks that the manifest is usable and is the one named `name@version`.
+    /// Checks that the manifest is valid and is the one of `name@version`.
     ///
     /// # Errors
     ///
-    /// Returns a [`ManifestError`] that says what is wrong.
+    /// Returns a [`ManifestError`] if the manifest is for another name or version, or has no chunk or an
+    /// empty one.
     pub fn check(&self, name: &str, version: &str) -> Result<(), ManifestError> {
         ensure!(
             self.name == name && self.version == version,
@@ -121,13 +122,13 @@
         Ok(())
     }
 
-    /// Returns the length of the whole in bytes.
+    /// Returns the total length of the chunks in bytes.
     pub fn length(&self) -> u64 {
         self.chunks.iter().map(|chunk| chunk.length).sum()
     }
 }
 
-/// All that an engine loads for one epoch: the model and its adapters, in the document's order.
+/// The weights that an engine loads for one epoch: the model and its adapters, in the document's order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
     /// The model first, then each adapter.
@@ -137,8 +138,8 @@
 impl Bundle {
     /// Returns the digest of the bundle: the digest of its parts' digests, in order.
     ///
-    /// An engine computes the same from the bytes it was given, so an equal digest means that
-    /// it holds exactly these weights.
+    /// An engine computes the digest from the bytes that it received, so an equal digest proves that
+    /// the engine holds exactly these weights.
     pub fn digest(&self) -> Digest {
         Self::digest_of(self.parts.iter().map(|part| part.digest))
     }
@@ -155,7 +156,7 @@
         Digest::of(&buf)
     }
 
-    /// Returns the length of all parts in bytes.
+    /// Returns the total length of the parts in bytes.
     pub fn length(&self) -> u64 {
         self.parts.iter().map(Manifest::length).sum()
     }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,15 +1,15 @@
-//! What became of a request.
+//! Outcomes of requests.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::headers;
 
-/// The three outcomes of a request. They are never blurred.
+/// Outcome of a request. A request that may have been started is never reported as not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer was given.
+    /// The caller received the complete answer.
     #[display("answered")]
     Answered,
     /// The request was never started and never will be.
@@ -24,7 +24,7 @@
     /// Name of the HTTP header that carries an outcome.
     pub const HEADER: &'static str = headers::OUTCOME;
 
-    /// Reads an outcome from its wire text.
+    /// Parses an outcome from its text on the wire; returns `None` if the text is unknown.
     pub fn from_wire(text: &str) -> Option<Self> {
         match text {
             "answered" => Some(Self::Answered),
@@ -45,13 +45,13 @@
     /// The request is pinned to weights that the agent does not serve.
     #[display("weights")]
     Weights,
-    /// The agent's lease has lapsed.
+    /// The agent's lease has expired.
     #[display("lease")]
     Lease,
     /// The agent or the entry is leaving.
     #[display("leaving")]
     Leaving,
-    /// Every place that could run the request is full.
+    /// Every upstream that could run the request is at capacity.
     #[display("full")]
     Full,
     /// The customer is over its limit.
@@ -69,10 +69,10 @@
     /// The order's key was claimed before: the order ran, or may run, elsewhere.
     #[display("claimed")]
     Claimed,
-    /// The order's key is older than keys are honoured.
+    /// The order's key is older than the window in which keys are accepted.
     #[display("expired")]
     Expired,
-    /// The platform's log is away, so that an order can't be claimed.
+    /// The platform's log is unreachable, so the order can't be claimed.
     #[display("log-away")]
     LogAway,
     /// The upstream refused the request before running it.
--- a/crates/core/src/rank.rs
+++ b/crates/core/src/rank.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: every process computes the same order of candidates without talking.
+//! Rendezvous hashing: all processes compute the same order of candidates without communication.
 
 use crate::Digest;
 
@@ -14,7 +14,7 @@
     u64::from_be_bytes(first)
 }
 
-/// Returns the candidate that ranks first for `key`; equal scores fall back to the order.
+/// Returns the candidate that ranks first for `key`; the greater candidate wins a tie.
 pub fn first_ranked<T, I>(key: &[u8], candidates: I) -> Option<T>
 where
     T: Copy + Ord + ToString,
@@ -24,7 +24,7 @@
     candidates.max_by_key(|it| (rank_score(key, &it.to_string()), *it))
 }
 
-/// Orders `candidates` for `key`, first in rank first; equal scores fall back to the name.
+/// Returns `candidates` ranked for `key`, best first. Equal scores are ordered by name.
 pub fn rank<'a, I>(key: &[u8], candidates: I) -> Vec<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -9,12 +9,12 @@
     Document, EditId, Incarnation, Offset, OrderKey, RequestId, ServiceName, TeamName, VmId,
 };
 
-/// Format number that every record carries. A higher one stops the fold.
+/// Format version that every record carries. A fold stops at any other version.
 pub const RECORD_FORMAT: u32 = 1;
 
 /// A record of the stream `config`.
 ///
-/// Reading is strict, so that no fold passes over a field that another one heeds.
+/// Unknown fields are rejected, so that no fold ignores a field that another one applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ConfigRecord {
@@ -24,25 +24,25 @@
         edit_id: EditId,
         /// Team that submitted it.
         team: TeamName,
-        /// The service's revision that the operator edited; 0 for a new service.
+        /// Revision of the service that the operator edited; 0 for a new service.
         base: Offset,
-        /// The new document; none deletes the service. The field itself is never left out: a
-        /// record that lost it must not read as a deletion.
+        /// The new document; `None` deletes the service. The field is mandatory, so that a record
+        /// without it is not read as a deletion.
         #[serde(deserialize_with = "Option::deserialize")]
         document: Option<Box<Document>>,
         /// Name of the service.
         service: ServiceName,
     },
-    /// The whole state as of an offset, so that older records may lapse.
+    /// The whole state as of an offset, so that the log may drop older records.
     Snapshot {
         /// Offset of the last record that the state contains.
         at: Offset,
-        /// The state, in the fold's own JSON form.
+        /// The state, in the JSON form that the fold defines.
         state: serde_json::Value,
     },
 }
 
-/// One claim on the key of an order that runs at most once.
+/// A claim on the key of an order that runs at most once.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -51,9 +51,9 @@
     pub service: ServiceName,
     /// Key of the order.
     pub key: OrderKey,
-    /// The one request that may run the order if this claim is the first.
+    /// The only request that may run the order if this claim wins.
     pub request: RequestId,
-    /// When the claim was made, by the holder's clock.
+    /// Time of the claim by the holder's clock.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub at: SystemTime,
 }
@@ -66,16 +66,16 @@
     Claims {
         /// Entry that made the claims.
         holder: VmId,
-        /// Start of the entry that made them.
+        /// Incarnation of the entry that made them.
         incarnation: Incarnation,
-        /// The claims; within a record the first on a key wins.
+        /// The claims. Within a record, the first claim on a key wins.
         claims: Vec<ClaimRecord>,
     },
-    /// The holder says that it never dispatched these claims and never will.
+    /// The holder declares that it has not dispatched the orders of these claims and never will.
     Releases {
         /// Entry that made the claims.
         holder: VmId,
-        /// Start of the entry that made them.
+        /// Incarnation of the entry that made them.
         incarnation: Incarnation,
         /// Requests of the released claims.
         requests: Vec<RequestId>,
--- a/crates/core/src/vm.rs
+++ b/crates/core/src/vm.rs
@@ -10,23 +10,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmRole {
-    /// An entry VM: callers' front.
+    /// An entry VM, which accepts the callers' requests.
     Entry,
-    /// An upstream VM: an engine or plain service, with an agent in its slot.
+    /// An upstream VM, which runs an engine or plain service and its agent.
     Upstream,
 }
 
-/// Whether a VM stays.
+/// Whether a VM is about to be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
     /// The VM is live.
     Live,
-    /// The VM is about to be taken away.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One VM in the platform's list. The list lags behind what is true.
+/// One VM in the platform's list. The list lags behind the real state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
     /// Name of the VM.
@@ -35,11 +35,11 @@
     pub data_centre: DataCentre,
     /// Region of the data centre.
     pub region: Region,
-    /// What runs on it.
+    /// What runs on the VM.
     pub role: VmRole,
-    /// Whether it stays.
+    /// Whether the VM is about to be removed.
     pub state: VmState,
-    /// The service of an upstream VM; none for an entry VM.
+    /// The service of an upstream VM; `None` for an entry VM.
     pub service: Option<ServiceName>,
     /// Address of the control protocol (`capnp-rpc`).
     pub control: SocketAddr,
