--- a/crates/fold/src/applied.rs
+++ b/crates/fold/src/applied.rs
@@ -1,4 +1,4 @@
-//! What a record of the stream `config` did.
+//! Effects of records of the stream `config`.
 
 use std::fmt;
 
@@ -8,11 +8,11 @@
 use crate::edits::EditResult;
 use crate::rules::Refusal;
 
-/// What a record did.
+/// Effect of a record.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "applied", rename_all = "kebab-case")]
 pub enum Applied {
-    /// An edit is the service's state now.
+    /// An edit was accepted and is now the service's state.
     Accepted {
         /// Name of the service.
         service: ServiceName,
@@ -29,34 +29,34 @@
         service: ServiceName,
         /// Identifies the submission.
         edit_id: EditId,
-        /// Why, and what stands instead.
+        /// The reason, and the accepted edit that is in its place.
         refusal: Refusal,
     },
     /// An edit was sent again; nothing changed.
     Repeated {
         /// Name of the service.
         service: ServiceName,
-        /// What became of it the first time.
+        /// Result of the first submission.
         first: EditResult,
     },
-    /// The service's state came from a peer that had seen this edit; nothing changed.
+    /// The service's state came from a peer that had already applied this edit; nothing changed.
     Known {
         /// Name of the service.
         service: ServiceName,
         /// Offset of the record.
         offset: Offset,
     },
-    /// A snapshot gave the state; the records after it follow.
+    /// The state was loaded from a snapshot; the records after the snapshot follow.
     SnapshotTaken {
-        /// Offset of the last record that it contains.
+        /// Offset of the last record that the snapshot contains.
         at: Offset,
     },
-    /// A snapshot told nothing new.
+    /// A snapshot held nothing new.
     SnapshotIgnored {
-        /// Offset of the last record that it contains.
+        /// Offset of the last record that the snapshot contains.
         at: Offset,
-        /// Services for which it says something else than this fold had at `at`. There are none
-        /// unless the log was written anew or an entry has a fault.
+        /// Services whose state in the snapshot differs from the state of this fold at `at`. Empty
+        /// unless the log was rewritten or an entry has a bug.
         contradicts: Vec<ServiceName>,
     },
 }
@@ -78,13 +78,16 @@
                 edit_id,
                 refusal,
             } => write!(f, "refused {edit_id} of {service}: {refusal}"),
-            Self::Repeated { service, first } => write!(f, "sent again: {service}: {first}"),
+            Self::Repeated { service, first } => write!(f, "re-sent: {service}: {first}"),
             Self::Known { service, offset } => {
-                write!(f, "record {offset} of {service} was in a peer's state")
+                write!(
+                    f,
+                    "record {offset} of {service} was already in a peer's state"
+                )
             }
-            Self::SnapshotTaken { at } => write!(f, "took the snapshot at {at}"),
+            Self::SnapshotTaken { at } => write!(f, "loaded the snapshot at {at}"),
             Self::SnapshotIgnored { at, contradicts } => {
-                write!(f, "passed over the snapshot at {at}")?;
+                write!(f, "skipped the snapshot at {at}")?;
                 if contradicts.is_empty() {
                     return Ok(());
                 }
--- a/crates/fold/src/codec.rs
+++ b/crates/fold/src/codec.rs
@@ -1,4 +1,4 @@
-//! Records as they stand in the log: the record's JSON with the field `format`.
+//! Encoding of records in the log: the record's JSON with the field `format` added.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -6,29 +6,29 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use wagtailreel_core::{ConfigRecord, OrderRecord, RECORD_FORMAT};
 
-/// Largest record that the log takes, in bytes.
+/// Maximum length of a record that the log accepts, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 const FORMAT: &str = "format";
 
-/// A record that must not be appended.
+/// Why a record must not be appended.
 #[derive(Debug, Snafu)]
 pub enum EncodeError {
     /// The record has no JSON form.
     #[snafu(display("the record can't be written as JSON ({source}): check its numbers"))]
     Json {
-        /// What the JSON library says.
+        /// Error of the JSON library.
         source: serde_json::Error,
     },
-    /// Every fold would stop at the record.
-    #[snafu(display("the record would not be read back as it is ({why}): check its numbers"))]
+    /// Decoding the encoded record fails or gives another record. Every fold would stop at it.
+    #[snafu(display("the record does not decode to the same record ({why}): check its numbers"))]
     NotReadBack {
-        /// What differs.
+        /// What fails or differs.
         why: String,
     },
-    /// The record is longer than the log takes.
+    /// The record is longer than the log accepts.
     #[snafu(display(
-        "the record has {length} bytes, the log takes {MAX_RECORD_BYTES}: put less into it"
+        "the record has {length} bytes, the log accepts {MAX_RECORD_BYTES}: shorten the record"
     ))]
     TooLong {
         /// Length in bytes.
@@ -39,29 +39,29 @@
 /// Why a record can't be read.
 #[derive(Debug, Snafu)]
 pub(crate) enum DecodeError {
-    #[snafu(display("it carries no format number"))]
+    #[snafu(display("it has no format number"))]
     NoFormat,
-    #[snafu(display("its format is {format}, known is {RECORD_FORMAT}"))]
+    #[snafu(display("its format is {format}, but only {RECORD_FORMAT} is supported"))]
     Format { format: u64 },
     #[snafu(display("{source}"))]
     Content { source: serde_json::Error },
 }
 
-/// Writes a record of the stream `config` as it stands in the log.
+/// Encodes a record of the stream `config` for the log.
 ///
 /// # Errors
 ///
-/// Returns an [`EncodeError`] if the record is too long or would not be read back as it is: such
-/// a record would stop every fold for good.
+/// Returns an [`EncodeError`] if the record is too long or does not decode to itself: such a record
+/// would stop every fold permanently.
 pub fn encode_config(record: &ConfigRecord) -> Result<Vec<u8>, EncodeError> {
     encode(record)
 }
 
-/// Writes a record of the stream `orders` as it stands in the log.
+/// Encodes a record of the stream `orders` for the log.
 ///
 /// # Errors
 ///
-/// As [`encode_config`].
+/// Returns an [`EncodeError`] in the same cases as [`encode_config`].
 pub fn encode_orders(record: &OrderRecord) -> Result<Vec<u8>, EncodeError> {
     encode(record)
 }
@@ -82,7 +82,7 @@
     Ok(buf)
 }
 
-/// Reads `buf` as every fold will, and compares.
+/// Checks that `buf` decodes, as in every fold, to the record that was encoded.
 fn check_round_trip<T>(buf: &[u8], plain: &Value) -> Result<(), EncodeError>
 where
     T: Serialize + DeserializeOwned,
@@ -93,12 +93,12 @@
         Err(e) => return NotReadBackSnafu { why: e.to_string() }.fail(),
     };
     let again = serde_json::to_value(&record).context(JsonSnafu)?;
-    let why = "a value changes on the way";
+    let why = "a value changes in the encoding";
     ensure!(again == *plain, NotReadBackSnafu { why });
     Ok(())
 }
 
-/// Reads a record out of the log.
+/// Decodes a record of the log.
 pub(crate) fn decode<T>(data: &Value) -> Result<T, DecodeError>
 where
     T: DeserializeOwned,
--- a/crates/fold/src/config.rs
+++ b/crates/fold/src/config.rs
@@ -16,8 +16,9 @@
 
 /// The configuration, from the records of the stream `config`.
 ///
-/// Invariant: each service is as the whole log up to some offset makes it, and that offset is at
-/// least both [`ConfigFold::offset`] and the service's revision. Each change only raises it.
+/// Invariant: the state of each service is the result of the whole log up to some offset, which is
+/// at least [`ConfigFold::offset`] and at least the service's revision. Changes only raise that
+/// offset.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFold {
     view: StateView,
@@ -33,15 +34,15 @@
         Self::default()
     }
 
-    /// Applies the record `data` that the log keeps at `offset` since `at`.
+    /// Applies the record `data`, which was appended to the log at `offset` at the time `at`.
     ///
-    /// A record that was applied before is passed over. While the fold waits for a snapshot, the
-    /// record is held; the snapshot then answers for all of them.
+    /// A record that was applied before is ignored. While the fold waits for a snapshot, records are
+    /// buffered; the call that ends the wait returns the effects of all of them.
     ///
     /// # Errors
     ///
-    /// Returns a [`FoldStop`] if the record is not the next one or can't be read, and the same
-    /// one for every record after that.
+    /// Returns a [`FoldStop`] if the record is not the next one or can't be read. All later calls
+    /// return the same stop.
     pub fn apply(
         &mut self,
         offset: Offset,
@@ -55,33 +56,34 @@
 
     /// Checks the end of the log.
     ///
-    /// `reached` is what [`ConfigFold::reached`] said before the log was asked, and `next` the
-    /// offset that the log then gave for its next append. What was reached since proves nothing,
-    /// as it may have come from a peer.
+    /// `reached` is the value of [`ConfigFold::reached`] before the log was queried, and `next` the
+    /// offset that the log then returned for its next append. A value read after the query proves
+    /// nothing, because the state may have come from a peer in between.
     ///
     /// # Errors
     ///
-    /// Returns [`FoldStop::Shorter`] if the log ends before `reached`, or the stop that was there
-    /// before.
+    /// Returns [`FoldStop::Shorter`] if the log ends before `reached`, or the earlier stop if the fold
+    /// has already stopped.
     pub fn check_head(&mut self, reached: Offset, next: Offset) -> Result<(), FoldStop> {
         self.cursor.check_head(reached, next)
     }
 
-    /// Starts over from the oldest record that the log keeps, because it has lapsed the next one.
+    /// Continues from `first`, the oldest record that the log keeps, after the log has dropped the
+    /// next one.
     ///
-    /// The fold goes on giving out its state, but changes nothing until a snapshot or a peer
-    /// fills the gap. Does nothing if nothing that the fold needs has lapsed.
+    /// The fold keeps serving its state unchanged until a snapshot or a peer fills the gap. Does
+    /// nothing if the log still has all records that the fold needs.
     pub fn start_from(&mut self, first: Offset) {
         if first > self.next() {
             self.search = Some(SnapshotSearch::new(first));
         }
     }
 
-    /// Takes the whole state of a peer that folds the same log: for each service the higher
+    /// Merges the whole state of a peer that folds the same log: for each service the higher
     /// revision, and the higher offset.
     ///
-    /// Returns what the records did that were held for it. A stopped fold takes nothing, because
-    /// what a peer has read since need not belong on top of it.
+    /// Returns the effects of buffered records that could be applied. A stopped fold merges nothing,
+    /// because the records that the peer has read since may not belong on top of its state.
     pub fn restore(&mut self, view: &StateView) -> Vec<Applied> {
         if self.stop().is_some() {
             return Vec::new();
@@ -90,10 +92,11 @@
         self.end_scan()
     }
 
-    /// Takes one service's state of an agent if its revision is higher. Says whether it was.
+    /// Merges the state of one service, as an agent has it, if its revision is higher. Returns whether
+    /// the state changed.
     ///
-    /// The offset stays, because an agent knows its own service only: records up to that revision
-    /// are still read for the other services and passed over for this one.
+    /// The offset is unchanged, because an agent knows only its own service: records up to that
+    /// revision are still applied to the other services and ignored for this one.
     pub fn merge_service(&mut self, state: &ServiceState) -> bool {
         let known = self.view.services.get(&state.service);
         let newer = known.is_none_or(|ours| ours.revision < state.revision);
@@ -115,8 +118,8 @@
         self.view.offset
     }
 
-    /// Returns the highest offset that any part of the state stands for: above
-    /// [`ConfigFold::offset`] if an agent knew more of its service.
+    /// Returns the highest offset that is reflected in any part of the state. It is above
+    /// [`ConfigFold::offset`] if an agent had a newer revision of its service.
     pub fn reached(&self) -> Offset {
         let revisions = self.view.services.values().map(|state| state.revision);
         revisions.fold(self.view.offset, Offset::max)
@@ -128,14 +131,14 @@
         self.search.as_ref().map_or(next, SnapshotSearch::next)
     }
 
-    /// Returns the offset to read first when the log is back after an outage: the last record
-    /// applied once more, so that a log that was written anew is noticed.
+    /// Returns the offset to read first after an outage of the log: the last record again, so that a
+    /// rewritten log is detected.
     pub fn resume_from(&self) -> Offset {
         self.cursor.resume_from(self.next())
     }
 
-    /// Says whether the state has no hole before the records that are read: `false` while a
-    /// snapshot is awaited.
+    /// Returns whether no records are missing between the state and the next record. It is `false`
+    /// while the fold waits for a snapshot.
     pub fn is_ready(&self) -> bool {
         self.search.is_none()
     }
@@ -145,10 +148,10 @@
         self.cursor.stop()
     }
 
-    /// Returns what became of the edit `edit_id` of `service`, if the fold has read it.
+    /// Returns the result of the edit `edit_id` of `service`, if the fold has read it.
     ///
-    /// None does not say that the edit was refused: a state from a peer leaves out the edits that
-    /// led to it. Sending the edit again is harmless and gives an answer.
+    /// `None` does not mean that the edit was refused: a state from a peer does not include the edits
+    /// that led to it. Sending the edit again is harmless and yields a result.
     pub fn edit_result(&self, service: &str, edit_id: &str) -> Option<&EditResult> {
         self.edits.find(service, edit_id)
     }
@@ -158,22 +161,22 @@
         self.edits.history(service)
     }
 
-    /// Checks whether an edit may be appended: one that this state already refuses may not.
-    /// Look for its [`ConfigFold::edit_result`] first, in case it is sent again.
+    /// Checks that this state does not refuse an edit, before the edit is appended. Check
+    /// [`ConfigFold::edit_result`] first, in case the edit is a re-send.
     ///
-    /// An edit that is based on a revision which no fold has reached must never be appended. It
-    /// is refused when first read, but the same edit sent again later could fit by chance.
+    /// An edit based on a revision that no fold has reached must never be appended. Such an edit is
+    /// refused when it is first read, but a later re-send could be accepted by coincidence.
     ///
     /// # Errors
     ///
-    /// Returns the refusal. [`RefusalReason::BaseAhead`] may only mean that this fold is behind.
+    /// Returns the refusal. [`RefusalReason::BaseAhead`] may mean only that this fold is behind the log.
     pub fn check_edit(&self, service: &str, team: &str, base: Offset) -> Result<(), Refusal> {
         let current = self.view.services.get(service);
         check_base(current, team, base).map_err(|reason| self.refusal(service, base, reason))
     }
 
-    /// Returns the state as a record, unless the fold has stopped, waits for a snapshot itself or
-    /// has applied nothing.
+    /// Returns the state as a snapshot record. Returns `None` if the fold has stopped, waits for a
+    /// snapshot or has applied nothing.
     pub fn snapshot(&self) -> Option<ConfigRecord> {
         if self.stop().is_some() || !self.is_ready() || self.view.offset == 0 {
             return None;
@@ -189,15 +192,16 @@
         })
     }
 
-    /// Takes that this process has appended a snapshot at `offset`; none is due until it is read.
+    /// Records that this process has appended a snapshot at `offset`. No snapshot is due until the fold
+    /// has read it.
     pub fn note_snapshot(&mut self, offset: Offset) {
         self.snapshots.record_appended(offset);
     }
 
-    /// Says whether a snapshot is due at `now`, given the ends of the log.
+    /// Returns whether a snapshot is due at `now`, given the bounds of the log.
     ///
-    /// None is due while the fold is behind the log: a newer one may be among what it has not
-    /// read.
+    /// No snapshot is due while the fold is behind the log, because the unread records may contain a
+    /// newer one.
     pub fn snapshot_due(&mut self, head: LogHead, now: SystemTime, rule: SnapshotRule) -> bool {
         let behind = self.next() < head.next;
         if behind || self.stop().is_some() || !self.is_ready() || self.view.offset == 0 {
@@ -224,7 +228,7 @@
         Ok(vec![self.apply_record(incoming)])
     }
 
-    /// Holds a record, and ends the search if it is a snapshot that the held records join on to.
+    /// Buffers a record, and ends the search if it is a snapshot that connects to the buffered records.
     fn buffer_record(&mut self, incoming: Incoming) -> Vec<Applied> {
         let taken = self.take_snapshot(&incoming);
         if let Some(search) = &mut self.search {
@@ -235,7 +239,7 @@
         applied
     }
 
-    /// Takes the state of a snapshot if the search can end with it.
+    /// Merges the state of a snapshot if the snapshot can end the search.
     fn take_snapshot(&mut self, incoming: &Incoming) -> Option<Applied> {
         let ConfigRecord::Snapshot { at, state } = &incoming.record else {
             return None;
@@ -254,7 +258,7 @@
         Some(Applied::SnapshotTaken { at: *at })
     }
 
-    /// Ends the search if the state reaches up to the records held, and applies these.
+    /// Ends the search if the state connects to the buffered records, and applies these.
     fn end_scan(&mut self) -> Vec<Applied> {
         let offset = self.view.offset;
         let Some(search) = self.search.take_if(|search| search.connects_to(offset)) else {
@@ -265,7 +269,7 @@
         later.map(|incoming| self.apply_record(incoming)).collect()
     }
 
-    /// Applies the record after the last one applied.
+    /// Applies the next record.
     fn apply_record(&mut self, incoming: Incoming) -> Applied {
         let offset = incoming.offset;
         self.view.offset = offset;
@@ -373,7 +377,7 @@
         Refusal { reason, winner }
     }
 
-    /// Passes over a snapshot: all that it says has been applied.
+    /// Skips a snapshot, because the fold has already applied all records that the snapshot contains.
     fn skip_snapshot(
         &mut self,
         offset: Offset,
@@ -381,7 +385,7 @@
         at: Offset,
         state: Value,
     ) -> Applied {
-        // One that claims to know the future is of no use to anyone, so another is needed.
+        // A snapshot that claims to contain records after itself is unusable and does not count.
         if at < offset {
             self.snapshots.record_read(at, time);
         }
@@ -395,7 +399,7 @@
     Verdict::Accepted { revision, epoch }
 }
 
-/// Reads a record, the state in a snapshot included, so that all folds stop at the same one.
+/// Decodes a record, including the state of a snapshot, so that all folds stop at the same record.
 fn read(offset: Offset, at: SystemTime, data: &Value) -> Result<Incoming, FoldStop> {
     let record: ConfigRecord = match decode(data) {
         Ok(record) => record,
--- a/crates/fold/src/cursor.rs
+++ b/crates/fold/src/cursor.rs
@@ -1,4 +1,4 @@
-//! Where a fold stands in its stream, and whether it may go on.
+//! Position of a fold in its stream, and whether the fold has stopped.
 
 use serde_json::Value;
 use wagtailreel_core::{Digest, Offset};
@@ -13,7 +13,7 @@
 }
 
 impl Cursor {
-    /// Returns the stop that was there before.
+    /// Returns an error if the fold has stopped.
     pub(crate) fn check_running(&self) -> Result<(), FoldStop> {
         self.stop.clone().map_or(Ok(()), Err)
     }
@@ -23,7 +23,7 @@
         self.stop.as_ref()
     }
 
-    /// Keeps the stop that `result` is, so that the fold stays stopped.
+    /// Records the stop if `result` is one, so that the fold stays stopped.
     pub(crate) fn record_stop<T>(&mut self, result: Result<T, FoldStop>) -> Result<T, FoldStop> {
         if let Err(stop) = &result {
             self.stop = Some(stop.clone());
@@ -31,7 +31,7 @@
         result
     }
 
-    /// Checks that the log, whose next append gets `next`, reaches up to `applied`.
+    /// Checks that the log, whose next append gets the offset `next`, contains the record at `applied`.
     pub(crate) fn check_head(&mut self, applied: Offset, next: Offset) -> Result<(), FoldStop> {
         self.check_running()?;
         let checked = if next <= applied {
@@ -42,7 +42,7 @@
         self.record_stop(checked)
     }
 
-    /// Says whether the record at `offset` is the one expected; `false` for one read before.
+    /// Returns whether the record at `offset` is the one expected next; `false` if it was read before.
     pub(crate) fn check_offset(
         &self,
         expected: Offset,
@@ -60,13 +60,13 @@
         Ok(offset == expected)
     }
 
-    /// Notes the record that was read last.
+    /// Records the record that was read last.
     pub(crate) fn advance(&mut self, offset: Offset, digest: Digest) {
         self.last = Some((offset, digest));
     }
 
-    /// Returns the offset to read first after an outage, if `expected` comes next: the last
-    /// record once more if there is one, so that a log that was written anew is noticed.
+    /// Returns the offset to read first after an outage, if `expected` comes next: the last record
+    /// again if there is one, so that a rewritten log is detected.
     pub(crate) fn resume_from(&self, expected: Offset) -> Offset {
         let last = self.last.map(|(offset, _)| offset);
         last.filter(|offset| offset + 1 == expected)
--- a/crates/fold/src/edits.rs
+++ b/crates/fold/src/edits.rs
@@ -1,4 +1,4 @@
-//! What became of the latest edits of each service.
+//! Results of the latest edits of each service.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,17 +8,17 @@
 
 use crate::rules::Refusal;
 
-/// Edits that are remembered for each service.
+/// Maximum number of edits that are kept for each service.
 const MAX_KEPT_EDITS: usize = 256;
 
-/// Edits of each service that a snapshot carries on, so that it stays far below the longest
-/// record that the log takes.
+/// Maximum number of edits of each service in a snapshot, so that a snapshot stays far below the
+/// maximum length of a record.
 const MAX_SNAPSHOT_EDITS: usize = 8;
 
-/// Edits that a history lists.
+/// Maximum number of edits that a history lists.
 const MAX_LISTED_EDITS: usize = 64;
 
-/// What the fold decided about an edit.
+/// Decision of the fold about an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "kebab-case")]
 pub enum Verdict {
@@ -33,12 +33,12 @@
     /// The edit changed nothing.
     #[display("refused: {refusal}")]
     Refused {
-        /// Why, and what stands instead.
+        /// The reason, and the accepted edit that is in its place.
         refusal: Refusal,
     },
 }
 
-/// One edit and what became of it.
+/// One edit and its result.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[display("{edit_id} was {verdict}")]
 pub struct EditResult {
@@ -50,16 +50,16 @@
     pub team: TeamName,
     /// The revision that the operator edited.
     pub base: Offset,
-    /// Digest of the edit, which tells a re-send from another edit under the same id.
+    /// Digest of the edit, which distinguishes a re-send from another edit with the same id.
     pub digest: Digest,
-    /// What was decided.
+    /// The decision.
     pub verdict: Verdict,
 }
 
 /// The latest edits of each service, oldest first.
 ///
-/// This is for answers to operators only. The state never depends on it, because two folds need
-/// not remember the same edits.
+/// The history only serves answers to operators. The state never depends on it, because two folds
+/// may keep different edits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct EditHistory {
@@ -67,7 +67,7 @@
 }
 
 impl EditHistory {
-    /// Remembers `result`, which is newer than all others of `service`.
+    /// Adds `result`, which is newer than all others of `service`.
     pub(crate) fn push(&mut self, service: &str, result: EditResult) {
         let edits = self.services.entry(service.to_owned()).or_default();
         edits.push_back(result);
@@ -82,7 +82,7 @@
             .find(|result| result.edit_id == edit_id)
     }
 
-    /// Returns the first edit that a record with `edit_id` and `digest` is a re-send of.
+    /// Returns the edit of which a record with `edit_id` and `digest` is a re-send.
     pub(crate) fn find_same(
         &self,
         service: &str,
@@ -102,8 +102,8 @@
             .map(|result| &result.edit_id)
     }
 
-    /// Says whether the edit is known that was accepted on top of `base`. There is one at most, so
-    /// any other edit on that base is sure to have been refused.
+    /// Returns whether the history holds the edit that was accepted on `base`. There is at most one,
+    /// so every other edit on that base must have been refused.
     pub(crate) fn has_successor(&self, service: &str, base: Offset) -> bool {
         self.newest_first(service)
             .any(|result| result.base == base && matches!(result.verdict, Verdict::Accepted { .. }))
@@ -117,7 +117,7 @@
             .collect()
     }
 
-    /// Returns what a snapshot carries on.
+    /// Returns the edits that go into a snapshot.
     pub(crate) fn for_snapshot(&self) -> Self {
         let newest = |edits: &VecDeque<EditResult>| {
             let skipped = edits.len().saturating_sub(MAX_SNAPSHOT_EDITS);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Adds the edits of `other` that are not here, in the order of their offsets.
+    /// Adds the edits of `other` that this history lacks, in the order of their offsets.
     pub(crate) fn merge(&mut self, other: Self) {
         for (service, theirs) in other.services {
             let ours = self.services.entry(service).or_default();
--- a/crates/fold/src/keys.rs
+++ b/crates/fold/src/keys.rs
@@ -5,43 +5,43 @@
 use serde::Serialize;
 use snafu::{OptionExt, Snafu, ensure};
 
-/// How far a key may lie ahead of the clock that it is held against.
+/// Maximum time by which a key may lie ahead of the clock that checks it.
 ///
-/// All folds have to go by the same, or one could pass over a claim that counts for another. A
-/// change needs a new record format.
+/// All folds must use the same value; otherwise one fold could ignore a claim that another accepts.
+/// A change needs a new record format.
 pub const MAX_KEY_SKEW: Duration = Duration::from_secs(60);
 
-/// Most characters of a key's text.
+/// Maximum number of characters of a key's text.
 pub const MAX_KEY_TEXT: usize = 64;
 
-/// Most digits of a key's seconds.
+/// Maximum number of digits of a key's seconds.
 const MAX_DIGITS: usize = 12;
 
-/// Why a key is not honoured.
+/// Why a key is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Snafu)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyProblem {
-    /// The key is not of the form that is asked for.
+    /// The key does not have the required form.
     #[snafu(display(
         "the key is malformed: write <unix seconds>.<1 to 64 letters, digits, `-` or `_`>"
     ))]
     Malformed,
-    /// The key is older than keys are honoured.
+    /// The key is older than the window in which keys are accepted.
     #[snafu(display(
         "the key has expired: make sure that the order did not run, then take a new one"
     ))]
     Expired,
     /// The key lies in the future.
-    #[snafu(display("the key lies in the future: set the clock that makes the keys"))]
+    #[snafu(display("the key lies in the future: correct the clock that makes the keys"))]
     FromFuture,
-    /// The key may have been claimed in records that this fold has not seen.
+    /// The key may have been claimed in records that the log dropped before this fold read them.
     #[snafu(display(
         "the key is older than the claims that this entry knows of: send it to another entry"
     ))]
     Unseen,
 }
 
-/// A key, in the order of its seconds.
+/// A parsed key, ordered by its seconds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Key {
     pub(crate) seconds: u64,
@@ -49,10 +49,10 @@
 }
 
 impl Key {
-    /// Reads a key.
+    /// Parses a key.
     pub(crate) fn parse(key: &str) -> Result<Self, KeyProblem> {
         let (seconds, text) = key.split_once('.').context(MalformedSnafu)?;
-        // One spelling for one key: no sign and no leading zero.
+        // No sign and no leading zero, so that a key has only one spelling.
         let digits = seconds.bytes().all(|b| b.is_ascii_digit()) && !seconds.starts_with('0');
         ensure!(digits && seconds.len() <= MAX_DIGITS, MalformedSnafu);
         let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
@@ -75,20 +75,20 @@
     }
 }
 
-/// Checks a key at `now` before it is claimed. `window` is how long keys are honoured.
+/// Checks a key at `now` before it is claimed. `window` is the time for which keys are accepted.
 ///
-/// This spares the log a claim that would be void. What decides is the same check in
-/// [`OrderFold`](crate::OrderFold), against the time of the claim's own record: a claim may be
-/// checked here and reach the log much later.
+/// This check avoids appending a claim that would be void. The same check in
+/// [`OrderFold`](crate::OrderFold), against the time of the claim's record, is the one that decides:
+/// a claim may reach the log long after this check.
 ///
 /// # Errors
 ///
-/// Returns the [`KeyProblem`].
+/// Returns a [`KeyProblem`] if the key is malformed, expired or too far in the future.
 pub fn check_key(key: &str, now: SystemTime, window: Duration) -> Result<(), KeyProblem> {
     Key::parse(key)?.check_age(now, window)
 }
 
-/// Returns the whole seconds since 1970.
+/// Returns the whole seconds since the Unix epoch; 0 for an earlier time.
 pub(crate) fn unix_seconds(time: SystemTime) -> u64 {
     time.duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/fold/src/lib.rs
+++ b/crates/fold/src/lib.rs
@@ -1,13 +1,13 @@
 //! The fold of the platform's log: configuration and order claims, without I/O.
 //!
-//! Two streams of the log carry all that the system agrees on. [`ConfigFold`] turns the records of
+//! Two streams of the log hold all state that the system agrees on. [`ConfigFold`] turns the records of
 //! `config` into the state of every service; [`OrderFold`] turns the records of `orders` into the
-//! holders of keys that run at most once. Both are plain values: the caller reads the log, hands
-//! in each record with its offset and time, and acts on what it gets back.
+//! holders of the keys of orders that run at most once. Both are plain values: the caller reads the
+//! log, passes in each record with its offset and time, and acts on the result.
 //!
-//! What a record does to a service depends only on that service's state and the record. All folds
-//! that reach the same offset therefore hold the same state, whether they read every record, took
-//! a snapshot, or took the state of a peer.
+//! The effect of a record on a service depends only on the state of that service and the record.
+//! All folds that reach the same offset therefore hold the same state, whether they read every
+//! record, started from a snapshot, or merged the state of a peer.
 
 mod applied;
 mod codec;
--- a/crates/fold/src/order_applied.rs
+++ b/crates/fold/src/order_applied.rs
@@ -1,4 +1,4 @@
-//! What a record of the stream `orders` did.
+//! Effects of records of the stream `orders`.
 
 use std::fmt;
 
@@ -8,27 +8,27 @@
 use crate::keys::KeyProblem;
 use crate::releases::Claimant;
 
-/// What a claim or a release did. Its text names the order's key, so it does not go into logs.
+/// Effect of a claim or a release. The text contains the order's key, so it must not go into logs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "applied", rename_all = "kebab-case")]
 pub enum OrderApplied {
-    /// The claimant holds the key and may dispatch the order, once.
+    /// The claimant holds the key and may dispatch the order once.
     Won {
         /// Service that the order is for.
         service: ServiceName,
         /// Key of the order.
         key: OrderKey,
-        /// Who holds it.
+        /// Holder of the key.
         claimant: Claimant,
     },
-    /// The claimant's claim was appended twice; it held the key before. This permits nothing: the
-    /// order may have been dispatched since.
+    /// The claim was appended twice, and the claimant already holds the key. This is no permission to
+    /// dispatch the order, because the order may have been dispatched since the first claim.
     Repeated {
         /// Service that the order is for.
         service: ServiceName,
         /// Key of the order.
         key: OrderKey,
-        /// Who holds it.
+        /// Holder of the key.
         claimant: Claimant,
     },
     /// Another claimant holds the key.
@@ -37,29 +37,29 @@
         service: ServiceName,
         /// Key of the order.
         key: OrderKey,
-        /// Who claimed in vain.
+        /// Claimant that does not get the key.
         claimant: Claimant,
-        /// Who holds it.
+        /// Holder of the key.
         holder: Claimant,
     },
-    /// The claim is void, because the key is not honoured.
+    /// The claim is void because the key is not accepted.
     Void {
         /// Service that the order is for.
         service: ServiceName,
         /// Key of the order.
         key: OrderKey,
-        /// Who claimed in vain.
+        /// Claimant that does not get the key.
         claimant: Claimant,
-        /// Why the key is not honoured.
+        /// Why the key is not accepted.
         problem: KeyProblem,
     },
-    /// The claim is void, because the claimant gave it up before it reached the log.
+    /// The claim is void because the claimant released it before the claim reached the log.
     GivenUp {
         /// Service that the order is for.
         service: ServiceName,
         /// Key of the order.
         key: OrderKey,
-        /// Who claimed in vain.
+        /// Claimant that does not get the key.
         claimant: Claimant,
     },
     /// The key can be claimed again.
@@ -68,12 +68,12 @@
         service: ServiceName,
         /// Key of the order.
         key: OrderKey,
-        /// Who held it.
+        /// Claimant that held the key.
         claimant: Claimant,
     },
-    /// The claimant held nothing.
+    /// A release had no effect because the claimant held no key.
     ReleaseIgnored {
-        /// Who gave up.
+        /// Claimant that sent the release.
         claimant: Claimant,
     },
 }
@@ -96,7 +96,7 @@
                 ..
             } => write!(f, "{claimant} void, {key}: {problem}"),
             Self::GivenUp { key, claimant, .. } => {
-                write!(f, "{claimant} void, {key}: was given up")
+                write!(f, "{claimant} void, {key}: was released before")
             }
             Self::Released { key, claimant, .. } => write!(f, "{claimant} released {key}"),
             Self::ReleaseIgnored { claimant } => write!(f, "{claimant} held nothing"),
--- a/crates/fold/src/orders.rs
+++ b/crates/fold/src/orders.rs
@@ -1,4 +1,4 @@
-//! The fold of the stream `orders`: who may run an order that runs at most once.
+//! The fold of the stream `orders`: decides which request may run an order that runs at most once.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -14,24 +14,25 @@
 use crate::releases::{Claimant, Releases};
 use crate::stop::{FoldStop, UnknownFormatSnafu};
 
-/// How many windows claims are remembered for. The second is a reserve: one would do.
+/// Number of windows for which claims are kept. One window is sufficient; the second is a safety margin.
 const RETENTION_WINDOWS: u32 = 2;
 
-/// How far the log's clock may step back. More could hide claims from a fold that starts later.
+/// Maximum step back of the log's clock. A larger step could hide claims from a fold that starts later.
 const MAX_CLOCK_STEP_BACK: Duration = Duration::from_secs(60);
 
-/// Who holds a key.
+/// Claim that holds a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ClaimView<'a> {
-    /// The one request that may run the order.
+    /// The only request that may run the order.
     pub request: &'a RequestId,
     /// Entry that made the claim.
     pub holder: &'a VmId,
-    /// Start of the entry that made it.
+    /// Incarnation of the entry that made the claim.
     pub incarnation: Incarnation,
     /// Offset of the claim's record.
     pub offset: Offset,
-    /// The holder never dispatched the order; the key can be claimed again.
+    /// Whether the holder released the claim without dispatching the order. The key can then be
+    /// claimed again.
     pub released: bool,
 }
 
@@ -42,28 +43,28 @@
     released: bool,
 }
 
-/// What the fold has not seen of the stream.
+/// Records of the stream that the log dropped before the fold could read them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Unseen {
-    /// Nothing: it read from the first record on.
+    /// None: the fold has read the stream from the first record on.
     Nothing,
-    /// Records lapsed, all of them older than the one that is read next.
+    /// Records were dropped, all of them older than the next record to read.
     BeforeNext,
-    /// Records lapsed that may hold claims on keys up to these seconds.
+    /// Records were dropped that may contain claims on keys up to these Unix seconds.
     KeysUpTo(u64),
 }
 
-/// Who holds which key, from the records of the stream `orders`.
+/// Holders of keys, from the records of the stream `orders`.
 ///
-/// Invariant: a key once won is never won by another claimant, unless its holder itself released
-/// it. While a claim is remembered it is in the way of every other. It is forgotten when the log's
-/// time has passed the key's own seconds by two windows, and a claim is void when the log's time
-/// has passed them by one. The log's time never goes back, so a forgotten key can't be won again.
+/// Invariant: a key that was won is never won by another claimant, unless its holder released it. A
+/// claim that is kept blocks every other claim on its key. It is removed when the log's time has
+/// passed the seconds of the key by two windows, and a new claim is void when the log's time has
+/// passed them by one. The log's time never goes back, so a removed key can't be won again.
 #[derive(Clone, Debug)]
 pub struct OrderFold {
     window: Duration,
     applied: Offset,
-    /// Latest time of a record so far. A record that says an earlier time counts as this one.
+    /// Latest time of a record so far. A record with an earlier time is treated as having this time.
     time: SystemTime,
     claims: BTreeMap<ServiceName, BTreeMap<Key, Claim>>,
     held: BTreeMap<Claimant, (ServiceName, Key)>,
@@ -73,10 +74,10 @@
 }
 
 impl OrderFold {
-    /// Makes a fold that has applied nothing. `window` is how long keys are honoured.
+    /// Makes a fold that has applied nothing. `window` is the time for which keys are accepted.
     ///
-    /// Entries with different windows are safe together: each goes by its own for what it
-    /// dispatches, and a key that is void for one when first claimed stays void for it.
+    /// Entries may use different windows safely: each entry uses its own window for the orders that
+    /// it dispatches, and a key that is void for an entry at the first claim stays void for it.
     pub fn new(window: Duration) -> Self {
         Self {
             window,
@@ -90,14 +91,14 @@
         }
     }
 
-    /// Applies the record `data` that the log keeps at `offset` since `at`.
+    /// Applies the record `data`, which was appended to the log at `offset` at the time `at`.
     ///
-    /// A record that was applied before is passed over.
+    /// A record that was applied before is ignored.
     ///
     /// # Errors
     ///
-    /// Returns a [`FoldStop`] if the record is not the next one or can't be read, and the same
-    /// one for every record after that.
+    /// Returns a [`FoldStop`] if the record is not the next one or can't be read. All later calls
+    /// return the same stop.
     pub fn apply(
         &mut self,
         offset: Offset,
@@ -109,20 +110,22 @@
         self.cursor.record_stop(applied)
     }
 
-    /// Checks the end of the log, as [`ConfigFold::check_head`](crate::ConfigFold::check_head).
+    /// Checks the end of the log, like [`ConfigFold::check_head`](crate::ConfigFold::check_head).
     ///
     /// # Errors
     ///
-    /// Returns [`FoldStop::Shorter`] if the log ends before `applied`, or the stop that was there
-    /// before.
+    /// Returns [`FoldStop::Shorter`] if the log ends before `applied`, or the earlier stop if the fold
+    /// has already stopped.
     pub fn check_head(&mut self, applied: Offset, next: Offset) -> Result<(), FoldStop> {
         self.cursor.check_head(applied, next)
     }
 
-    /// Starts over from the oldest record that the log keeps, because it has lapsed the next one.
+    /// Continues from `first`, the oldest record that the log keeps, after the log has dropped the
+    /// next one.
     ///
-    /// Keys that may have been claimed in what lapsed are void for this fold from then on. No
-    /// honoured key is among them as long as the log keeps records longer than the window.
+    /// Keys that may have been claimed in the dropped records are void for this fold from then on.
+    /// No key within the window is among them as long as the log keeps records longer than the
+    /// window.
     pub fn start_from(&mut self, first: Offset) {
         if first > self.next() {
             self.applied = first - 1;
@@ -140,7 +143,7 @@
         self.applied + 1
     }
 
-    /// Returns the offset to read first when the log is back after an outage, as
+    /// Returns the offset to read first after an outage of the log, like
     /// [`ConfigFold::resume_from`](crate::ConfigFold::resume_from).
     pub fn resume_from(&self) -> Offset {
         self.cursor.resume_from(self.next())
@@ -151,7 +154,7 @@
         self.cursor.stop()
     }
 
-    /// Returns who holds `key` of `service`.
+    /// Returns the claim that holds `key` of `service`.
     pub fn holder_of(&self, service: &str, key: &str) -> Option<ClaimView<'_>> {
         let key = Key::parse(key).ok()?;
         let claim = self.claims.get(service)?.get(&key)?;
@@ -164,29 +167,29 @@
         })
     }
 
-    /// Checks at `now` whether it is worth claiming `key`.
+    /// Checks at `now` that a claim on `key` would not be void for this fold.
     ///
     /// # Errors
     ///
-    /// Returns the [`KeyProblem`].
+    /// Returns a [`KeyProblem`] if the claim would be void.
     pub fn check_key(&self, key: &str, now: SystemTime) -> Result<(), KeyProblem> {
         let key = Key::parse(key)?;
         key.check_age(now, self.window)?;
         self.check_seen(&key)
     }
 
-    /// Returns how many claims are remembered.
+    /// Returns the number of claims that are kept.
     pub fn len(&self) -> usize {
         self.claims.values().map(BTreeMap::len).sum()
     }
 
-    /// Says whether no claim is remembered.
+    /// Returns whether no claim is kept.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns about how many bytes the claims and releases take up, without what the allocator
-    /// and the maps add.
+    /// Returns the approximate memory use of the claims and releases in bytes, without the overhead
+    /// of the allocator and the maps.
     pub fn approx_bytes(&self) -> usize {
         let claims = self.claims.values().flatten();
         let claims: usize = claims
@@ -224,12 +227,12 @@
         Ok(self.apply_record(offset, record))
     }
 
-    /// Moves the log's time on and forgets what it has passed.
+    /// Advances the log's time and removes expired claims and releases.
     fn advance(&mut self, at: SystemTime) {
         self.time = self.time.max(at);
         if self.unseen == Unseen::BeforeNext {
-            // What lapsed is older than this record, unless the log's clock stepped back, and a
-            // key lies at most the skew ahead of the record that claims it.
+            // The dropped records are older than this one, unless the log's clock stepped back, and
+            // a key lies at most `MAX_KEY_SKEW` ahead of the record that claims it.
             let ahead = MAX_CLOCK_STEP_BACK + MAX_KEY_SKEW;
             self.unseen = Unseen::KeysUpTo(unix_seconds(self.time) + ahead.as_secs());
         }
@@ -326,7 +329,7 @@
         self.grant(offset, service, key, parsed, claimant)
     }
 
-    /// Gives the free key to the claimant.
+    /// Assigns the free key to the claimant.
     fn grant(
         &mut self,
         offset: Offset,
@@ -351,7 +354,8 @@
                 key,
                 claimant,
             },
-            // For folds that have seen more it may be won. Only this one must not dispatch it.
+            // The claim may have won in folds that read the dropped records, so it is stored; this
+            // entry must not dispatch the order.
             Err(problem) => OrderApplied::Void {
                 service,
                 key,
@@ -362,7 +366,7 @@
     }
 
     fn release(&mut self, claimant: Claimant) -> OrderApplied {
-        // Noted even if it held nothing: a copy of its claim may still be on its way to the log.
+        // Recorded even if the claimant holds no key, because its claim may still reach the log later.
         self.releases.insert(self.time, claimant.clone());
         let Some((service, key)) = self.held.remove(&claimant) else {
             return OrderApplied::ReleaseIgnored { claimant };
@@ -379,8 +383,8 @@
         }
     }
 
-    /// Checks a claim's key against the time of the claim's record. The invariant rests on this
-    /// being the log's time and not the claimant's, which may have been paused in between.
+    /// Checks a claim's key against the time of the claim's record. The invariant requires the log's
+    /// time and not the claimant's, because the claimant may have been suspended in between.
     fn check_claim(&self, key: &str) -> Result<Key, KeyProblem> {
         let key = Key::parse(key)?;
         key.check_age(self.time, self.window)?;
@@ -390,7 +394,7 @@
     fn check_seen(&self, key: &Key) -> Result<(), KeyProblem> {
         match self.unseen {
             Unseen::KeysUpTo(seconds) if key.seconds <= seconds => Err(KeyProblem::Unseen),
-            // Until the first record is read nothing is known of the time of what lapsed.
+            // The time of the dropped records is unknown until the first record is read.
             Unseen::BeforeNext => Err(KeyProblem::Unseen),
             _ => Ok(()),
         }
--- a/crates/fold/src/publication.rs
+++ b/crates/fold/src/publication.rs
@@ -1,25 +1,25 @@
-//! The order in which states of a fold are put in force.
+//! Ordered publication of a fold's states.
 
 use std::sync::{Mutex, PoisonError};
 
-/// Puts states in force in the order in which they were read.
+/// Publishes states in the order in which they are read.
 ///
-/// Prevented failure: two threads read the fold, the second reads and publishes a newer state, and
-/// the first puts its older one in force over it. The configuration reverted until the next change,
-/// and an operator who waited for his edit was told after 5 s that it was not read back.
+/// Without this, two threads can read the fold, the second publishes a newer state, and the first
+/// then replaces it by its older one. The configuration reverts until the next change, and an
+/// operator who waits for an edit gets the answer after 5 s that the edit was not read back.
 #[derive(Debug, Default)]
 pub struct Publication {
     turn: Mutex<()>,
 }
 
 impl Publication {
-    /// Reads a state and puts it in force before anybody else reads one; returns what `put` returns.
+    /// Reads a state and publishes it before any other thread reads one. Returns the result of `put`.
     pub fn publish<T, U, R, P>(&self, read: R, put: P) -> U
     where
         R: FnOnce() -> T,
         P: FnOnce(T) -> U,
     {
-        // A thread that panicked left nothing half done: the next one reads the state anew.
+        // A poisoned lock is safe: the mutex guards no data, and the next thread reads the state again.
         let _turn = self.turn.lock().unwrap_or_else(PoisonError::into_inner);
         put(read())
     }
--- a/crates/fold/src/releases.rs
+++ b/crates/fold/src/releases.rs
@@ -1,4 +1,4 @@
-//! Claims that their holders gave up.
+//! Claims that their holders released.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::{Duration, SystemTime};
@@ -7,26 +7,26 @@
 use serde::Serialize;
 use wagtailreel_core::{Incarnation, RequestId, VmId};
 
-/// Who made a claim. Two are never the same unless one claim was appended twice.
+/// Identity of a claim's maker. Two claims have the same claimant only if one claim was appended twice.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Display, Serialize)]
 #[display("{request} of {holder} (start {incarnation})")]
 pub struct Claimant {
     /// Entry that made the claim.
     pub holder: VmId,
-    /// Start of the entry that made it.
+    /// Incarnation of the entry that made the claim.
     pub incarnation: Incarnation,
-    /// The one request that may run the order.
+    /// The only request that may run the order.
     pub request: RequestId,
 }
 
 impl Claimant {
-    /// Returns about how many bytes it takes up.
+    /// Returns the approximate memory use in bytes.
     pub(crate) fn approx_bytes(&self) -> usize {
         size_of::<Self>() + self.holder.len() + self.request.len()
     }
 }
 
-/// The claimants that gave up, for as long as a late copy of their claims could come.
+/// Claimants that released their claims, kept for as long as a late copy of a claim could arrive.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Releases {
     released: BTreeSet<Claimant>,
@@ -34,19 +34,19 @@
 }
 
 impl Releases {
-    /// Notes that `claimant` gave up at `at`, the time of the record.
+    /// Records that `claimant` released its claim at `at`, the time of the record.
     pub(crate) fn insert(&mut self, at: SystemTime, claimant: Claimant) {
         if self.released.insert(claimant.clone()) {
             self.by_time.push_back((at, claimant));
         }
     }
 
-    /// Says whether `claimant` gave up.
+    /// Returns whether `claimant` released its claim.
     pub(crate) fn contains(&self, claimant: &Claimant) -> bool {
         self.released.contains(claimant)
     }
 
-    /// Forgets what is older than `age` at `now`.
+    /// Removes the releases that are older than `age` at `now`.
     pub(crate) fn prune(&mut self, now: SystemTime, age: Duration) {
         let old = |at: SystemTime| now.duration_since(at).is_ok_and(|passed| passed > age);
         while self.by_time.front().is_some_and(|(at, _)| old(*at)) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns about how many bytes they take up.
+    /// Returns the approximate memory use in bytes.
     pub(crate) fn approx_bytes(&self) -> usize {
         let claimants = self.released.iter().map(Claimant::approx_bytes);
         claimants.sum::<usize>() * 2
--- a/crates/fold/src/rules.rs
+++ b/crates/fold/src/rules.rs
@@ -17,8 +17,8 @@
     /// The edit is based on a revision that the service has not reached.
     #[display("its base is not a revision of the service: read the document again and edit that")]
     BaseAhead,
-    /// The base has been built upon, by an edit that the fold has not read: it may be this one,
-    /// sent before.
+    /// An edit that the fold has not read was accepted on the same base. It may be an earlier
+    /// submission of this edit.
     #[display("it may have been accepted before: read the document again and compare")]
     Unclear,
     /// The service belongs to another team.
@@ -29,7 +29,7 @@
     WrongService,
 }
 
-/// The accepted edit that stands where a refused one wanted to go.
+/// The accepted edit that is in the place of a refused one.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[display("{} of {team} at revision {revision}", edit_id.as_deref().unwrap_or("unknown edit"))]
 pub struct Winner {
@@ -47,15 +47,15 @@
 pub struct Refusal {
     /// Why the edit is refused.
     pub reason: RefusalReason,
-    /// What stands instead; none if the service does not exist.
+    /// The accepted edit; `None` if the service does not exist.
     pub winner: Option<Winner>,
 }
 
 fn winner_suffix(winner: Option<&Winner>) -> String {
-    winner.map_or_else(String::new, |winner| format!(" [stands: {winner}]"))
+    winner.map_or_else(String::new, |winner| format!(" [current: {winner}]"))
 }
 
-/// One edit as the log carries it.
+/// One edit, as recorded in the log.
 #[derive(Clone, Debug)]
 pub(crate) struct Edit {
     pub(crate) edit_id: EditId,
@@ -65,10 +65,10 @@
     pub(crate) service: ServiceName,
 }
 
-/// Decides whether `team` may put something on top of `base`, given the service's state.
+/// Checks whether `team` may edit the service on `base`, given the service's state.
 ///
-/// A deleted service keeps its revision and its team, so an edit of what it was before can't
-/// bring it back, and no other team can take its name.
+/// A deleted service keeps its revision and its team, so an edit of an earlier revision can't
+/// restore it, and no other team can take its name.
 pub(crate) fn check_base(
     current: Option<&ServiceState>,
     team: &str,
@@ -89,9 +89,8 @@
 
 /// Decides an edit at `offset` from the service's state alone.
 ///
-/// The invariant of the whole fold rests on this: nothing else is looked at, such as which edits
-/// are remembered. Two folds that hold the same state of a service decide alike, however they
-/// came by it.
+/// The invariant of the fold depends on this function using nothing else, such as the history of
+/// edits: two folds with the same state of a service decide alike, whatever the source of that state.
 pub(crate) fn decide(
     current: Option<&ServiceState>,
     edit: Edit,
@@ -112,7 +111,7 @@
     })
 }
 
-/// Returns `offset` if `document` changes what is loaded, else the epoch that is.
+/// Returns `offset` if `document` changes what the engine loads, and the current epoch otherwise.
 fn next_epoch(
     current: Option<&ServiceState>,
     document: Option<&Document>,
--- a/crates/fold/src/snapshot.rs
+++ b/crates/fold/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: the state as one record, so that older records may lapse.
+//! Snapshots: the state as one record, so that the log may drop older records.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,7 +7,7 @@
 
 use crate::edits::EditHistory;
 
-/// What a snapshot record carries in `state`.
+/// Content of the field `state` of a snapshot record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct SnapshotState {
@@ -18,10 +18,10 @@
 }
 
 impl SnapshotState {
-    /// Returns the services in which the snapshot as of `at` and `ours` can't both be right.
+    /// Returns the services whose states in the snapshot as of `at` and in `ours` contradict each other.
     ///
-    /// What either side knows of later than `at` says nothing. A service that both have as of
-    /// `at` has to be the same, or they are not of one log.
+    /// A service that either side has at a revision after `at` is not compared. Any other service
+    /// must be equal on both sides; otherwise the two states come from different logs.
     pub(crate) fn contradictions(&self, at: Offset, ours: &StateView) -> Vec<ServiceName> {
         let names = self.view.services.keys();
         let mut all: Vec<ServiceName> = names.chain(ours.services.keys()).cloned().collect();
@@ -42,27 +42,27 @@
 struct SnapshotMark {
     /// The state's offset.
     at: Offset,
-    /// When the record was appended, or when the fold began to wait for one.
+    /// Time of the record, or the time at which the fold began to wait for a snapshot.
     time: SystemTime,
-    /// Whether the fold has read it.
+    /// Whether the fold has read the snapshot.
     is_read: bool,
 }
 
-/// What a fold knows of the snapshots in the log.
+/// Snapshots in the log, as far as a fold knows them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownSnapshots {
     newest: Option<SnapshotMark>,
-    /// Offset of the last one that this process appended.
+    /// Offset of the last snapshot that this process appended.
     last_appended: Option<Offset>,
 }
 
 impl KnownSnapshots {
-    /// Takes that this process appended one at `offset`.
+    /// Records that this process appended a snapshot at `offset`.
     pub(crate) fn record_appended(&mut self, offset: Offset) {
         self.last_appended = Some(offset);
     }
 
-    /// Takes that the log has one as of `at` since `time`.
+    /// Records that the log has held a snapshot as of `at` since `time`.
     pub(crate) fn record_read(&mut self, at: Offset, time: SystemTime) {
         if self.newest.is_none_or(|newest| newest.at <= at) {
             let is_read = true;
@@ -70,11 +70,12 @@
         }
     }
 
-    /// Says whether one is due at `now`, at a fold that has read up to `at` of a log that keeps the records from
-    /// `first` on.
+    /// Returns whether a snapshot is due at `now`, for a fold that has read up to `at` of a log that
+    /// keeps the records from `first` on.
     ///
-    /// A snapshot is of use while the log keeps the record after its state. The record of the snapshot itself may
-    /// come later: other records, or another snapshot of the same state, were appended in between.
+    /// A snapshot is usable as long as the log keeps the record after the snapshot's state. The
+    /// record of the snapshot may come later, if other records, or another snapshot of the same
+    /// state, were appended in between.
     pub(crate) fn is_due(
         &mut self,
         at: Offset,
@@ -88,7 +89,7 @@
         {
             return false;
         }
-        // A fold that has seen no snapshot counts from now: one may be in the log already.
+        // A fold that has read no snapshot counts from now, because the log may already hold one.
         let newest = *self.newest.get_or_insert(SnapshotMark {
             at,
             time: now,
@@ -100,13 +101,13 @@
     }
 }
 
-/// When a snapshot is due.
+/// Conditions under which a snapshot is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotRule {
-    /// After this many records.
+    /// Number of records after the last snapshot.
     pub every: u64,
-    /// After this long, so that a quiet log keeps a snapshot too. Take far less than the log
-    /// keeps records.
+    /// Maximum age of the last snapshot, so that a log with few records keeps a snapshot too. Must be
+    /// far below the retention time of the log.
     pub max_age: Duration,
 }
 
@@ -119,10 +120,10 @@
     }
 }
 
-/// The two ends of a stream, as the log service gives them.
+/// Bounds of a stream, as reported by the log service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogHead {
-    /// Oldest offset kept.
+    /// Oldest offset that the log keeps.
     pub first: Offset,
     /// Offset that the next append gets.
     pub next: Offset,
@@ -130,10 +131,10 @@
 
 /// Returns how long the entry `me` waits before it appends the snapshot that is due at `at`.
 ///
-/// Rendezvous hashing ranks the `entries` the same at each of them, and another first each time.
-/// Each rank waits `delay_per_rank` longer; an entry that has read another's snapshot by then finds none
-/// due. Two snapshots are harmless, so nothing depends on the wait. An entry that is not among
-/// `entries` goes last.
+/// Rendezvous hashing gives the same ranking of `entries` at each entry, and varies it with `at`.
+/// Each rank waits `delay_per_rank` longer, so that an entry normally reads the snapshot of a
+/// higher-ranked entry first and finds none due. Correctness does not depend on the wait, because
+/// two snapshots are harmless. An entry that is not among `entries` waits longest.
 pub fn snapshot_wait<'a, I>(entries: I, me: &str, at: Offset, delay_per_rank: Duration) -> Duration
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/fold/src/snapshot_search.rs
+++ b/crates/fold/src/snapshot_search.rs
@@ -1,17 +1,17 @@
-//! The search for a snapshot when the oldest records have lapsed.
+//! Search for a snapshot after the log has dropped records that the fold needs.
 
 use std::collections::VecDeque;
 use std::time::SystemTime;
 
 use wagtailreel_core::{ConfigRecord, Digest, Offset};
 
-/// Most records that are held until a snapshot comes.
+/// Maximum number of records that are buffered until a snapshot is found.
 const MAX_BUFFERED_RECORDS: usize = 4096;
 
-/// Most bytes of records that are held until a snapshot comes.
+/// Maximum total length of the buffered records, in bytes.
 const MAX_BUFFERED_BYTES: usize = 32 << 20;
 
-/// A record on its way into the fold.
+/// A decoded record that is not applied yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Incoming {
     pub(crate) offset: Offset,
@@ -22,7 +22,7 @@
     pub(crate) length: usize,
 }
 
-/// The records read since `first`, none of them applied.
+/// Buffer of the records read from `first` on, none of them applied.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotSearch {
     first: Offset,
@@ -41,20 +41,20 @@
         }
     }
 
-    /// Returns the offset that is read next.
+    /// Returns the offset to read next.
     pub(crate) fn next(&self) -> Offset {
         self.next
     }
 
-    /// Says whether a state as of `at` and the records held have nothing missing in between.
+    /// Returns whether no record is missing between a state as of `at` and the buffered records.
     pub(crate) fn connects_to(&self, at: Offset) -> bool {
         at + 1 >= self.first
     }
 
-    /// Holds the next record.
+    /// Buffers the next record.
     ///
-    /// Over the bounds the oldest records go, and a later snapshot is needed. One always comes,
-    /// because a snapshot says the state as of shortly before itself.
+    /// Beyond the limits the oldest records are dropped, so that a later snapshot is needed. One
+    /// always follows, because a snapshot holds the state as of shortly before itself.
     pub(crate) fn push(&mut self, incoming: Incoming) {
         self.next = incoming.offset + 1;
         self.bytes += incoming.length;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the records held, oldest first.
+    /// Returns the buffered records, oldest first.
     pub(crate) fn into_records(self) -> VecDeque<Incoming> {
         self.buffered
     }
--- a/crates/fold/src/stop.rs
+++ b/crates/fold/src/stop.rs
@@ -1,4 +1,4 @@
-//! Why a fold has stopped.
+//! Reasons why a fold has stopped.
 
 use serde::Serialize;
 use snafu::Snafu;
@@ -6,26 +6,26 @@
 
 /// Why a fold applies no more records.
 ///
-/// A stopped fold stays stopped and goes on giving out the state that it had: what comes after is
-/// not known to belong on top of it.
+/// A stopped fold stays stopped and keeps serving its last state, because later records may not
+/// belong on top of that state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Snafu)]
 #[serde(tag = "stop", rename_all = "kebab-case")]
 #[snafu(visibility(pub(crate)))]
 pub enum FoldStop {
     /// Records are missing.
     #[snafu(display(
-        "record {got} came where {expected} was expected: the log has a gap; restore the missing \
+        "record {got} arrived where {expected} was expected: the log has a gap; restore the missing \
          records, or replace this VM once the log is whole"
     ))]
     Gap {
-        /// Offset that comes next.
+        /// Offset of the next record.
         expected: Offset,
-        /// Offset that came.
+        /// Offset of the record that arrived.
         got: Offset,
     },
-    /// The log ends before what was applied.
+    /// The log ends before the last record applied.
     #[snafu(display(
-        "the log ends before record {next} but {applied} was applied: it came back shorter; \
+        "the log ends before record {next} but {applied} was applied: the log was truncated; \
          restore the lost records, or publish the documents again and replace this VM"
     ))]
     Shorter {
@@ -34,9 +34,9 @@
         /// Offset that the next append gets.
         next: Offset,
     },
-    /// A record that was applied now reads differently.
+    /// A record that was applied now has other content.
     #[snafu(display(
-        "record {offset} is not the one that was applied: the log was written anew; restore it, \
+        "record {offset} is not the one that was applied: the log was rewritten; restore it, \
          or publish the documents again and replace this VM"
     ))]
     Rewritten {
@@ -50,7 +50,7 @@
     UnknownFormat {
         /// Offset of the record.
         offset: Offset,
-        /// What can't be read.
+        /// Error of the decoder.
         why: String,
     },
 }
