--- a/crates/fold/tests/agreement.rs
+++ b/crates/fold/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! All folds of one log agree, and nothing reverts, whatever way each came by its state.
+//! All folds of one log agree and never revert, whatever the source of their state.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,28 +13,28 @@
 const TEAMS: [&str; 2] = ["scribes", "proofs"];
 const VERSIONS: [&str; 3] = ["", "1", "2"];
 
-/// What is appended to the log.
+/// A record to append to the log.
 #[derive(Clone, Debug)]
 enum Append {
     Edit {
         id: usize,
         team: usize,
         service: usize,
-        /// None stands for the service's revision at that time.
+        /// `None` for the service's revision at that time.
         base: Option<Offset>,
         version: usize,
     },
-    /// The state as of that many records ago.
+    /// A snapshot of the state as of `late` records ago.
     Snapshot { late: usize },
 }
 
-/// What a process meets.
+/// An event in the life of a process.
 #[derive(Clone, Debug)]
 enum Step {
     Read { records: usize },
-    ReadAgain { back: usize },
+    ReadAgain { records_back: usize },
     Restore { at: usize },
-    Learn { at: usize, service: usize },
+    MergeService { at: usize, service: usize },
     Lapse { first: usize },
 }
 
@@ -57,14 +57,14 @@
     let index = 0..40_usize;
     prop_oneof![
         4 => (1..6_usize).prop_map(|records| Step::Read { records }),
-        1 => (0..6_usize).prop_map(|back| Step::ReadAgain { back }),
+        1 => (0..6_usize).prop_map(|records_back| Step::ReadAgain { records_back }),
         1 => index.clone().prop_map(|at| Step::Restore { at }),
-        1 => (index.clone(), 0..2_usize).prop_map(|(at, service)| Step::Learn { at, service }),
+        1 => (index.clone(), 0..2_usize).prop_map(|(at, service)| Step::MergeService { at, service }),
         1 => index.prop_map(|first| Step::Lapse { first }),
     ]
 }
 
-/// The log, and the fold that has read its first n records at index n.
+/// Returns the log, and a list whose element n is a fold that has read the first n records.
 fn history(appends: &[Append]) -> (Log, Vec<ConfigFold>) {
     let mut log = Log::default();
     let mut folds = vec![ConfigFold::new()];
@@ -100,12 +100,13 @@
     (log, folds)
 }
 
-/// Checks each service against the fold that has read as much of the log as the state stands for.
+/// Checks the state of each service against the fold that has read the log up to the offset that the
+/// state reflects.
 fn check_exact(fold: &ConfigFold, truth: &[ConfigFold]) {
     let offset = fold.offset() as usize;
     for state in fold.state().services.values() {
-        let stands_for = offset.max(state.revision as usize);
-        let expected = truth[stands_for].state().services.get(&state.service);
+        let reflected = offset.max(state.revision as usize);
+        let expected = truth[reflected].state().services.get(&state.service);
         assert_eq!(Some(state), expected);
     }
     for name in truth[offset].state().services.keys() {
@@ -116,7 +117,7 @@
     }
 }
 
-fn check_risen(before: &StateView, after: &StateView) {
+fn check_not_reverted(before: &StateView, after: &StateView) {
     assert!(after.offset >= before.offset);
     for (name, state) in &before.services {
         assert!(after.services[name].revision >= state.revision);
@@ -124,7 +125,13 @@
     }
 }
 
-fn take(step: &Step, fold: &mut ConfigFold, first: &mut Offset, log: &Log, truth: &[ConfigFold]) {
+fn apply_step(
+    step: &Step,
+    fold: &mut ConfigFold,
+    first: &mut Offset,
+    log: &Log,
+    truth: &[ConfigFold],
+) {
     let head = truth.len() - 1;
     match step {
         Step::Read { records } => {
@@ -132,8 +139,8 @@
                 read(fold, *first, log);
             }
         }
-        Step::ReadAgain { back } => {
-            let offset = fold.next().saturating_sub(*back as Offset);
+        Step::ReadAgain { records_back } => {
+            let offset = fold.next().saturating_sub(*records_back as Offset);
             if offset >= *first && offset < fold.next() {
                 assert!(log.feed(fold, offset).unwrap().is_empty());
             }
@@ -141,7 +148,7 @@
         Step::Restore { at } => {
             fold.restore(truth[at % truth.len()].state());
         }
-        Step::Learn { at, service } => {
+        Step::MergeService { at, service } => {
             let state = truth[at % truth.len()].state();
             if let Some(state) = state.services.get(SERVICES[*service]) {
                 fold.merge_service(state);
@@ -153,7 +160,7 @@
     }
 }
 
-/// Reads one record as a process does: what has lapsed can't be read.
+/// Reads one record as a process does; records before `first` are dropped and can't be read.
 fn read(fold: &mut ConfigFold, first: Offset, log: &Log) {
     if fold.next() < first {
         fold.start_from(first);
@@ -176,8 +183,8 @@
         let mut first = 1;
         for step in &steps {
             let before = fold.state().clone();
-            take(step, &mut fold, &mut first, &log, &truth);
-            check_risen(&before, fold.state());
+            apply_step(step, &mut fold, &mut first, &log, &truth);
+            check_not_reverted(&before, fold.state());
             check_exact(&fold, &truth);
         }
         let whole = truth.last().unwrap();
@@ -198,7 +205,7 @@
         picks in prop::collection::vec((0..40_usize, prop::option::of(0..2_usize)), 1..6),
     ) {
         let (_, truth) = history(&appends);
-        // A whole state as of some offset, or one service of it, as an agent has it.
+        // A whole state as of some offset, or one service of it, as held by an agent.
         let view = |(at, service): &(usize, Option<usize>)| {
             let mut view = truth[at % truth.len()].state().clone();
             if let Some(service) = service {
@@ -213,10 +220,10 @@
             views.iter().for_each(|view| all.merge(view));
             all
         };
-        let forth: Vec<&StateView> = views.iter().collect();
-        let back: Vec<&StateView> = views.iter().rev().collect();
+        let forward: Vec<&StateView> = views.iter().collect();
+        let reversed: Vec<&StateView> = views.iter().rev().collect();
         let twice: Vec<&StateView> = views.iter().chain(&views).collect();
-        prop_assert_eq!(merged(&forth), merged(&back));
-        prop_assert_eq!(merged(&forth), merged(&twice));
+        prop_assert_eq!(merged(&forward), merged(&reversed));
+        prop_assert_eq!(merged(&forward), merged(&twice));
     }
 }
--- a/crates/fold/tests/at_most_once.rs
+++ b/crates/fold/tests/at_most_once.rs
@@ -1,4 +1,5 @@
-//! An order is dispatched at most once, whatever entries, clocks and the log do.
+//! An order is dispatched at most once under any interleaving of entries, clock steps, repeated records
+//! and a truncated log.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -19,21 +20,21 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A caller sends a key that is so many seconds old; a small set, so that keys meet again.
+    /// A caller sends a key that is `age` seconds old. Few distinct keys exist, so that claims collide.
     Order { entry: usize, age: i64 },
-    /// A caller sends a key again that was seen before. The entry may be frozen since its check.
+    /// A caller sends an earlier key again. The entry may have been suspended since its check of the key.
     Again { entry: usize, key: usize },
-    /// A record takes effect once more, late.
+    /// A late copy of a record is appended.
     Copy { record: usize },
-    /// The entry reads on.
+    /// The entry reads further records.
     Read { entry: usize, records: usize },
-    /// The entry goes on with the oldest claim that it won, however long ago.
+    /// The entry dispatches or releases the oldest claim that it won, however long ago.
     Decide { entry: usize, dispatch: bool },
-    /// The entry gives up the oldest claim that it has no answer for.
-    GiveUp { entry: usize },
-    /// The log's clock moves, mostly on.
+    /// The entry releases the oldest claim whose result it has not read.
+    Release { entry: usize },
+    /// The log's clock moves, mostly forward.
     Time { seconds: i64 },
-    /// The entry is replaced, and the log has lost the records before one of the last.
+    /// The entry is replaced, and the log has dropped all but the last `kept` records.
     Replace { entry: usize, kept: usize },
 }
 
@@ -46,7 +47,7 @@
         1 => (0..40_usize).prop_map(|record| Step::Copy { record }),
         5 => (e(), 1..9_usize).prop_map(|(entry, records)| Step::Read { entry, records }),
         4 => (e(), prop::bool::weighted(0.6)).prop_map(|(entry, dispatch)| Step::Decide { entry, dispatch }),
-        1 => e().prop_map(|entry| Step::GiveUp { entry }),
+        1 => e().prop_map(|entry| Step::Release { entry }),
         2 => (-50..90_i64).prop_map(|seconds| Step::Time { seconds }),
         1 => (e(), 0..12_usize).prop_map(|(entry, kept)| Step::Replace { entry, kept }),
     ]
@@ -55,13 +56,13 @@
 struct Entry {
     fold: OrderFold,
     incarnation: u64,
-    /// Claims without an answer.
+    /// Claims whose result the entry has not read.
     open: Vec<Claimant>,
-    /// Claims that were won and not yet decided, with their keys.
+    /// Claims that were won and neither dispatched nor released yet, with their keys.
     won: Vec<(Claimant, String)>,
 }
 
-struct World {
+struct Cluster {
     log: Vec<(SystemTime, Value)>,
     now: i64,
     latest: i64,
@@ -71,7 +72,7 @@
     dispatched: BTreeMap<String, Vec<Claimant>>,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
         let entry = |_: &&str| Entry {
             fold: OrderFold::new(WINDOW),
@@ -143,7 +144,7 @@
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Order { entry, age } => {
                 let key = format!("{}.k", (START as i64 + self.now - age) / 20 * 20);
@@ -162,14 +163,14 @@
             }
             Step::Read { entry, records } => self.read(*entry, *records),
             Step::Decide { entry, dispatch } => self.decide(*entry, *dispatch),
-            Step::GiveUp { entry } => {
+            Step::Release { entry } => {
                 if !self.entries[*entry].open.is_empty() {
                     let claimant = self.entries[*entry].open.remove(0);
                     self.release(claimant);
                 }
             }
             Step::Time { seconds } => {
-                // What a log's clock may do at worst: 60 seconds back in all.
+                // The log's clock steps back by at most 60 seconds in total.
                 self.now = (self.now + seconds).max(self.latest - 60);
                 self.latest = self.latest.max(self.now);
             }
@@ -205,17 +206,17 @@
 
     #[test]
     fn dispatched_once(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
+        let mut cluster = Cluster::new();
         for step in &steps {
-            world.take(step);
+            cluster.apply_step(step);
         }
         for entry in 0..ENTRIES.len() {
-            world.read(entry, usize::MAX);
-            while !world.entries[entry].won.is_empty() {
-                world.decide(entry, true);
+            cluster.read(entry, usize::MAX);
+            while !cluster.entries[entry].won.is_empty() {
+                cluster.decide(entry, true);
             }
         }
-        for (key, claimants) in &world.dispatched {
+        for (key, claimants) in &cluster.dispatched {
             prop_assert!(claimants.len() == 1, "{key}: {claimants:?}");
         }
     }
--- a/crates/fold/tests/edits.rs
+++ b/crates/fold/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Which edits are accepted, and what becomes of the others.
+//! Which edits are accepted, and the results of the others.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,10 +17,10 @@
     let (mut t, mut log, mut a, mut b) = <(Transcript, Log, ConfigFold, ConfigFold)>::default();
     let mut both = [("entry a", &mut a), ("entry b", &mut b)];
     t.append(&mut log, &edit("e-1", "scribes", S, 0, "1"), &mut both);
-    t.say("two operators read revision 1 and both edit it, over two entries");
+    t.write_line("two operators read revision 1 and both edit it, over two entries");
     t.append(&mut log, &edit("e-2", "scribes", S, 1, "2"), &mut both);
     t.append(&mut log, &edit("e-3", "scribes", S, 1, "3"), &mut both);
-    t.say("the loser reads again and edits that");
+    t.write_line("the operator whose edit was refused reads again and edits that");
     t.append(&mut log, &edit("e-4", "scribes", S, 2, "3"), &mut both);
     t.state("entry a", &a);
     assert_eq!(a.state(), b.state());
@@ -32,21 +32,21 @@
     let (mut t, mut log, mut a) = <(Transcript, Log, ConfigFold)>::default();
     let mut one = [("entry a", &mut a)];
     t.append(&mut log, &edit("e-1", "scribes", S, 0, "1"), &mut one);
-    t.say("the log's answer is lost, so the entry appends the same again");
+    t.write_line("the log's answer is lost, so the entry appends the same again");
     t.append(&mut log, &edit("e-1", "scribes", S, 0, "1"), &mut one);
     t.append(&mut log, &edit("e-2", "scribes", S, 1, "2"), &mut one);
-    t.say("once more, late: nothing reverts");
+    t.write_line("a late copy of the same edit: nothing reverts");
     t.append(&mut log, &edit("e-1", "scribes", S, 0, "1"), &mut one);
-    t.say("a refused edit is refused again, with the first answer");
+    t.write_line("a refused edit is refused again, with the first answer");
     t.append(&mut log, &edit("e-3", "scribes", S, 1, "3"), &mut one);
     t.append(&mut log, &edit("e-4", "scribes", S, 3, "4"), &mut one);
     t.append(&mut log, &edit("e-3", "scribes", S, 1, "3"), &mut one);
-    t.say("an id that is used for another edit does not hide that edit");
+    t.write_line("an id that is reused for another edit does not hide that edit");
     t.append(&mut log, &edit("e-1", "scribes", S, 6, "5"), &mut one);
     t.append(&mut log, &edit("e-1", "scribes", S, 6, "6"), &mut one);
-    t.say("history, newest first");
+    t.write_line("history, newest first");
     for result in a.history(S) {
-        t.say(format!("  record {}: {}", result.offset, result));
+        t.write_line(format!("  record {}: {}", result.offset, result));
     }
     t.state("entry a", &a);
     assert_snapshot!(t.finish());
@@ -58,7 +58,7 @@
     let mut one = [("entry a", &mut a)];
     t.append(&mut log, &edit("e-1", "scribes", S, 0, "1"), &mut one);
     t.append(&mut log, &edit("e-2", "proofs", S, 1, "2"), &mut one);
-    t.say("deleting a service gives neither its name nor its past away");
+    t.write_line("a deleted service keeps its name and its team");
     t.append(&mut log, &edit("e-3", "scribes", S, 1, ""), &mut one);
     t.append(&mut log, &edit("e-4", "proofs", S, 0, "2"), &mut one);
     t.append(&mut log, &edit("e-5", "proofs", S, 3, "2"), &mut one);
@@ -120,7 +120,7 @@
     let mut log = Log::default();
     log.append(&edit("e-1", "scribes", S, 0, "1"));
     log.append(&edit("e-2", "scribes", S, 1, "2"));
-    // Back to what was: a rollback is a new epoch, not the old one.
+    // A rollback to the earlier version gets a new epoch.
     log.append(&edit("e-3", "scribes", S, 2, "1"));
     log.append(&edit("e-4", "scribes", S, 3, ""));
     log.append(&edit("e-5", "scribes", S, 4, "1"));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn memory_bounded() {
+fn history_bounded() {
     let mut log = Log::default();
     for base in 0..300 {
         log.append(&edit(&format!("e-{base}"), "scribes", S, base, "1"));
--- a/crates/fold/tests/publication.rs
+++ b/crates/fold/tests/publication.rs
@@ -1,4 +1,4 @@
-//! States come into force in the order of the fold, whoever publishes them.
+//! Concurrent threads publish states in the order of the fold: an older state never replaces a newer one.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,8 +6,9 @@
 
 use wagtailreel_fold::Publication;
 
-/// Threads that publish, and how often each does.
+/// Number of threads that publish.
 const THREADS: usize = 4;
+/// Number of states that each thread publishes.
 const ROUNDS: usize = 20_000;
 
 #[test]
@@ -38,6 +39,6 @@
         })
         .collect();
     let reverted: u64 = threads.into_iter().filter_map(|it| it.join().ok()).sum();
-    assert_eq!(reverted, 0, "states that an older one replaced");
+    assert_eq!(reverted, 0, "states that were replaced by an older one");
     assert_eq!(in_force.load(Ordering::SeqCst), (THREADS * ROUNDS) as u64);
 }
--- a/crates/fold/tests/restart.rs
+++ b/crates/fold/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Starting from the state of peers while the platform is away.
+//! Start from the state of peers or agents while the platform's log is unreachable.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -34,13 +34,15 @@
     let (mut log, three, four) = five_records();
     let mut t = Transcript::default();
     let mut new = ConfigFold::new();
-    t.say("a new entry asks two peers while the log is away");
+    t.write_line("a new entry asks two peers while the log is unreachable");
     new.restore(four.state());
     new.restore(three.state());
     t.state("new entry", &new);
-    t.say("the log is back");
+    t.write_line("the log is reachable again");
     t.read(&log, "new entry", &mut new);
-    t.say("a re-send of what the peers had read changes nothing, and is not called refused");
+    t.write_line(
+        "a re-send of an edit that the peers had read changes nothing, and is reported as unclear",
+    );
     t.append(
         &mut log,
         &edit("e-4", "proofs", P, 2, "8"),
@@ -60,21 +62,21 @@
     log.feed_all(&mut whole);
     let mut t = Transcript::default();
     let mut new = ConfigFold::new();
-    t.say("no entry is left; an agent has its own service at revision 5");
+    t.write_line("no entry is left; an agent has its own service at revision 5");
     assert!(new.merge_service(&whole.state().services[S]));
     assert!(!new.merge_service(&whole.state().services[S]));
     t.state("new entry", &new);
     assert_eq!((new.offset(), new.reached()), (0, 5));
-    t.say("the log is back: the rest is read from the start");
+    t.write_line("the log is reachable again: the rest is read from the start");
     t.read(&log, "new entry", &mut new);
     t.state("new entry", &new);
     assert_eq!(new.state(), whole.state());
     let found = new.edit_result(S, "e-5").unwrap();
-    t.say(format!("  {found}"));
+    t.write_line(format!("  {found}"));
     assert_snapshot!(t.finish());
 }
 
-/// A peer's state ends the wait for a snapshot, and the records held are applied on top.
+/// A peer's state ends the wait for a snapshot, and the buffered records are applied on top of it.
 #[test]
 fn peer_ends_wait() {
     let (log, three, four) = five_records();
@@ -92,7 +94,7 @@
     assert_eq!((new.offset(), new.next()), (5, 6));
 }
 
-/// A peer that is past all records held makes them superfluous.
+/// The state of a peer that has read beyond all buffered records makes these superfluous.
 #[test]
 fn peer_passes_wait() {
     let (log, _, four) = five_records();
@@ -105,9 +107,9 @@
     assert_eq!(new.state(), four.state());
 }
 
-/// A fold that remembers an edit as refused decides a re-send as one that does not remember it.
+/// A fold whose history has an edit as refused decides a re-send like a fold without that history.
 #[test]
-fn memory_decides_nothing() {
+fn history_decides_nothing() {
     let mut log = Log::default();
     log.append(&edit("e-1", "scribes", S, 0, "1"));
     log.append(&edit("e-2", "scribes", S, 3, "2"));
--- a/crates/fold/tests/snapshots.rs
+++ b/crates/fold/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots, and starting from a log whose oldest records have lapsed.
+//! Snapshots, and the start from a log that has dropped its oldest records.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -36,19 +36,21 @@
     t.append(&mut log, &edit("e-5", "scribes", S, 4, "4"), &mut one);
     t.append(&mut log, &late, &mut one);
     t.append(&mut log, &edit("e-6", "proofs", P, 2, "8"), &mut one);
-    t.say("records 1 to 4 lapse, and a new entry starts: the early snapshot lacks record 4");
+    t.write_line(
+        "records 1 to 4 are dropped, and a new entry starts: the early snapshot lacks record 4",
+    );
     let mut new = ConfigFold::new();
     new.start_from(5);
     while new.next() < log.next() {
         let offset = new.next();
-        t.say(format!(" reads {offset}"));
+        t.write_line(format!(" reads {offset}"));
         let result = log.feed(&mut new, offset);
         t.result("new entry", &result);
         t.state("new entry", &new);
     }
     assert_eq!(new.state(), old.state());
     assert!(new.is_ready());
-    t.say("the snapshot brought the latest edits along");
+    t.write_line("the snapshot contains the latest edits");
     t.append(
         &mut log,
         &edit("e-4", "scribes", S, 3, "3"),
@@ -75,7 +77,7 @@
         assert!(log.feed(&mut away, offset).unwrap().is_empty());
     }
     assert_eq!(away.state(), &before);
-    // It has nothing whole to give, and must not say otherwise.
+    // The fold has a gap in its state, so it must not offer a snapshot.
     assert!(away.snapshot().is_none());
     log.append(&ahead.snapshot().unwrap());
     log.feed_all(&mut ahead);
@@ -123,7 +125,8 @@
     assert_eq!(fold.state().services[S].revision, 2);
 }
 
-/// A snapshot that claims to contain records after itself would make a fold skip them.
+/// A snapshot that claims to contain records after itself is ignored: a fold that used it would skip
+/// these records.
 #[test]
 fn future_ignored() {
     let mut log = Log::default();
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn contradiction_told() {
+fn contradiction_reported() {
     let mut log = Log::default();
     let mut fold = ConfigFold::new();
     log.append(&edit("e-1", "scribes", S, 0, "1"));
@@ -178,7 +181,7 @@
     }
     assert_eq!(due, [false, false, false, true]);
     let next = log.next() + 1;
-    // While there is more to read, the snapshot may be there already.
+    // The unread records may already contain a snapshot.
     assert!(!fold.snapshot_due(LogHead { first: 1, next }, time(5), rule));
     log.append(&fold.snapshot().unwrap());
     log.feed_all(&mut fold);
@@ -201,12 +204,13 @@
     log.feed_all(&mut fold);
     let head = LogHead { first: 1, next: 3 };
     assert!(!fold.snapshot_due(head, time(3601), rule));
-    // The record itself has lapsed sooner than the rule reckoned with.
+    // The log has dropped the record of the snapshot before the rule made a new one due.
     let head = LogHead { first: 3, next: 3 };
     assert!(fold.snapshot_due(head, time(100), rule));
 }
 
-/// A second snapshot of the same state joins on to nothing once the log keeps only that one.
+/// No second snapshot is due until the first is read. A second one of the same state would connect to
+/// no record once the log keeps only that one.
 #[test]
 fn one_until_read() {
     let mut log = Log::default();
@@ -224,7 +228,7 @@
         };
         assert_eq!(fold.snapshot_due(head, time(1), rule), base == 2);
     }
-    // The head is as it was told before the append.
+    // `head` is from before the append.
     let head = LogHead { first: 1, next: 4 };
     log.append(&fold.snapshot().unwrap());
     fold.note_snapshot(4);
@@ -234,9 +238,10 @@
     assert!(!fold.snapshot_due(head, time(1), rule));
 }
 
-/// The log still keeps the snapshot, but no longer the record after its state: a new fold can't start from it.
+/// A snapshot is due if the log still keeps the last one but not the record after its state: a new fold
+/// can't start from it.
 #[test]
-fn due_when_unjoined() {
+fn due_when_disconnected() {
     let mut log = Log::default();
     let mut fold = ConfigFold::new();
     log.append(&edit("e-1", "scribes", S, 0, "1"));
@@ -260,7 +265,7 @@
 }
 
 #[test]
-fn one_goes_first() {
+fn one_entry_first() {
     let entries = ["qh-e1", "qh-e2", "gh-e1", "ch-e1"];
     let step = Duration::from_millis(500);
     let mut firsts = BTreeSet::new();
@@ -275,7 +280,7 @@
     assert_eq!(snapshot_wait(entries, "xx-e9", 1, step), step * 4);
 }
 
-/// Today's sizes a hundredfold stay well within the longest record.
+/// A snapshot of 300 services with 20 edits each, a hundred times the usual size, fits into one record.
 #[test]
 fn snapshot_fits() {
     let mut log = Log::default();
--- a/crates/fold/tests/stops.rs
+++ b/crates/fold/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Logs that a fold must not apply.
+//! Logs at which a fold must stop, and records that must not be encoded.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -22,7 +22,7 @@
     (log, fold)
 }
 
-/// Checks that a stopped fold gives out its state and takes nothing more.
+/// Checks that a stopped fold keeps serving its state and applies nothing more.
 fn stays_stopped(log: &mut Log, fold: &mut ConfigFold) {
     let (state, stop) = (fold.state().clone(), fold.stop().unwrap().clone());
     let mut ahead = ConfigFold::new();
@@ -70,7 +70,7 @@
     let (log, ahead) = two_records();
     let mut fold = ConfigFold::new();
     log.feed(&mut fold, 1).unwrap();
-    // The agent is in force with revision 2, which this log does not have.
+    // The agent has applied revision 2, which this log does not contain.
     assert!(fold.merge_service(&ahead.state().services[S]));
     assert!(fold.check_head(fold.reached(), 2).is_err());
 }
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn stops_told() {
+fn stops_reported() {
     let (mut t, mut log, mut fold) = <(Transcript, Log, ConfigFold)>::default();
     t.append(
         &mut log,
@@ -116,11 +116,11 @@
     );
     let mut record = data(&edit("e-2", "scribes", S, 1, "2"));
     record["format"] = json!(2);
-    t.say("record 2: in a format that is not known yet");
+    t.write_line("record 2: in an unsupported format");
     let result = fold.apply(2, time(2), &record);
     t.result("entry a", &result);
     t.state("entry a", &fold);
-    t.say("other stops");
+    t.write_line("other stops");
     let stops = [
         FoldStop::Gap {
             expected: 3,
@@ -133,7 +133,7 @@
         FoldStop::Rewritten { offset: 7 },
     ];
     for stop in stops {
-        t.say(format!("  {stop}"));
+        t.write_line(format!("  {stop}"));
     }
     assert_snapshot!(t.finish());
 }
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn poison_not_encoded() {
-    let mut poison = document(S, "1");
-    poison.default_limit = Some(CustomerLimit {
+fn nan_not_encoded() {
+    let mut invalid = document(S, "1");
+    invalid.default_limit = Some(CustomerLimit {
         requests_per_second: f64::NAN,
         burst: 1,
     });
@@ -159,7 +159,7 @@
         edit_id: "e-1".to_owned(),
         team: "scribes".to_owned(),
         base: 0,
-        document: Some(Box::new(poison)),
+        document: Some(Box::new(invalid)),
         service: S.to_owned(),
     };
     let refused = encode_config(&record).unwrap_err();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn long_not_encoded() {
+fn too_long_not_encoded() {
     let record = OrderRecord::Releases {
         holder: "qh-e1".to_owned(),
         incarnation: 1,
@@ -180,7 +180,8 @@
     assert!(matches!(refused, EncodeError::TooLong { .. }), "{refused}");
 }
 
-/// A number that a fast reading of JSON misses by its last bit.
+/// Numbers survive encoding exactly. A JSON parser with fast, inexact float parsing gets the last bit of
+/// these wrong.
 #[test]
 fn numbers_kept() {
     let mut precise = document(S, "1");
--- a/crates/fold/tests/support/mod.rs
+++ b/crates/fold/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A log in memory, and transcripts of what folds make of it.
+//! An in-memory log, and transcripts of the effects of its records on folds.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
@@ -62,12 +62,12 @@
     }
 }
 
-/// Returns the record as a fold reads it out of the log.
+/// Returns the JSON of the record as a fold reads it from the log.
 pub(crate) fn data(record: &ConfigRecord) -> Value {
     serde_json::from_slice(&encode_config(record).unwrap()).unwrap()
 }
 
-/// A stream of the log, one record a second.
+/// A stream of the log, with one record per second.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     pub(crate) records: Vec<Value>,
@@ -99,7 +99,7 @@
         fold.apply(offset, time(offset), self.get(offset))
     }
 
-    /// Applies all that the fold has not read.
+    /// Applies all records that the fold has not read.
     pub(crate) fn feed_all(&self, fold: &mut ConfigFold) -> Vec<Applied> {
         let mut applied = Vec::new();
         while fold.next() < self.next() {
@@ -109,7 +109,7 @@
     }
 }
 
-/// What a person reads of a session.
+/// Readable account of a test session, for snapshots.
 #[derive(Debug, Default)]
 pub(crate) struct Transcript {
     text: String,
@@ -117,14 +117,14 @@
 
 impl Transcript {
     /// Writes a line.
-    pub(crate) fn say<S>(&mut self, line: S)
+    pub(crate) fn write_line<S>(&mut self, line: S)
     where
         S: AsRef<str>,
     {
         writeln!(self.text, "{}", line.as_ref()).unwrap();
     }
 
-    /// Appends a record, says so, and has `folds` read on.
+    /// Appends a record, writes a line about it, and lets `folds` read it.
     pub(crate) fn append(
         &mut self,
         log: &mut Log,
@@ -132,13 +132,13 @@
         folds: &mut [(&str, &mut ConfigFold)],
     ) {
         let offset = log.append(record);
-        self.say(format!("record {offset}: {}", show_record(record)));
+        self.write_line(format!("record {offset}: {}", show_record(record)));
         for (name, fold) in folds {
             self.read(log, name, fold);
         }
     }
 
-    /// Has the fold read on, and says what that did.
+    /// Lets the fold read all new records, and writes their effects.
     pub(crate) fn read(&mut self, log: &Log, name: &str, fold: &mut ConfigFold) {
         while fold.next() < log.next() {
             let offset = fold.next();
@@ -150,23 +150,23 @@
         }
     }
 
-    /// Says what a record did.
+    /// Writes the effects of a record.
     pub(crate) fn result(&mut self, name: &str, result: &Result<Vec<Applied>, FoldStop>) {
         match result {
-            Ok(applied) if applied.is_empty() => self.say(format!("  {name}: nothing")),
+            Ok(applied) if applied.is_empty() => self.write_line(format!("  {name}: nothing")),
             Ok(applied) => {
                 for applied in applied {
-                    self.say(format!("  {name}: {}", applied));
+                    self.write_line(format!("  {name}: {}", applied));
                 }
             }
-            Err(stop) => self.say(format!("  {name}: STOPPED: {stop}")),
+            Err(stop) => self.write_line(format!("  {name}: STOPPED: {stop}")),
         }
     }
 
-    /// Says the fold's state.
+    /// Writes the fold's state.
     pub(crate) fn state(&mut self, name: &str, fold: &ConfigFold) {
         let ready = if fold.is_ready() { "" } else { ", not ready" };
-        self.say(format!("{name} at {}{ready}:", fold.offset()));
+        self.write_line(format!("{name} at {}{ready}:", fold.offset()));
         for state in fold.state().services.values() {
             let model = state.document.as_ref().map(|document| &document.model);
             let model = match model {
@@ -174,14 +174,14 @@
                 Some(None) => "plain".to_owned(),
                 None => "deleted".to_owned(),
             };
-            self.say(format!(
+            self.write_line(format!(
                 "  {} of {}: {model}, revision {}, epoch {}",
                 state.service, state.team, state.revision, state.epoch
             ));
         }
     }
 
-    /// Returns the whole.
+    /// Returns the whole transcript.
     pub(crate) fn finish(self) -> String {
         self.text
     }
