--- a/crates/fold/src/config.rs
+++ b/crates/fold/src/config.rs
@@ -232,7 +232,7 @@
     fn buffer_record(&mut self, incoming: Incoming) -> Vec<Applied> {
         let taken = self.take_snapshot(&incoming);
         if let Some(search) = &mut self.search {
-            search.push(incoming);
+            search.buffer(incoming);
         }
         let mut applied: Vec<Applied> = taken.into_iter().collect();
         applied.extend(self.end_scan());
--- a/crates/fold/src/snapshot_search.rs
+++ b/crates/fold/src/snapshot_search.rs
@@ -55,7 +55,7 @@
     ///
     /// Beyond the limits the oldest records are dropped, so that a later snapshot is needed. One
     /// always follows, because a snapshot holds the state as of shortly before itself.
-    pub(crate) fn push(&mut self, incoming: Incoming) {
+    pub(crate) fn buffer(&mut self, incoming: Incoming) {
         self.next = incoming.offset + 1;
         self.bytes += incoming.length;
         self.buffered.push_back(incoming);
