--- a/crates/fold/src/orders.rs
+++ b/crates/fold/src/orders.rs
@@ -67,7 +67,7 @@
     /// Latest time of a record so far. A record with an earlier time is treated as having this time.
     time: SystemTime,
     claims: BTreeMap<ServiceName, BTreeMap<Key, Claim>>,
-    held: BTreeMap<Claimant, (ServiceName, Key)>,
+    keys_by_claimant: BTreeMap<Claimant, (ServiceName, Key)>,
     releases: Releases,
     unseen: Unseen,
     cursor: Cursor,
@@ -84,7 +84,7 @@
             applied: 0,
             time: SystemTime::UNIX_EPOCH,
             claims: BTreeMap::new(),
-            held: BTreeMap::new(),
+            keys_by_claimant: BTreeMap::new(),
             releases: Releases::default(),
             unseen: Unseen::Nothing,
             cursor: Cursor::default(),
@@ -195,14 +195,14 @@
         let claims: usize = claims
             .map(|(key, claim)| approx_claim_bytes(key, claim))
             .sum();
-        let held = self.held.iter();
-        let held: usize = held
+        let keys = self.keys_by_claimant.iter();
+        let keys: usize = keys
             .map(|(claimant, (service, key))| {
                 let texts = service.len() + key.text.len();
                 claimant.approx_bytes() + size_of::<(ServiceName, Key)>() + texts
             })
             .sum();
-        claims + held + self.releases.approx_bytes()
+        claims + keys + self.releases.approx_bytes()
     }
 
     fn apply_next(
@@ -244,7 +244,7 @@
         };
         for claims in self.claims.values_mut() {
             while let Some(entry) = claims.first_entry().filter(|entry| *entry.key() < oldest) {
-                self.held.remove(&entry.remove().claimant);
+                self.keys_by_claimant.remove(&entry.remove().claimant);
             }
         }
         self.claims.retain(|_, claims| !claims.is_empty());
@@ -346,7 +346,7 @@
         let seen = self.check_seen(&parsed);
         let claims = self.claims.entry(service.clone()).or_default();
         claims.insert(parsed.clone(), claim);
-        self.held
+        self.keys_by_claimant
             .insert(claimant.clone(), (service.clone(), parsed));
         match seen {
             Ok(()) => OrderApplied::Won {
@@ -368,7 +368,7 @@
     fn release(&mut self, claimant: Claimant) -> OrderApplied {
         // Recorded even if the claimant holds no key, because its claim may still reach the log later.
         self.releases.insert(self.time, claimant.clone());
-        let Some((service, key)) = self.held.remove(&claimant) else {
+        let Some((service, key)) = self.keys_by_claimant.remove(&claimant) else {
             return OrderApplied::ReleaseIgnored { claimant };
         };
         let claims = self.claims.get_mut(&service);
--- a/crates/fold/src/snapshot.rs
+++ b/crates/fold/src/snapshot.rs
@@ -96,8 +96,8 @@
             is_read: false,
         });
         let age = now.duration_since(newest.time).unwrap_or_default();
-        let lapsed = newest.is_read && newest.at + 1 < first;
-        at.saturating_sub(newest.at) >= rule.every || age >= rule.max_age || lapsed
+        let dropped = newest.is_read && newest.at + 1 < first;
+        at.saturating_sub(newest.at) >= rule.every || age >= rule.max_age || dropped
     }
 }
 
--- a/crates/fold/tests/agreement.rs
+++ b/crates/fold/tests/agreement.rs
@@ -35,7 +35,7 @@
     ReadAgain { records_back: usize },
     Restore { at: usize },
     MergeService { at: usize, service: usize },
-    Lapse { first: usize },
+    DropRecords { first: usize },
 }
 
 fn append() -> impl Strategy<Value = Append> {
@@ -60,7 +60,7 @@
         1 => (0..6_usize).prop_map(|records_back| Step::ReadAgain { records_back }),
         1 => index.clone().prop_map(|at| Step::Restore { at }),
         1 => (index.clone(), 0..2_usize).prop_map(|(at, service)| Step::MergeService { at, service }),
-        1 => index.prop_map(|first| Step::Lapse { first }),
+        1 => index.prop_map(|first| Step::DropRecords { first }),
     ]
 }
 
@@ -154,8 +154,8 @@
                 fold.merge_service(state);
             }
         }
-        Step::Lapse { first: lapsed } => {
-            *first = (*first).max((lapsed % (head + 1)) as Offset + 1);
+        Step::DropRecords { first: dropped } => {
+            *first = (*first).max((dropped % (head + 1)) as Offset + 1);
         }
     }
 }
--- a/crates/fold/tests/orders.rs
+++ b/crates/fold/tests/orders.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn lapsed_claims() {
+fn claims_dropped() {
     let mut s = Session::new();
     s.write_line("records before 41 were dropped, and a new entry starts");
     s.fold.start_from(41);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn lapsed_long_ago() {
+fn old_records_dropped() {
     let mut fold = OrderFold::new(WINDOW);
     fold.start_from(41);
     let record = data(&claims("gh-e1", 1, &[(&key(0), "r-1")]));
--- a/crates/fold/tests/restart.rs
+++ b/crates/fold/tests/restart.rs
@@ -94,7 +94,7 @@
     assert_eq!((new.offset(), new.next()), (5, 6));
 }
 
-/// The state of a peer that has read beyond all buffered records makes these superfluous.
+/// The state of a peer that has read beyond all buffered records replaces them.
 #[test]
 fn peer_passes_wait() {
     let (log, _, four) = five_records();
--- a/crates/fold/tests/snapshots.rs
+++ b/crates/fold/tests/snapshots.rs
@@ -18,7 +18,7 @@
 const P: &str = "proof-desk";
 
 #[test]
-fn lapsed_records() {
+fn records_dropped() {
     let (mut t, mut log, mut old) = <(Transcript, Log, ConfigFold)>::default();
     let mut one = [("old entry", &mut old)];
     t.append(&mut log, &edit("e-1", "scribes", S, 0, "1"), &mut one);
@@ -60,34 +60,34 @@
 }
 
 #[test]
-fn lapsed_while_away() {
+fn dropped_while_behind() {
     let mut log = Log::default();
     let mut ahead = ConfigFold::new();
-    let mut away = ConfigFold::new();
+    let mut behind = ConfigFold::new();
     for base in 0..6 {
         log.append(&edit(&format!("e-{base}"), "scribes", S, base, "1"));
     }
-    log.feed(&mut away, 1).unwrap();
+    log.feed(&mut behind, 1).unwrap();
     log.feed_all(&mut ahead);
-    let before = away.state().clone();
-    away.start_from(4);
-    assert!(!away.is_ready());
-    assert_eq!(away.next(), 4);
+    let before = behind.state().clone();
+    behind.start_from(4);
+    assert!(!behind.is_ready());
+    assert_eq!(behind.next(), 4);
     for offset in 4..=6 {
-        assert!(log.feed(&mut away, offset).unwrap().is_empty());
+        assert!(log.feed(&mut behind, offset).unwrap().is_empty());
     }
-    assert_eq!(away.state(), &before);
+    assert_eq!(behind.state(), &before);
     // The fold has a gap in its state, so it must not offer a snapshot.
-    assert!(away.snapshot().is_none());
+    assert!(behind.snapshot().is_none());
     log.append(&ahead.snapshot().unwrap());
     log.feed_all(&mut ahead);
-    log.feed_all(&mut away);
-    assert!(away.is_ready());
-    assert_eq!(away.state(), ahead.state());
+    log.feed_all(&mut behind);
+    assert!(behind.is_ready());
+    assert_eq!(behind.state(), ahead.state());
 }
 
 #[test]
-fn nothing_lapsed() {
+fn nothing_dropped() {
     let mut log = Log::default();
     log.append(&edit("e-1", "scribes", S, 0, "1"));
     let mut fold = ConfigFold::new();
