--- a/crates/fold/src/edits.rs
+++ b/crates/fold/src/edits.rs
@@ -1,4 +1,4 @@
-//! What became of the latest edits of each service.
+//! Results of the latest edits of each service.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,17 +8,17 @@
 
 use crate::rules::Refusal;
 
-/// Edits that are remembered for each service.
-const REMEMBERED: usize = 256;
+/// Maximum number of edits that are kept for each service.
+const MAX_KEPT_EDITS: usize = 256;
 
-/// Edits of each service that a snapshot carries on, so that it stays far below the longest
-/// record that the log takes.
-const CARRIED: usize = 8;
+/// Maximum number of edits of each service in a snapshot, so that a snapshot stays far below the
+/// maximum length of a record.
+const MAX_SNAPSHOT_EDITS: usize = 8;
 
-/// Edits that a history lists.
-const LISTED: usize = 64;
+/// Maximum number of edits that a history lists.
+const MAX_LISTED_EDITS: usize = 64;
 
-/// What the fold decided about an edit.
+/// Decision of the fold about an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "kebab-case")]
 pub enum Verdict {
@@ -33,12 +33,12 @@
     /// The edit changed nothing.
     #[display("refused: {refusal}")]
     Refused {
-        /// Why, and what stands instead.
+        /// The reason, and the accepted edit that is in its place.
         refusal: Refusal,
     },
 }
 
-/// One edit and what became of it.
+/// One edit and its result.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[display("{edit_id} was {verdict}")]
 pub struct EditResult {
@@ -50,28 +50,28 @@
     pub team: TeamName,
     /// The revision that the operator edited.
     pub base: Offset,
-    /// Digest of the edit, which tells a re-send from another edit under the same id.
+    /// Digest of the edit, which distinguishes a re-send from another edit with the same id.
     pub digest: Digest,
-    /// What was decided.
+    /// The decision.
     pub verdict: Verdict,
 }
 
 /// The latest edits of each service, oldest first.
 ///
-/// This is for answers to operators only. The state never depends on it, because two folds need
-/// not remember the same edits.
+/// The history only serves answers to operators. The state never depends on it, because two folds
+/// may keep different edits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub(crate) struct EditMemory {
+pub(crate) struct EditHistory {
     services: BTreeMap<ServiceName, VecDeque<EditResult>>,
 }
 
-impl EditMemory {
-    /// Remembers `result`, which is newer than all others of `service`.
+impl EditHistory {
+    /// Adds `result`, which is newer than all others of `service`.
     pub(crate) fn push(&mut self, service: &str, result: EditResult) {
         let edits = self.services.entry(service.to_owned()).or_default();
         edits.push_back(result);
-        if edits.len() > REMEMBERED {
+        if edits.len() > MAX_KEPT_EDITS {
             edits.pop_front();
         }
     }
@@ -82,7 +82,7 @@
             .find(|result| result.edit_id == edit_id)
     }
 
-    /// Returns the first edit that a record with `edit_id` and `digest` is a re-send of.
+    /// Returns the edit of which a record with `edit_id` and `digest` is a re-send.
     pub(crate) fn find_same(
         &self,
         service: &str,
@@ -102,22 +102,25 @@
             .map(|result| &result.edit_id)
     }
 
-    /// Says whether the edit is known that was accepted on top of `base`. There is one at most, so
-    /// any other edit on that base is sure to have been refused.
-    pub(crate) fn knows_successor(&self, service: &str, base: Offset) -> bool {
+    /// Returns whether the history holds the edit that was accepted on `base`. There is at most one,
+    /// so every other edit on that base must have been refused.
+    pub(crate) fn has_successor(&self, service: &str, base: Offset) -> bool {
         self.newest_first(service)
             .any(|result| result.base == base && matches!(result.verdict, Verdict::Accepted { .. }))
     }
 
     /// Returns the latest edits of `service`, newest first.
     pub(crate) fn history(&self, service: &str) -> Vec<EditResult> {
-        self.newest_first(service).take(LISTED).cloned().collect()
+        self.newest_first(service)
+            .take(MAX_LISTED_EDITS)
+            .cloned()
+            .collect()
     }
 
-    /// Returns what a snapshot carries on.
-    pub(crate) fn carried(&self) -> Self {
+    /// Returns the edits that go into a snapshot.
+    pub(crate) fn for_snapshot(&self) -> Self {
         let newest = |edits: &VecDeque<EditResult>| {
-            let skipped = edits.len().saturating_sub(CARRIED);
+            let skipped = edits.len().saturating_sub(MAX_SNAPSHOT_EDITS);
             edits.iter().skip(skipped).cloned().collect()
         };
         Self {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Adds the edits of `other` that are not here, in the order of their offsets.
+    /// Adds the edits of `other` that this history lacks, in the order of their offsets.
     pub(crate) fn merge(&mut self, other: Self) {
         for (service, theirs) in other.services {
             let ours = self.services.entry(service).or_default();
@@ -137,7 +140,7 @@
             for result in theirs.into_iter().chain(ours.drain(..)) {
                 all.insert(result.offset, result);
             }
-            let skipped = all.len().saturating_sub(REMEMBERED);
+            let skipped = all.len().saturating_sub(MAX_KEPT_EDITS);
             ours.extend(all.into_values().skip(skipped));
         }
     }
