--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -100,10 +100,10 @@
             return count;
         }
         let from = self.last_seen.map_or(0, |chunk| chunk + 1);
-        let windows = 1 + self.stalls_since(self.moved_at, now);
+        let windows = 1 + self.takeover_delays_since(self.moved_at, now);
         let by_last = from.saturating_add(self.tuning.window.saturating_mul(windows));
         let more = if self.has_drawn() {
-            self.stalls_since(self.arrived_at, now)
+            self.takeover_delays_since(self.arrived_at, now)
         } else {
             windows / QUIET_WINDOWS
         };
@@ -118,14 +118,14 @@
     }
 
     /// Returns how many waits for another VM's draw have passed since `moment` without a failure of the origin.
-    fn stalls_since(&self, moment: Instant, now: Instant) -> u32 {
+    fn takeover_delays_since(&self, moment: Instant, now: Instant) -> u32 {
         let since = moment.max(self.origin_failed_at);
         let quiet = now.saturating_duration_since(since);
-        let stalls = quiet.as_secs_f64() / self.stall().as_secs_f64();
+        let delays = quiet.as_secs_f64() / self.takeover_delay().as_secs_f64();
         // The value is small and not negative.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let stalls = stalls as u32;
-        stalls
+        let delays = delays as u32;
+        delays
     }
 
     /// Returns up to where [`MOST_WINDOWS`] and `more` hold the chunks that are missing and at no neighbour.
@@ -178,7 +178,7 @@
                 let let_go = self.let_go_at[*chunk as usize].unwrap_or(now);
                 let seen = self.peers.unseen_since(*chunk).max(self.origin_failed_at);
                 let since = seen.max(free_at).max(let_go);
-                now.saturating_duration_since(since) >= self.stall_of(*chunk)
+                now.saturating_duration_since(since) >= self.takeover_delay_of(*chunk)
             });
         unseen.or_else(|| self.rescue(now))
     }
@@ -190,7 +190,7 @@
         let quiet = now.saturating_duration_since(since);
         self.open()
             .filter(|chunk| self.ranking.position(*chunk) != NEVER)
-            .filter(|chunk| quiet >= self.stall() + self.stall_of(*chunk))
+            .filter(|chunk| quiet >= self.takeover_delay() + self.takeover_delay_of(*chunk))
             .min_by_key(|chunk| (self.ranking.position(*chunk), self.order[*chunk as usize]))
     }
 
@@ -251,7 +251,7 @@
             self.drawn_at = Some(now);
             return;
         }
-        let is_quiet = self.draws() == 0 && self.stalls_since(self.arrived_at, now) > 0;
+        let is_quiet = self.draws() == 0 && self.takeover_delays_since(self.arrived_at, now) > 0;
         if is_quiet && self.has_drawn() {
             self.blocked_at.get_or_insert(now);
         }
@@ -263,25 +263,29 @@
     /// others. A chunk drawn by a VM that is no neighbour takes some hops to be seen. Neither is a
     /// reason to draw in the others' place. Nor is time in which the origin fails: whoever waits
     /// starts anew when it does.
-    fn stall(&self) -> Duration {
+    fn takeover_delay(&self) -> Duration {
         let span = self.drawn_at.map_or(Duration::ZERO, |at| {
             at.saturating_duration_since(self.started)
         });
         let draw = self.origin_pace.usual().unwrap_or_default() * 2;
         let hops = self.peer_pace.usual().unwrap_or_default() * HOPS;
-        self.tuning.stall.max(draw).max(span / 2).max(hops)
+        self.tuning.takeover_delay.max(draw).max(span / 2).max(hops)
     }
 
     /// Returns how long the own VM waits for those that rank before it for `chunk`.
-    fn stall_of(&self, chunk: ChunkIndex) -> Duration {
-        let ranks = self.ranking.position(chunk).min(self.tuning.stall_ranks);
+    fn takeover_delay_of(&self, chunk: ChunkIndex) -> Duration {
+        let ranks = self
+            .ranking
+            .position(chunk)
+            .min(self.tuning.max_takeover_delays);
         // The jitter is fixed per chunk and VM, so that a wait is not drawn anew at every look.
         let jitter = f64::from(self.order[chunk as usize]) / f64::from(self.have.capacity());
-        let far = if self.ranking.position(chunk) >= self.tuning.stall_ranks {
-            f64::from(self.tuning.stall_ranks)
+        let far = if self.ranking.position(chunk) >= self.tuning.max_takeover_delays {
+            f64::from(self.tuning.max_takeover_delays)
         } else {
             0.5
         };
-        self.stall().mul_f64(f64::from(ranks) + jitter * far)
+        self.takeover_delay()
+            .mul_f64(f64::from(ranks) + jitter * far)
     }
 }
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -153,7 +153,7 @@
             return true;
         }
         let ranks = self.ranking.home_position(chunk);
-        let ranks = ranks.min(self.tuning.stall_ranks);
+        let ranks = ranks.min(self.tuning.max_takeover_delays);
         let seen_for = self.seen_at[chunk as usize]
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         seen_for >= wait * ranks
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -31,9 +31,9 @@
     /// How many chunks after the last one seen may be drawn by those first in their ranking.
     pub window: u32,
     /// How long the next in a chunk's ranking waits before it draws in place of the one before.
-    pub stall: Duration,
+    pub takeover_delay: Duration,
     /// Highest number of stalls that a VM far down a ranking waits.
-    pub stall_ranks: u32,
+    pub max_takeover_delays: u32,
     /// How long an unreachable peer still counts as one that will draw.
     pub lost_after: Duration,
     /// What a fetch is taken to last until one has ended.
@@ -68,8 +68,8 @@
             far: 5,
             learn: Duration::from_millis(250),
             window: 12,
-            stall: Duration::from_secs(1),
-            stall_ranks: 8,
+            takeover_delay: Duration::from_secs(1),
+            max_takeover_delays: 8,
             lost_after: Duration::from_secs(1),
             first_guess: Duration::from_secs(1),
             patience: Duration::from_millis(500),
@@ -95,7 +95,7 @@
         let fit = WINDOW.as_nanos() / draw_time.as_nanos();
         self.window = u32::try_from(fit).unwrap_or(MOST).clamp(FEWEST, MOST);
         let together = draw_time.saturating_mul(self.window);
-        self.stall = self.stall.max(together.saturating_mul(3));
+        self.takeover_delay = self.takeover_delay.max(together.saturating_mul(3));
         self
     }
 }
--- a/crates/spread/tests/slow_origin.rs
+++ b/crates/spread/tests/slow_origin.rs
@@ -27,7 +27,7 @@
     let tuning = Tuning {
         learn: Duration::from_millis(120),
         window: 24,
-        stall: Duration::from_millis(500),
+        takeover_delay: Duration::from_millis(500),
         ..Tuning::default()
     };
     let mut setup = Setup::new(97, 96, settings, 3);
@@ -70,10 +70,10 @@
 fn window(#[case] draw_ms: u64, #[case] chunks: u32, #[case] stall_ms: u64) {
     let tuning = Tuning {
         window: 24,
-        stall: Duration::from_millis(500),
+        takeover_delay: Duration::from_millis(500),
         ..Tuning::default()
     };
     let tuning = tuning.with_draw_time(Some(Duration::from_millis(draw_ms)));
     assert_eq!(tuning.window, chunks);
-    assert_eq!(tuning.stall, Duration::from_millis(stall_ms));
+    assert_eq!(tuning.takeover_delay, Duration::from_millis(stall_ms));
 }
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -54,7 +54,7 @@
     let tuning = Tuning {
         learn: Duration::from_millis(120),
         window: 24,
-        stall: Duration::from_millis(500),
+        takeover_delay: Duration::from_millis(500),
         lost_after: Duration::from_millis(500),
         first_guess: Duration::from_millis(150),
         patience: Duration::from_millis(250),
