--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -55,7 +55,7 @@
 
     /// Chooses the next draw, if one is due.
     fn next_draw(&self, now: Instant) -> Option<(ChunkIndex, Reason)> {
-        if !self.has_learned(now) {
+        if !self.neighbours_known(now) {
             return None;
         }
         if let Some(chunk) = self.first_draw(now) {
@@ -70,8 +70,8 @@
     /// Says whether the neighbours had their chance to say what they have.
     ///
     /// A VM that starts among others that have the bundle must not draw it again.
-    fn has_learned(&self, now: Instant) -> bool {
-        let is_late = now.saturating_duration_since(self.started) >= self.tuning.learn;
+    fn neighbours_known(&self, now: Instant) -> bool {
+        let is_late = now.saturating_duration_since(self.started) >= self.tuning.learn_timeout;
         is_late || self.settings.policy != SpreadPolicy::Balanced || self.peers.all_answered()
     }
 
@@ -240,7 +240,7 @@
     /// VMs that are there and draw nothing leave chunks unseen until these fill the windows. The others have chunks
     /// left to draw then, but none that was let go: only draws in the place of those VMs move the windows on.
     fn note_drawn(&mut self, now: Instant) {
-        if self.drawn_at.is_some() || !self.has_learned(now) {
+        if self.drawn_at.is_some() || !self.neighbours_known(now) {
             return;
         }
         let left = self
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -27,7 +27,7 @@
     /// Neighbours over all data centres, besides the near ones.
     pub far: usize,
     /// How long the first draw waits for the neighbours to say what they have.
-    pub learn: Duration,
+    pub learn_timeout: Duration,
     /// How many chunks after the last one seen may be drawn by those first in their ranking.
     pub window: u32,
     /// How long the next in a chunk's ranking waits before it draws in place of the one before.
@@ -66,7 +66,7 @@
             per_peer: 1,
             near: 10,
             far: 5,
-            learn: Duration::from_millis(250),
+            learn_timeout: Duration::from_millis(250),
             window: 12,
             takeover_delay: Duration::from_secs(1),
             max_takeover_delays: 8,
--- a/crates/spread/tests/slow_origin.rs
+++ b/crates/spread/tests/slow_origin.rs
@@ -25,7 +25,7 @@
         rate: None,
     };
     let tuning = Tuning {
-        learn: Duration::from_millis(120),
+        learn_timeout: Duration::from_millis(120),
         window: 24,
         takeover_delay: Duration::from_millis(500),
         ..Tuning::default()
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -52,7 +52,7 @@
 /// Numbers of the planner for chunks that take tens of milliseconds.
 fn tuning(draw_time: Option<Duration>) -> Tuning {
     let tuning = Tuning {
-        learn: Duration::from_millis(120),
+        learn_timeout: Duration::from_millis(120),
         window: 24,
         takeover_delay: Duration::from_millis(500),
         lost_after: Duration::from_millis(500),
