--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -353,7 +353,7 @@
         alive.retain(|vm, _| !self.lost.contains(vm));
         let mut neighbours = self.choose_neighbours(&alive);
         self.place(&alive, neighbours.is_empty());
-        if self.tuning.cross.is_some() {
+        if self.tuning.cross_delay.is_some() {
             neighbours.extend(self.ranking.drawers_abroad());
         }
         self.watched = self.choose_neighbours(&all);
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -146,7 +146,7 @@
         if !peer.has(chunk) {
             return false;
         }
-        let Some(wait) = self.tuning.cross else {
+        let Some(wait) = self.tuning.cross_delay else {
             return true;
         };
         if peer.site.data_centre == self.own.data_centre {
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -52,7 +52,7 @@
     /// another data centre in place of the one before; none lets every VM fetch from anywhere.
     ///
     /// With it each chunk crosses into a data centre once.
-    pub cross: Option<Duration>,
+    pub cross_delay: Option<Duration>,
     /// First pause after the origin refused or failed, doubled with each failure in a row.
     pub origin_pause: Duration,
     /// Longest pause after the origin refused or failed, unless it asks for a longer one.
@@ -77,7 +77,7 @@
             give_up_factor: 8,
             penalty: Duration::from_millis(250),
             busy: Duration::from_millis(30),
-            cross: None,
+            cross_delay: None,
             origin_pause: Duration::from_millis(200),
             origin_pause_most: Duration::from_secs(2),
         }
--- a/crates/spread/tests/crossing.rs
+++ b/crates/spread/tests/crossing.rs
@@ -63,7 +63,7 @@
     let tuning = Tuning {
         parallel: CHUNKS as usize,
         per_peer: CHUNKS as usize,
-        cross: Some(WAIT),
+        cross_delay: Some(WAIT),
         ..Tuning::default()
     };
     let mut planner = Planner::new(cfg, now).with_tuning(tuning);
@@ -148,7 +148,7 @@
             seed: 7,
         };
         let tuning = Tuning {
-            cross: Some(WAIT),
+            cross_delay: Some(WAIT),
             near: 3,
             far: 1,
             ..Tuning::default()
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -59,7 +59,7 @@
         first_guess: Duration::from_millis(150),
         patience: Duration::from_millis(250),
         penalty: Duration::from_millis(100),
-        cross: Some(Duration::from_millis(900)),
+        cross_delay: Some(Duration::from_millis(900)),
         origin_pause: Duration::from_millis(100),
         origin_pause_most: Duration::from_millis(800),
         ..Tuning::default()
