--- a/crates/spread/src/pace.rs
+++ b/crates/spread/src/pace.rs
@@ -37,7 +37,7 @@
     ///
     /// It doubles with each fetch that is given up, so that a guess far too short can't give up
     /// every fetch for ever.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn timeout_base(&self) -> Duration {
         let usual = self.usual.unwrap_or(self.guess);
         usual.saturating_mul(1 << self.given_up.min(DOUBLINGS))
     }
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -43,9 +43,9 @@
 
     /// Drops fetches that take far too long, and passes over their source for a while.
     pub(crate) fn give_up(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let factor = self.tuning.give_up_factor;
-        let peer_limit = self.limit(self.peer_pace.patience() * factor);
-        let origin_limit = self.limit(self.origin_pace.patience() * factor);
+        let factor = self.tuning.timeout_factor;
+        let peer_limit = self.limit(self.peer_pace.timeout_base() * factor);
+        let origin_limit = self.limit(self.origin_pace.timeout_base() * factor);
         let old: Vec<FetchId> = self
             .active
             .iter()
@@ -118,7 +118,7 @@
 
     /// Chooses the chunk that has been on its way longest, and another neighbour that has it.
     fn next_hedge(&mut self, now: Instant) -> Option<(ChunkIndex, VmId)> {
-        let limit = self.limit(self.peer_pace.patience() * self.tuning.hedge_factor);
+        let limit = self.limit(self.peer_pace.timeout_base() * self.tuning.hedge_factor);
         let usable = self.usable(now);
         let mut slow: Vec<(Instant, ChunkIndex)> = self
             .active
@@ -208,6 +208,6 @@
 
     /// Returns `usual`, but no less than the shortest patience.
     fn limit(&self, usual: Duration) -> Duration {
-        usual.max(self.tuning.patience)
+        usual.max(self.tuning.min_timeout)
     }
 }
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -37,13 +37,13 @@
     /// How long an unreachable peer still counts as one that will draw.
     pub lost_after: Duration,
     /// What a fetch is taken to last until one has ended.
-    pub first_guess: Duration,
+    pub initial_fetch_time: Duration,
     /// Shortest time after which a fetch is hedged or given up.
-    pub patience: Duration,
+    pub min_timeout: Duration,
     /// A fetch is hedged after so many times the usual duration.
     pub hedge_factor: u32,
     /// A fetch is given up after so many times the usual duration.
-    pub give_up_factor: u32,
+    pub timeout_factor: u32,
     /// How long a peer that failed is passed over, doubled with each failure in a row.
     pub penalty: Duration,
     /// How long a busy peer is passed over if it does not say.
@@ -71,10 +71,10 @@
             takeover_delay: Duration::from_secs(1),
             max_takeover_delays: 8,
             lost_after: Duration::from_secs(1),
-            first_guess: Duration::from_secs(1),
-            patience: Duration::from_millis(500),
+            initial_fetch_time: Duration::from_secs(1),
+            min_timeout: Duration::from_millis(500),
             hedge_factor: 3,
-            give_up_factor: 8,
+            timeout_factor: 8,
             penalty: Duration::from_millis(250),
             busy: Duration::from_millis(30),
             cross_delay: None,
