--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -36,7 +36,7 @@
         } else {
             1
         };
-        while self.draws() < most && self.origin_pause.is_over(now) {
+        while self.draws() < most && self.origin_backoff.is_over(now) {
             let Some((chunk, reason)) = self.next_draw(now) else {
                 return;
             };
--- a/crates/spread/src/pace.rs
+++ b/crates/spread/src/pace.rs
@@ -57,12 +57,12 @@
 
 /// When a source may be asked again.
 #[derive(Debug, Default)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     until: Option<Instant>,
     failures: u32,
 }
 
-impl Pause {
+impl Backoff {
     /// Says whether the source may be asked.
     pub(crate) fn is_over(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| until <= now)
@@ -80,10 +80,10 @@
     }
 
     /// Counts a failure and leaves the source alone for `first`, doubled with each failure
-    /// before, but no longer than `most`; `stretch` is a jitter from 0 to 1 that is added.
-    pub(crate) fn fail(&mut self, now: Instant, first: Duration, most: Duration, stretch: f64) {
+    /// before, but no longer than `most`; `jitter` is a jitter from 0 to 1 that is added.
+    pub(crate) fn fail(&mut self, now: Instant, first: Duration, most: Duration, jitter: f64) {
         let length = first.saturating_mul(1 << self.failures.min(DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        self.extend(now, length.min(most).mul_f64(1.0 + stretch));
+        self.extend(now, length.min(most).mul_f64(1.0 + jitter));
     }
 }
--- a/crates/spread/src/peers.rs
+++ b/crates/spread/src/peers.rs
@@ -5,7 +5,7 @@
 
 use wagtailreel_core::{ChunkIndex, VmId};
 
-use crate::pace::Pause;
+use crate::pace::Backoff;
 use crate::{ChunkSet, Site};
 
 /// Corrupt chunks that are put down to chance before a peer is judged by its share of them.
@@ -26,7 +26,7 @@
     pub(crate) active: usize,
     /// Chunks that it gave.
     pub(crate) given: u32,
-    pub(crate) pause: Pause,
+    pub(crate) backoff: Backoff,
     /// The last fetch from it broke, was given up or was corrupt: what it has can't be counted on.
     failing: bool,
     pub(crate) lost_since: Option<Instant>,
@@ -41,7 +41,7 @@
             corrupt: BTreeSet::new(),
             active: 0,
             given: 0,
-            pause: Pause::default(),
+            backoff: Backoff::default(),
             failing: false,
             lost_since: None,
         }
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -10,7 +10,7 @@
     ChunkIndex, DataCentre, Digest, SpreadPolicy, SpreadSettings, VmEntry, VmId, VmRole, VmState,
 };
 
-use crate::pace::{Pace, Pause};
+use crate::pace::{Backoff, Pace};
 use crate::peers::Peers;
 use crate::ranking::{NEVER, Ranking};
 use crate::{
@@ -18,7 +18,7 @@
 };
 
 /// Longest pause of a peer that keeps failing, in first pauses.
-const PENALTY_MOST: u32 = 32;
+const MAX_BACKOFF_FACTOR: u32 = 32;
 
 /// What a planner is made from.
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
     pub(crate) active: BTreeMap<FetchId, Active>,
     /// Fetches under way for each chunk.
     pub(crate) flying: Vec<u32>,
-    pub(crate) origin_pause: Pause,
+    pub(crate) origin_backoff: Backoff,
     /// When the origin last failed; the start if it never did.
     pub(crate) origin_failed_at: Instant,
     pub(crate) origin_pace: Pace,
@@ -109,7 +109,7 @@
             ranking,
             active: BTreeMap::new(),
             flying: vec![0; count as usize],
-            origin_pause: Pause::default(),
+            origin_backoff: Backoff::default(),
             origin_failed_at: now,
             origin_pace: Pace::new(tuning.initial_fetch_time),
             peer_pace: Pace::new(tuning.initial_fetch_time),
@@ -224,14 +224,14 @@
             match &active.from {
                 Source::Origin => {
                     self.origin_pace.observe(taken);
-                    self.origin_pause.clear();
+                    self.origin_backoff.clear();
                     self.drew_at = Some(now);
                 }
                 Source::Peer(vm) => {
                     self.peer_pace.observe(taken);
                     if let Some(peer) = self.peers.get_mut(vm) {
                         peer.given += 1;
-                        peer.pause.clear();
+                        peer.backoff.clear();
                     }
                     self.peers.set_failing(vm, false, now);
                 }
@@ -264,16 +264,16 @@
     /// Leaves the origin alone for a while.
     fn origin_failed(&mut self, failure: Failure, stretch: f64, now: Instant) {
         self.origin_failed_at = now;
-        let first = self.tuning.origin_pause;
-        let most = self.tuning.origin_pause_most;
-        self.origin_pause.fail(now, first, most, stretch);
+        let first = self.tuning.origin_backoff;
+        let most = self.tuning.max_origin_backoff;
+        self.origin_backoff.fail(now, first, most, stretch);
         if let Failure::Busy {
             retry_after: Some(asked),
         } = failure
         {
             // The jitter comes after what was asked, so that no VM is early.
-            let jitter = self.tuning.origin_pause.mul_f64(stretch);
-            self.origin_pause.extend(now, asked + jitter);
+            let jitter = self.tuning.origin_backoff.mul_f64(stretch);
+            self.origin_backoff.extend(now, asked + jitter);
         }
     }
 
@@ -289,22 +289,24 @@
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
-        let first = self.tuning.penalty;
+        let first = self.tuning.peer_backoff;
         match failure {
             Failure::Busy { retry_after } => {
-                let asked = retry_after.unwrap_or(self.tuning.busy);
+                let asked = retry_after.unwrap_or(self.tuning.busy_backoff);
                 // Half to one and a half of what was asked: VMs turned away together don't
                 // come back together.
-                peer.pause.extend(now, asked.mul_f64(0.5 + stretch));
+                peer.backoff.extend(now, asked.mul_f64(0.5 + stretch));
             }
             Failure::Absent => self.peers.remove_chunk(vm, chunk, now),
             Failure::Corrupt => {
-                peer.pause.fail(now, first, first * PENALTY_MOST, stretch);
+                peer.backoff
+                    .fail(now, first, first * MAX_BACKOFF_FACTOR, stretch);
                 self.peers.note_corrupt(vm, chunk, now);
                 self.peers.set_failing(vm, true, now);
             }
             Failure::Broken => {
-                peer.pause.fail(now, first, first * PENALTY_MOST, stretch);
+                peer.backoff
+                    .fail(now, first, first * MAX_BACKOFF_FACTOR, stretch);
                 self.peers.set_failing(vm, true, now);
             }
         }
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -77,7 +77,7 @@
                 self.peer_pace.give_up();
                 if let Some(peer) = self.peers.get_mut(vm) {
                     // A peer that held a place for long is not tried again soon.
-                    peer.pause.fail(now, age, age, stretch);
+                    peer.backoff.fail(now, age, age, stretch);
                 }
                 self.peers.set_failing(vm, true, now);
             }
@@ -184,7 +184,7 @@
         self.peers
             .neighbours()
             .filter(|(_, peer)| peer.active < per_peer)
-            .filter(|(_, peer)| peer.lost_since.is_none() && peer.pause.is_over(now))
+            .filter(|(_, peer)| peer.lost_since.is_none() && peer.backoff.is_over(now))
             .collect()
     }
 
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -45,18 +45,18 @@
     /// A fetch is given up after so many times the usual duration.
     pub timeout_factor: u32,
     /// How long a peer that failed is passed over, doubled with each failure in a row.
-    pub penalty: Duration,
+    pub peer_backoff: Duration,
     /// How long a busy peer is passed over if it does not say.
-    pub busy: Duration,
+    pub busy_backoff: Duration,
     /// How long the next in a chunk's ranking within a data centre waits before it fetches from
     /// another data centre in place of the one before; none lets every VM fetch from anywhere.
     ///
     /// With it each chunk crosses into a data centre once.
     pub cross_delay: Option<Duration>,
     /// First pause after the origin refused or failed, doubled with each failure in a row.
-    pub origin_pause: Duration,
+    pub origin_backoff: Duration,
     /// Longest pause after the origin refused or failed, unless it asks for a longer one.
-    pub origin_pause_most: Duration,
+    pub max_origin_backoff: Duration,
 }
 
 impl Default for Tuning {
@@ -75,11 +75,11 @@
             min_timeout: Duration::from_millis(500),
             hedge_factor: 3,
             timeout_factor: 8,
-            penalty: Duration::from_millis(250),
-            busy: Duration::from_millis(30),
+            peer_backoff: Duration::from_millis(250),
+            busy_backoff: Duration::from_millis(30),
             cross_delay: None,
-            origin_pause: Duration::from_millis(200),
-            origin_pause_most: Duration::from_secs(2),
+            origin_backoff: Duration::from_millis(200),
+            max_origin_backoff: Duration::from_secs(2),
         }
     }
 }
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -58,10 +58,10 @@
         lost_after: Duration::from_millis(500),
         initial_fetch_time: Duration::from_millis(150),
         min_timeout: Duration::from_millis(250),
-        penalty: Duration::from_millis(100),
+        peer_backoff: Duration::from_millis(100),
         cross_delay: Some(Duration::from_millis(900)),
-        origin_pause: Duration::from_millis(100),
-        origin_pause_most: Duration::from_millis(800),
+        origin_backoff: Duration::from_millis(100),
+        max_origin_backoff: Duration::from_millis(800),
         ..Tuning::default()
     };
     tuning.with_draw_time(draw_time)
