--- a/crates/spread/src/neighbours.rs
+++ b/crates/spread/src/neighbours.rs
@@ -12,7 +12,7 @@
 /// How many VMs fetch from one in the tree.
 const TREE_FAN_OUT: usize = 2;
 
-/// Chooses up to `near` neighbours in the own data centre and `far` over all data centres.
+/// Chooses up to `local` neighbours in the own data centre and `global` over all data centres.
 ///
 /// Each ring orders the VMs by a rendezvous score of its own, and a VM takes its successor. So a
 /// VM is the neighbour of about as many as it has neighbours itself, which balances what each
@@ -20,10 +20,10 @@
 pub(crate) fn choose(
     own: &Site,
     others: &BTreeMap<VmId, DataCentre>,
-    near: usize,
-    far: usize,
+    local: usize,
+    global: usize,
 ) -> BTreeSet<VmId> {
-    if others.len() <= near + far {
+    if others.len() <= local + global {
         return others.keys().cloned().collect();
     }
     let home: Vec<&str> = others
@@ -33,10 +33,10 @@
         .collect();
     let all: Vec<&str> = others.keys().map(String::as_str).collect();
     let mut chosen = BTreeSet::new();
-    for ring in 0..near {
+    for ring in 0..local {
         take_successor(&own.vm, &home, &format!("near {ring}"), &mut chosen);
     }
-    let missing = near + far - chosen.len();
+    let missing = local + global - chosen.len();
     for ring in 0..missing {
         take_successor(&own.vm, &all, &format!("far {ring}"), &mut chosen);
     }
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -367,9 +367,12 @@
     fn choose_neighbours(&self, others: &BTreeMap<VmId, DataCentre>) -> BTreeSet<VmId> {
         let policy = self.settings.policy;
         match policy {
-            SpreadPolicy::Balanced => {
-                neighbours::choose(&self.own, others, self.tuning.near, self.tuning.far)
-            }
+            SpreadPolicy::Balanced => neighbours::choose(
+                &self.own,
+                others,
+                self.tuning.local_neighbours,
+                self.tuning.global_neighbours,
+            ),
             SpreadPolicy::Origin => BTreeSet::new(),
             SpreadPolicy::Chain | SpreadPolicy::Tree => {
                 neighbours::parent(policy, &self.own, others)
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -23,9 +23,9 @@
     /// Most fetches from one peer at once.
     pub per_peer: usize,
     /// Neighbours in the own data centre.
-    pub near: usize,
+    pub local_neighbours: usize,
     /// Neighbours over all data centres, besides the near ones.
-    pub far: usize,
+    pub global_neighbours: usize,
     /// How long the first draw waits for the neighbours to say what they have.
     pub learn_timeout: Duration,
     /// How many chunks after the last one seen may be drawn by those first in their ranking.
@@ -64,8 +64,8 @@
         Self {
             parallel: 4,
             per_peer: 1,
-            near: 10,
-            far: 5,
+            local_neighbours: 10,
+            global_neighbours: 5,
             learn_timeout: Duration::from_millis(250),
             window: 12,
             takeover_delay: Duration::from_secs(1),
--- a/crates/spread/tests/crossing.rs
+++ b/crates/spread/tests/crossing.rs
@@ -45,7 +45,7 @@
     all
 }
 
-/// Makes the planner of a VM at home that knows that `far` has everything.
+/// Makes the planner of a VM at home that knows that `global_neighbours` has everything.
 fn planner(own: &str, now: Instant) -> (Planner, Vec<Action>) {
     let fleet = fleet();
     let site = fleet.iter().find(|it| it.vm == own).unwrap();
@@ -149,8 +149,8 @@
         };
         let tuning = Tuning {
             cross_delay: Some(WAIT),
-            near: 3,
-            far: 1,
+            local_neighbours: 3,
+            global_neighbours: 1,
             ..Tuning::default()
         };
         let mut planner = Planner::new(cfg, now).with_tuning(tuning);
