--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -267,8 +267,8 @@
         let span = self.drawn_at.map_or(Duration::ZERO, |at| {
             at.saturating_duration_since(self.started)
         });
-        let draw = self.origin_pace.usual().unwrap_or_default() * 2;
-        let hops = self.peer_pace.usual().unwrap_or_default() * HOPS;
+        let draw = self.origin_fetch_time.average().unwrap_or_default() * 2;
+        let hops = self.peer_fetch_time.average().unwrap_or_default() * HOPS;
         self.tuning.takeover_delay.max(draw).max(span / 2).max(hops)
     }
 
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -8,11 +8,11 @@
 mod draw;
 mod event;
 mod neighbours;
-mod pace;
 mod peers;
 mod planner;
 mod ranking;
 mod spread;
+mod timing;
 mod tuning;
 
 pub use chunk_set::ChunkSet;
--- a/crates/spread/src/peers.rs
+++ b/crates/spread/src/peers.rs
@@ -5,7 +5,7 @@
 
 use wagtailreel_core::{ChunkIndex, VmId};
 
-use crate::pace::Backoff;
+use crate::timing::Backoff;
 use crate::{ChunkSet, Site};
 
 /// Corrupt chunks that are put down to chance before a peer is judged by its share of them.
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -10,9 +10,9 @@
     ChunkIndex, DataCentre, Digest, SpreadPolicy, SpreadSettings, VmEntry, VmId, VmRole, VmState,
 };
 
-use crate::pace::{Backoff, Pace};
 use crate::peers::Peers;
 use crate::ranking::{NEVER, Ranking};
+use crate::timing::{Backoff, FetchTime};
 use crate::{
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Reason, Site, Source, Tuning, neighbours,
 };
@@ -65,8 +65,8 @@
     pub(crate) origin_backoff: Backoff,
     /// When the origin last failed; the start if it never did.
     pub(crate) origin_failed_at: Instant,
-    pub(crate) origin_pace: Pace,
-    pub(crate) peer_pace: Pace,
+    pub(crate) origin_fetch_time: FetchTime,
+    pub(crate) peer_fetch_time: FetchTime,
     pub(crate) started: Instant,
     /// When the last draw arrived.
     pub(crate) drew_at: Option<Instant>,
@@ -111,8 +111,8 @@
             flying: vec![0; count as usize],
             origin_backoff: Backoff::default(),
             origin_failed_at: now,
-            origin_pace: Pace::new(tuning.initial_fetch_time),
-            peer_pace: Pace::new(tuning.initial_fetch_time),
+            origin_fetch_time: FetchTime::new(tuning.initial_fetch_time),
+            peer_fetch_time: FetchTime::new(tuning.initial_fetch_time),
             tuning,
             started: now,
             drew_at: None,
@@ -164,7 +164,7 @@
         }
         self.review_lost(now);
         self.note_seen(now);
-        self.give_up(now, &mut actions);
+        self.cancel_overdue(now, &mut actions);
         if !self.is_done() {
             self.draw(now, &mut actions);
             self.spread(now, &mut actions);
@@ -220,18 +220,18 @@
         self.have.insert(chunk);
         self.arrived_at = now;
         if let Some(active) = self.end(id) {
-            let taken = now.saturating_duration_since(active.since);
+            let duration = now.saturating_duration_since(active.since);
             match &active.from {
                 Source::Origin => {
-                    self.origin_pace.observe(taken);
-                    self.origin_backoff.clear();
+                    self.origin_fetch_time.observe(duration);
+                    self.origin_backoff.reset();
                     self.drew_at = Some(now);
                 }
                 Source::Peer(vm) => {
-                    self.peer_pace.observe(taken);
+                    self.peer_fetch_time.observe(duration);
                     if let Some(peer) = self.peers.get_mut(vm) {
                         peer.given += 1;
-                        peer.backoff.clear();
+                        peer.backoff.reset();
                     }
                     self.peers.set_failing(vm, false, now);
                 }
@@ -254,25 +254,26 @@
         let Some(active) = self.end(id) else {
             return;
         };
-        let stretch = self.rng.random();
+        let jitter_factor = self.rng.random();
         match &active.from {
-            Source::Origin => self.origin_failed(failure, stretch, now),
-            Source::Peer(vm) => self.peer_failed(vm, active.chunk, failure, stretch, now),
+            Source::Origin => self.origin_failed(failure, jitter_factor, now),
+            Source::Peer(vm) => self.peer_failed(vm, active.chunk, failure, jitter_factor, now),
         }
     }
 
     /// Leaves the origin alone for a while.
-    fn origin_failed(&mut self, failure: Failure, stretch: f64, now: Instant) {
+    fn origin_failed(&mut self, failure: Failure, jitter_factor: f64, now: Instant) {
         self.origin_failed_at = now;
         let first = self.tuning.origin_backoff;
         let most = self.tuning.max_origin_backoff;
-        self.origin_backoff.fail(now, first, most, stretch);
+        self.origin_backoff
+            .record_failure(now, first, most, jitter_factor);
         if let Failure::Busy {
             retry_after: Some(asked),
         } = failure
         {
             // The jitter comes after what was asked, so that no VM is early.
-            let jitter = self.tuning.origin_backoff.mul_f64(stretch);
+            let jitter = self.tuning.origin_backoff.mul_f64(jitter_factor);
             self.origin_backoff.extend(now, asked + jitter);
         }
     }
@@ -283,7 +284,7 @@
         vm: &str,
         chunk: ChunkIndex,
         failure: Failure,
-        stretch: f64,
+        jitter_factor: f64,
         now: Instant,
     ) {
         let Some(peer) = self.peers.get_mut(vm) else {
@@ -295,18 +296,18 @@
                 let asked = retry_after.unwrap_or(self.tuning.busy_backoff);
                 // Half to one and a half of what was asked: VMs turned away together don't
                 // come back together.
-                peer.backoff.extend(now, asked.mul_f64(0.5 + stretch));
+                peer.backoff.extend(now, asked.mul_f64(0.5 + jitter_factor));
             }
             Failure::Absent => self.peers.remove_chunk(vm, chunk, now),
             Failure::Corrupt => {
                 peer.backoff
-                    .fail(now, first, first * MAX_BACKOFF_FACTOR, stretch);
+                    .record_failure(now, first, first * MAX_BACKOFF_FACTOR, jitter_factor);
                 self.peers.note_corrupt(vm, chunk, now);
                 self.peers.set_failing(vm, true, now);
             }
             Failure::Broken => {
                 peer.backoff
-                    .fail(now, first, first * MAX_BACKOFF_FACTOR, stretch);
+                    .record_failure(now, first, first * MAX_BACKOFF_FACTOR, jitter_factor);
                 self.peers.set_failing(vm, true, now);
             }
         }
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -42,10 +42,10 @@
     }
 
     /// Drops fetches that take far too long, and passes over their source for a while.
-    pub(crate) fn give_up(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn cancel_overdue(&mut self, now: Instant, out: &mut Vec<Action>) {
         let factor = self.tuning.timeout_factor;
-        let peer_limit = self.limit(self.peer_pace.timeout_base() * factor);
-        let origin_limit = self.limit(self.origin_pace.timeout_base() * factor);
+        let peer_limit = self.limit(self.peer_fetch_time.timeout_base() * factor);
+        let origin_limit = self.limit(self.origin_fetch_time.timeout_base() * factor);
         let old: Vec<FetchId> = self
             .active
             .iter()
@@ -59,25 +59,25 @@
             .map(|(id, _)| *id)
             .collect();
         for id in old {
-            self.give_up_one(id, now);
+            self.cancel_overdue_fetch(id, now);
             out.push(Action::Cancel { id });
         }
     }
 
     /// Drops one fetch, and passes over its source for a while.
-    fn give_up_one(&mut self, id: FetchId, now: Instant) {
+    fn cancel_overdue_fetch(&mut self, id: FetchId, now: Instant) {
         let Some(active) = self.end(id) else {
             return;
         };
         let age = now.saturating_duration_since(active.since);
-        let stretch = self.rng.random();
+        let jitter = self.rng.random();
         match &active.from {
-            Source::Origin => self.origin_pace.give_up(),
+            Source::Origin => self.origin_fetch_time.record_timeout(),
             Source::Peer(vm) => {
-                self.peer_pace.give_up();
+                self.peer_fetch_time.record_timeout();
                 if let Some(peer) = self.peers.get_mut(vm) {
                     // A peer that held a place for long is not tried again soon.
-                    peer.backoff.fail(now, age, age, stretch);
+                    peer.backoff.record_failure(now, age, age, jitter);
                 }
                 self.peers.set_failing(vm, true, now);
             }
@@ -118,7 +118,7 @@
 
     /// Chooses the chunk that has been on its way longest, and another neighbour that has it.
     fn next_hedge(&mut self, now: Instant) -> Option<(ChunkIndex, VmId)> {
-        let limit = self.limit(self.peer_pace.timeout_base() * self.tuning.hedge_factor);
+        let limit = self.limit(self.peer_fetch_time.timeout_base() * self.tuning.hedge_factor);
         let usable = self.usable(now);
         let mut slow: Vec<(Instant, ChunkIndex)> = self
             .active
@@ -206,8 +206,8 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Returns `usual`, but no less than the shortest patience.
-    fn limit(&self, usual: Duration) -> Duration {
-        usual.max(self.tuning.min_timeout)
+    /// Returns `duration`, but no less than the shortest patience.
+    fn limit(&self, duration: Duration) -> Duration {
+        duration.max(self.tuning.min_timeout)
     }
 }
--- a/crates/spread/src/pace.rs
+++ b/crates/spread/src/timing.rs
@@ -3,34 +3,34 @@
 use std::time::{Duration, Instant};
 
 /// Weight of what was known against a new duration.
-const MEMORY: u32 = 3;
+const HISTORY_WEIGHT: u32 = 3;
 
 /// Most doublings of a pause.
-const DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// The usual duration of fetches.
 #[derive(Debug)]
-pub(crate) struct Pace {
-    guess: Duration,
+pub(crate) struct FetchTime {
+    initial: Duration,
     /// None until a fetch has succeeded.
-    usual: Option<Duration>,
+    average: Option<Duration>,
     /// Fetches given up since one succeeded.
-    given_up: u32,
+    timeouts: u32,
 }
 
-impl Pace {
+impl FetchTime {
     /// Makes a pace from a first guess.
-    pub(crate) const fn new(guess: Duration) -> Self {
+    pub(crate) const fn new(initial: Duration) -> Self {
         Self {
-            guess,
-            usual: None,
-            given_up: 0,
+            initial,
+            average: None,
+            timeouts: 0,
         }
     }
 
     /// Returns the usual duration; none until a fetch has succeeded.
-    pub(crate) const fn usual(&self) -> Option<Duration> {
-        self.usual
+    pub(crate) const fn average(&self) -> Option<Duration> {
+        self.average
     }
 
     /// Returns the duration from which limits are made.
@@ -38,20 +38,20 @@
     /// It doubles with each fetch that is given up, so that a guess far too short can't give up
     /// every fetch for ever.
     pub(crate) fn timeout_base(&self) -> Duration {
-        let usual = self.usual.unwrap_or(self.guess);
-        usual.saturating_mul(1 << self.given_up.min(DOUBLINGS))
+        let average = self.average.unwrap_or(self.initial);
+        average.saturating_mul(1 << self.timeouts.min(MAX_DOUBLINGS))
     }
 
     /// Takes in the duration of a fetch that succeeded.
-    pub(crate) fn observe(&mut self, taken: Duration) {
-        let usual = self.usual.unwrap_or(taken);
-        self.usual = Some((usual * MEMORY + taken) / (MEMORY + 1));
-        self.given_up = 0;
+    pub(crate) fn observe(&mut self, duration: Duration) {
+        let average = self.average.unwrap_or(duration);
+        self.average = Some((average * HISTORY_WEIGHT + duration) / (HISTORY_WEIGHT + 1));
+        self.timeouts = 0;
     }
 
     /// Takes in that a fetch was given up.
-    pub(crate) const fn give_up(&mut self) {
-        self.given_up = self.given_up.saturating_add(1);
+    pub(crate) const fn record_timeout(&mut self) {
+        self.timeouts = self.timeouts.saturating_add(1);
     }
 }
 
@@ -69,21 +69,27 @@
     }
 
     /// Ends the pause and forgets the failures.
-    pub(crate) fn clear(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Leaves the source alone until `now + length`, without counting a failure.
-    pub(crate) fn extend(&mut self, now: Instant, length: Duration) {
-        let until = now + length;
+    /// Leaves the source alone until `now + delay`, without counting a failure.
+    pub(crate) fn extend(&mut self, now: Instant, delay: Duration) {
+        let until = now + delay;
         self.until = Some(self.until.map_or(until, |before| before.max(until)));
     }
 
     /// Counts a failure and leaves the source alone for `first`, doubled with each failure
-    /// before, but no longer than `most`; `jitter` is a jitter from 0 to 1 that is added.
-    pub(crate) fn fail(&mut self, now: Instant, first: Duration, most: Duration, jitter: f64) {
-        let length = first.saturating_mul(1 << self.failures.min(DOUBLINGS));
+    /// before, but no longer than `max`; `jitter` is a jitter from 0 to 1 that is added.
+    pub(crate) fn record_failure(
+        &mut self,
+        now: Instant,
+        first: Duration,
+        max: Duration,
+        jitter: f64,
+    ) {
+        let delay = first.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        self.extend(now, length.min(most).mul_f64(1.0 + jitter));
+        self.extend(now, delay.min(max).mul_f64(1.0 + jitter));
     }
 }
