--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -29,7 +29,7 @@
 impl Planner {
     /// Starts draws that are due.
     pub(crate) fn draw(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.note_moved(now);
+        self.update_frontier(now);
         self.note_drawn(now);
         let most = if self.peers.iter().count() <= FEW_VMS {
             FEW_VMS_DRAWS
@@ -99,15 +99,15 @@
         if self.settings.policy != SpreadPolicy::Balanced {
             return count;
         }
-        let from = self.last_seen.map_or(0, |chunk| chunk + 1);
-        let windows = 1 + self.takeover_delays_since(self.moved_at, now);
+        let from = self.highest_available.map_or(0, |chunk| chunk + 1);
+        let windows = 1 + self.takeover_delays_since(self.frontier_moved_at, now);
         let by_last = from.saturating_add(self.tuning.window.saturating_mul(windows));
         let more = if self.has_drawn() {
             self.takeover_delays_since(self.arrived_at, now)
         } else {
             windows / QUIET_WINDOWS
         };
-        by_last.min(self.unseen_frontier(more))
+        by_last.min(self.unavailable_frontier(more))
     }
 
     /// Says whether the origin has given a chunk since it last failed.
@@ -132,12 +132,12 @@
     ///
     /// A VM that is there and draws nothing, for want of memory, leaves its chunks unseen for good: without more
     /// windows the others would never get as far as to draw them in its place.
-    fn unseen_frontier(&self, more: u32) -> ChunkIndex {
+    fn unavailable_frontier(&self, more: u32) -> ChunkIndex {
         let windows = MOST_WINDOWS.saturating_add(more);
         let most = self.tuning.window.saturating_mul(windows) as usize;
-        let unseen = self.have.missing();
-        let mut unseen = unseen.filter(|chunk| self.peers.holders(*chunk) == 0);
-        unseen.nth(most).unwrap_or(self.have.capacity())
+        let unavailable = self.have.missing();
+        let mut unavailable = unavailable.filter(|chunk| self.peers.holders(*chunk) == 0);
+        unavailable.nth(most).unwrap_or(self.have.capacity())
     }
 
     /// Returns the rarest chunk that the VM is second for and that its data centre lacks, if time
@@ -168,19 +168,22 @@
     fn takeover(&self, now: Instant) -> Option<ChunkIndex> {
         let free_at = self.blocked_at.or(self.drawn_at)?;
         let frontier = self.frontier(now);
-        let unseen = self
+        let unavailable = self
             .open()
             .take_while(|chunk| *chunk < frontier)
             .filter(|chunk| self.peers.holders(*chunk) == 0)
             .filter(|chunk| self.ranking.position(*chunk) != NEVER)
             .find(|chunk| {
                 // Until a chunk was let go, nobody was late with it.
-                let let_go = self.let_go_at[*chunk as usize].unwrap_or(now);
-                let seen = self.peers.unseen_since(*chunk).max(self.origin_failed_at);
-                let since = seen.max(free_at).max(let_go);
+                let released = self.released_at[*chunk as usize].unwrap_or(now);
+                let unavailable_since = self
+                    .peers
+                    .unavailable_since(*chunk)
+                    .max(self.origin_failed_at);
+                let since = unavailable_since.max(free_at).max(released);
                 now.saturating_duration_since(since) >= self.takeover_delay_of(*chunk)
             });
-        unseen.or_else(|| self.rescue(now))
+        unavailable.or_else(|| self.rescue(now))
     }
 
     /// Returns a chunk to draw although neighbours have it, because nothing has arrived for
@@ -217,21 +220,21 @@
     pub(crate) fn wanted(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         self.have
             .missing()
-            .filter(|chunk| self.flying[*chunk as usize] == 0)
+            .filter(|chunk| self.in_flight[*chunk as usize] == 0)
     }
 
     /// Notes when the last chunk that was seen moved on.
-    fn note_moved(&mut self, now: Instant) {
-        let seen = (0..self.have.capacity())
+    fn update_frontier(&mut self, now: Instant) {
+        let unavailable_since = (0..self.have.capacity())
             .rev()
             .find(|chunk| self.have.contains(*chunk) || self.peers.holders(*chunk) > 0);
-        if seen > self.last_seen {
-            self.last_seen = seen;
-            self.moved_at = now;
+        if unavailable_since > self.highest_available {
+            self.highest_available = unavailable_since;
+            self.frontier_moved_at = now;
         }
         let frontier = self.frontier(now) as usize;
-        for let_go in self.let_go_at.iter_mut().take(frontier) {
-            let_go.get_or_insert(now);
+        for released in self.released_at.iter_mut().take(frontier) {
+            released.get_or_insert(now);
         }
     }
 
--- a/crates/spread/src/peers.rs
+++ b/crates/spread/src/peers.rs
@@ -69,7 +69,7 @@
     all: BTreeMap<VmId, Peer>,
     neighbours: BTreeSet<VmId>,
     holders: Vec<u32>,
-    unseen_since: Vec<Instant>,
+    unavailable_since: Vec<Instant>,
 }
 
 impl Peers {
@@ -79,7 +79,7 @@
             all: BTreeMap::new(),
             neighbours: BTreeSet::new(),
             holders: vec![0; chunks as usize],
-            unseen_since: vec![now; chunks as usize],
+            unavailable_since: vec![now; chunks as usize],
         }
     }
 
@@ -109,7 +109,7 @@
         }
         for (at, before) in before.into_iter().enumerate() {
             if before > 0 && self.holders[at] == 0 {
-                self.unseen_since[at] = now;
+                self.unavailable_since[at] = now;
             }
         }
     }
@@ -198,7 +198,7 @@
         let holders = &mut self.holders[chunk as usize];
         *holders = holders.saturating_sub(1);
         if *holders == 0 {
-            self.unseen_since[chunk as usize] = now;
+            self.unavailable_since[chunk as usize] = now;
         }
     }
 
@@ -230,8 +230,8 @@
     }
 
     /// Returns since when no neighbour has `chunk`; meaningless while one has it.
-    pub(crate) fn unseen_since(&self, chunk: ChunkIndex) -> Instant {
-        self.unseen_since[chunk as usize]
+    pub(crate) fn unavailable_since(&self, chunk: ChunkIndex) -> Instant {
+        self.unavailable_since[chunk as usize]
     }
 
     /// Returns the peers that have been out of reach for `after` or longer.
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -37,7 +37,7 @@
 
 /// A fetch under way.
 #[derive(Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveFetch {
     pub(crate) chunk: ChunkIndex,
     pub(crate) from: Source,
     pub(crate) since: Instant,
@@ -59,9 +59,9 @@
     pub(crate) order: Vec<u32>,
     pub(crate) peers: Peers,
     pub(crate) ranking: Ranking,
-    pub(crate) active: BTreeMap<FetchId, Active>,
+    pub(crate) active: BTreeMap<FetchId, ActiveFetch>,
     /// Fetches under way for each chunk.
-    pub(crate) flying: Vec<u32>,
+    pub(crate) in_flight: Vec<u32>,
     pub(crate) origin_backoff: Backoff,
     /// When the origin last failed; the start if it never did.
     pub(crate) origin_failed_at: Instant,
@@ -75,12 +75,12 @@
     /// When the windows had kept it from those draws for as long as others are waited for.
     pub(crate) blocked_at: Option<Instant>,
     /// The last chunk that the VM or a neighbour has had, and since when.
-    pub(crate) last_seen: Option<ChunkIndex>,
-    pub(crate) moved_at: Instant,
+    pub(crate) highest_available: Option<ChunkIndex>,
+    pub(crate) frontier_moved_at: Instant,
     /// Since when each chunk may be drawn by the VM that is first for it.
-    pub(crate) let_go_at: Vec<Option<Instant>>,
+    pub(crate) released_at: Vec<Option<Instant>>,
     /// Since when each chunk is known to be at a neighbour.
-    pub(crate) seen_at: Vec<Option<Instant>>,
+    pub(crate) available_at: Vec<Option<Instant>>,
     /// When the last chunk arrived.
     pub(crate) arrived_at: Instant,
     lost: BTreeSet<VmId>,
@@ -108,7 +108,7 @@
             peers: Peers::new(count, now),
             ranking,
             active: BTreeMap::new(),
-            flying: vec![0; count as usize],
+            in_flight: vec![0; count as usize],
             origin_backoff: Backoff::default(),
             origin_failed_at: now,
             origin_fetch_time: FetchTime::new(tuning.initial_fetch_time),
@@ -118,10 +118,10 @@
             drew_at: None,
             drawn_at: None,
             blocked_at: None,
-            last_seen: None,
-            moved_at: now,
-            let_go_at: vec![None; count as usize],
-            seen_at: vec![None; count as usize],
+            highest_available: None,
+            frontier_moved_at: now,
+            released_at: vec![None; count as usize],
+            available_at: vec![None; count as usize],
             arrived_at: now,
             lost: BTreeSet::new(),
             watched: BTreeSet::new(),
@@ -163,7 +163,7 @@
             Event::Tick => {}
         }
         self.review_lost(now);
-        self.note_seen(now);
+        self.note_available(now);
         self.cancel_overdue(now, &mut actions);
         if !self.is_done() {
             self.draw(now, &mut actions);
@@ -183,13 +183,13 @@
     ) -> Action {
         let id = self.next_id;
         self.next_id += 1;
-        self.flying[chunk as usize] += 1;
+        self.in_flight[chunk as usize] += 1;
         if let Source::Peer(vm) = &from
             && let Some(peer) = self.peers.get_mut(vm)
         {
             peer.active += 1;
         }
-        let active = Active {
+        let active = ActiveFetch {
             chunk,
             from: from.clone(),
             since: now,
@@ -204,9 +204,9 @@
     }
 
     /// Forgets a fetch that has ended or is dropped.
-    pub(crate) fn end(&mut self, id: FetchId) -> Option<Active> {
+    pub(crate) fn end(&mut self, id: FetchId) -> Option<ActiveFetch> {
         let active = self.active.remove(&id)?;
-        self.flying[active.chunk as usize] -= 1;
+        self.in_flight[active.chunk as usize] -= 1;
         if let Source::Peer(vm) = &active.from
             && let Some(peer) = self.peers.get_mut(vm)
         {
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -123,7 +123,7 @@
         let mut slow: Vec<(Instant, ChunkIndex)> = self
             .active
             .values()
-            .filter(|active| self.flying[active.chunk as usize] == 1)
+            .filter(|active| self.in_flight[active.chunk as usize] == 1)
             .filter(|active| now.saturating_duration_since(active.since) > limit)
             .map(|active| (active.since, active.chunk))
             .collect();
@@ -154,16 +154,16 @@
         }
         let ranks = self.ranking.home_position(chunk);
         let ranks = ranks.min(self.tuning.max_takeover_delays);
-        let seen_for = self.seen_at[chunk as usize]
+        let available_for = self.available_at[chunk as usize]
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        seen_for >= wait * ranks
+        available_for >= wait * ranks
     }
 
     /// Notes since when chunks are known to be at neighbours.
-    pub(crate) fn note_seen(&mut self, now: Instant) {
+    pub(crate) fn note_available(&mut self, now: Instant) {
         for chunk in 0..self.have.capacity() {
             if self.peers.holders(chunk) > 0 {
-                self.seen_at[chunk as usize].get_or_insert(now);
+                self.available_at[chunk as usize].get_or_insert(now);
             }
         }
     }
