--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -10,33 +10,33 @@
 use crate::{Action, Reason, Source};
 
 /// Draws of one VM at once, while VMs are few enough that one each would not fill the link.
-const FEW_VMS_DRAWS: usize = 2;
+const MAX_DRAWS_FEW_VMS: usize = 2;
 
 /// Up to this many other VMs, one draw each would not fill the origin's link.
 const FEW_VMS: usize = 3;
 
 /// Most windows of chunks that nobody is seen to have and that are drawn at once: one is under way, and another
 /// takes as long until its chunks are seen everywhere.
-const MOST_WINDOWS: u32 = 2;
+const MAX_WINDOWS: u32 = 2;
 
 /// Windows that open with time for each one more of unseen chunks, at a VM that has not drawn since the origin
 /// failed: an origin that is away for four copies' time opens one.
-const QUIET_WINDOWS: u32 = 16;
+const TIMED_WINDOWS_PER_EXTRA_WINDOW: u32 = 16;
 
 /// Fetches from peers in a row until a chunk is seen among the neighbours.
-const HOPS: u32 = 8;
+const HOPS_TO_NEIGHBOURS: u32 = 8;
 
 impl Planner {
     /// Starts draws that are due.
     pub(crate) fn draw(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.update_frontier(now);
-        self.note_drawn(now);
-        let most = if self.peers.iter().count() <= FEW_VMS {
-            FEW_VMS_DRAWS
+        self.update_own_draws(now);
+        let max_draws = if self.peers.iter().count() <= FEW_VMS {
+            MAX_DRAWS_FEW_VMS
         } else {
             1
         };
-        while self.draws() < most && self.origin_backoff.is_over(now) {
+        while self.draws() < max_draws && self.origin_backoff.is_over(now) {
             let Some((chunk, reason)) = self.next_draw(now) else {
                 return;
             };
@@ -58,7 +58,7 @@
         if !self.neighbours_known(now) {
             return None;
         }
-        if let Some(chunk) = self.first_draw(now) {
+        if let Some(chunk) = self.own_draw(now) {
             return Some((chunk, Reason::Draw));
         }
         let second = self
@@ -71,14 +71,14 @@
     ///
     /// A VM that starts among others that have the bundle must not draw it again.
     fn neighbours_known(&self, now: Instant) -> bool {
-        let is_late = now.saturating_duration_since(self.started) >= self.tuning.learn_timeout;
+        let is_late = now.saturating_duration_since(self.started_at) >= self.tuning.learn_timeout;
         is_late || self.settings.policy != SpreadPolicy::Balanced || self.peers.all_answered()
     }
 
     /// Returns the first chunk that the VM is first for and that no neighbour has.
-    fn first_draw(&self, now: Instant) -> Option<ChunkIndex> {
+    fn own_draw(&self, now: Instant) -> Option<ChunkIndex> {
         let frontier = self.frontier(now);
-        self.open()
+        self.without_reliable_fetch()
             .take_while(|chunk| *chunk < frontier)
             .filter(|chunk| self.ranking.position(*chunk) == 0)
             .find(|chunk| self.peers.holders(*chunk) == 0)
@@ -102,10 +102,10 @@
         let from = self.highest_available.map_or(0, |chunk| chunk + 1);
         let windows = 1 + self.takeover_delays_since(self.frontier_moved_at, now);
         let by_last = from.saturating_add(self.tuning.window.saturating_mul(windows));
-        let more = if self.has_drawn() {
-            self.takeover_delays_since(self.arrived_at, now)
+        let more = if self.origin_answers() {
+            self.takeover_delays_since(self.last_arrival_at, now)
         } else {
-            windows / QUIET_WINDOWS
+            windows / TIMED_WINDOWS_PER_EXTRA_WINDOW
         };
         by_last.min(self.unavailable_frontier(more))
     }
@@ -113,8 +113,9 @@
     /// Says whether the origin has given a chunk since it last failed.
     ///
     /// A VM that it gave none can't tell an origin that is away from others that draw nothing.
-    fn has_drawn(&self) -> bool {
-        self.drew_at.is_some_and(|at| at > self.origin_failed_at)
+    fn origin_answers(&self) -> bool {
+        self.last_draw_at
+            .is_some_and(|at| at > self.origin_failed_at)
     }
 
     /// Returns how many waits for another VM's draw have passed since `moment` without a failure of the origin.
@@ -128,16 +129,16 @@
         delays
     }
 
-    /// Returns up to where [`MOST_WINDOWS`] and `more` hold the chunks that are missing and at no neighbour.
+    /// Returns up to where [`MAX_WINDOWS`] and `more` hold the chunks that are missing and at no neighbour.
     ///
     /// A VM that is there and draws nothing, for want of memory, leaves its chunks unseen for good: without more
     /// windows the others would never get as far as to draw them in its place.
     fn unavailable_frontier(&self, more: u32) -> ChunkIndex {
-        let windows = MOST_WINDOWS.saturating_add(more);
-        let most = self.tuning.window.saturating_mul(windows) as usize;
+        let windows = MAX_WINDOWS.saturating_add(more);
+        let max_draws = self.tuning.window.saturating_mul(windows) as usize;
         let unavailable = self.have.missing();
         let mut unavailable = unavailable.filter(|chunk| self.peers.holders(*chunk) == 0);
-        unavailable.nth(most).unwrap_or(self.have.capacity())
+        unavailable.nth(max_draws).unwrap_or(self.have.capacity())
     }
 
     /// Returns the rarest chunk that the VM is second for and that its data centre lacks, if time
@@ -146,12 +147,12 @@
     fn second_copy(&self, now: Instant) -> Option<ChunkIndex> {
         let is_apt = self.settings.policy == SpreadPolicy::Balanced
             && self.settings.weigh == Weigh::Time
-            && self.drawn_at.is_some()
+            && self.own_draws_done_at.is_some()
             && self.frontier(now) >= self.have.capacity();
         if !is_apt {
             return None;
         }
-        self.wanted()
+        self.unfetched()
             .filter(|chunk| self.ranking.position(*chunk) == 1)
             .filter(|chunk| !self.is_at_home(*chunk))
             .min_by_key(|chunk| (self.peers.holders(*chunk), self.order[*chunk as usize]))
@@ -166,10 +167,10 @@
 
     /// Returns a chunk that the VM draws in the place of those that rank before it.
     fn takeover(&self, now: Instant) -> Option<ChunkIndex> {
-        let free_at = self.blocked_at.or(self.drawn_at)?;
+        let free_at = self.draws_blocked_at.or(self.own_draws_done_at)?;
         let frontier = self.frontier(now);
         let unavailable = self
-            .open()
+            .without_reliable_fetch()
             .take_while(|chunk| *chunk < frontier)
             .filter(|chunk| self.peers.holders(*chunk) == 0)
             .filter(|chunk| self.ranking.position(*chunk) != NEVER)
@@ -183,15 +184,15 @@
                 let since = unavailable_since.max(free_at).max(released);
                 now.saturating_duration_since(since) >= self.takeover_delay_of(*chunk)
             });
-        unavailable.or_else(|| self.rescue(now))
+        unavailable.or_else(|| self.fallback_draw(now))
     }
 
     /// Returns a chunk to draw although neighbours have it, because nothing has arrived for
     /// long. Without this a VM whose neighbours all fail would wait for ever.
-    fn rescue(&self, now: Instant) -> Option<ChunkIndex> {
-        let since = self.arrived_at.max(self.origin_failed_at);
+    fn fallback_draw(&self, now: Instant) -> Option<ChunkIndex> {
+        let since = self.last_arrival_at.max(self.origin_failed_at);
         let quiet = now.saturating_duration_since(since);
-        self.open()
+        self.without_reliable_fetch()
             .filter(|chunk| self.ranking.position(*chunk) != NEVER)
             .filter(|chunk| quiet >= self.takeover_delay() + self.takeover_delay_of(*chunk))
             .min_by_key(|chunk| (self.ranking.position(*chunk), self.order[*chunk as usize]))
@@ -201,8 +202,8 @@
     ///
     /// A peer that gives nothing may hold a fetch for long; that must not keep a chunk from being
     /// drawn.
-    fn open(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
-        let sound: BTreeSet<ChunkIndex> = self
+    fn without_reliable_fetch(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
+        let reliable: BTreeSet<ChunkIndex> = self
             .active
             .values()
             .filter(|active| match &active.from {
@@ -213,11 +214,11 @@
             .collect();
         self.have
             .missing()
-            .filter(move |chunk| !sound.contains(chunk))
+            .filter(move |chunk| !reliable.contains(chunk))
     }
 
     /// Goes through the chunks that are missing and not on their way.
-    pub(crate) fn wanted(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
+    pub(crate) fn unfetched(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         self.have
             .missing()
             .filter(|chunk| self.in_flight[*chunk as usize] == 0)
@@ -242,8 +243,8 @@
     ///
     /// VMs that are there and draw nothing leave chunks unseen until these fill the windows. The others have chunks
     /// left to draw then, but none that was let go: only draws in the place of those VMs move the windows on.
-    fn note_drawn(&mut self, now: Instant) {
-        if self.drawn_at.is_some() || !self.neighbours_known(now) {
+    fn update_own_draws(&mut self, now: Instant) {
+        if self.own_draws_done_at.is_some() || !self.neighbours_known(now) {
             return;
         }
         let left = self
@@ -251,12 +252,13 @@
             .missing()
             .any(|chunk| self.ranking.position(chunk) == 0 && self.peers.holders(chunk) == 0);
         if !left {
-            self.drawn_at = Some(now);
+            self.own_draws_done_at = Some(now);
             return;
         }
-        let is_quiet = self.draws() == 0 && self.takeover_delays_since(self.arrived_at, now) > 0;
-        if is_quiet && self.has_drawn() {
-            self.blocked_at.get_or_insert(now);
+        let is_quiet =
+            self.draws() == 0 && self.takeover_delays_since(self.last_arrival_at, now) > 0;
+        if is_quiet && self.origin_answers() {
+            self.draws_blocked_at.get_or_insert(now);
         }
     }
 
@@ -267,11 +269,11 @@
     /// reason to draw in the others' place. Nor is time in which the origin fails: whoever waits
     /// starts anew when it does.
     fn takeover_delay(&self) -> Duration {
-        let span = self.drawn_at.map_or(Duration::ZERO, |at| {
-            at.saturating_duration_since(self.started)
+        let span = self.own_draws_done_at.map_or(Duration::ZERO, |at| {
+            at.saturating_duration_since(self.started_at)
         });
         let draw = self.origin_fetch_time.average().unwrap_or_default() * 2;
-        let hops = self.peer_fetch_time.average().unwrap_or_default() * HOPS;
+        let hops = self.peer_fetch_time.average().unwrap_or_default() * HOPS_TO_NEIGHBOURS;
         self.tuning.takeover_delay.max(draw).max(span / 2).max(hops)
     }
 
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -67,13 +67,13 @@
     pub(crate) origin_failed_at: Instant,
     pub(crate) origin_fetch_time: FetchTime,
     pub(crate) peer_fetch_time: FetchTime,
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
     /// When the last draw arrived.
-    pub(crate) drew_at: Option<Instant>,
+    pub(crate) last_draw_at: Option<Instant>,
     /// When the last of the draws that the VM is first for was done.
-    pub(crate) drawn_at: Option<Instant>,
+    pub(crate) own_draws_done_at: Option<Instant>,
     /// When the windows had kept it from those draws for as long as others are waited for.
-    pub(crate) blocked_at: Option<Instant>,
+    pub(crate) draws_blocked_at: Option<Instant>,
     /// The last chunk that the VM or a neighbour has had, and since when.
     pub(crate) highest_available: Option<ChunkIndex>,
     pub(crate) frontier_moved_at: Instant,
@@ -82,7 +82,7 @@
     /// Since when each chunk is known to be at a neighbour.
     pub(crate) available_at: Vec<Option<Instant>>,
     /// When the last chunk arrived.
-    pub(crate) arrived_at: Instant,
+    pub(crate) last_arrival_at: Instant,
     lost: BTreeSet<VmId>,
     watched: BTreeSet<VmId>,
     next_id: FetchId,
@@ -114,15 +114,15 @@
             origin_fetch_time: FetchTime::new(tuning.initial_fetch_time),
             peer_fetch_time: FetchTime::new(tuning.initial_fetch_time),
             tuning,
-            started: now,
-            drew_at: None,
-            drawn_at: None,
-            blocked_at: None,
+            started_at: now,
+            last_draw_at: None,
+            own_draws_done_at: None,
+            draws_blocked_at: None,
             highest_available: None,
             frontier_moved_at: now,
             released_at: vec![None; count as usize],
             available_at: vec![None; count as usize],
-            arrived_at: now,
+            last_arrival_at: now,
             lost: BTreeSet::new(),
             watched: BTreeSet::new(),
             next_id: 1,
@@ -218,14 +218,14 @@
     /// Takes in a chunk, and drops other fetches of it.
     fn fetched(&mut self, id: FetchId, chunk: ChunkIndex, now: Instant, out: &mut Vec<Action>) {
         self.have.insert(chunk);
-        self.arrived_at = now;
+        self.last_arrival_at = now;
         if let Some(active) = self.end(id) {
             let duration = now.saturating_duration_since(active.since);
             match &active.from {
                 Source::Origin => {
                     self.origin_fetch_time.observe(duration);
                     self.origin_backoff.reset();
-                    self.drew_at = Some(now);
+                    self.last_draw_at = Some(now);
                 }
                 Source::Peer(vm) => {
                     self.peer_fetch_time.observe(duration);
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -13,7 +13,7 @@
 type Load = (bool, usize, u32, u32);
 
 /// Fetches from one peer at once if there are few peers.
-const FEW_PER_PEER: usize = 2;
+const MAX_PER_PEER_FEW_PEERS: usize = 2;
 
 impl Planner {
     /// Starts fetches from peers while there is room.
@@ -29,7 +29,7 @@
 
     /// Fetches once more what takes long, when nothing else is left to fetch.
     pub(crate) fn hedge(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.wanted().next().is_some() {
+        if self.unfetched().next().is_some() {
             return;
         }
         while self.fetches() < self.tuning.parallel {
@@ -96,7 +96,7 @@
     fn next_spread(&mut self, now: Instant) -> Option<(ChunkIndex, VmId)> {
         let usable = self.usable(now);
         let chunk = self
-            .wanted()
+            .unfetched()
             .filter(|chunk| {
                 let mut givers = usable.iter();
                 givers.any(|(_, peer)| self.may_give(peer, *chunk, now))
@@ -179,7 +179,11 @@
     fn usable(&self, now: Instant) -> Vec<(&VmId, &Peer)> {
         // With few neighbours, one fetch from each would leave the link idle between fetches.
         let neighbours = self.peers.neighbour_names().len().max(1);
-        let few = self.tuning.parallel.div_ceil(neighbours).min(FEW_PER_PEER);
+        let few = self
+            .tuning
+            .parallel
+            .div_ceil(neighbours)
+            .min(MAX_PER_PEER_FEW_PEERS);
         let per_peer = self.tuning.per_peer.max(few);
         self.peers
             .neighbours()
