--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -102,7 +102,7 @@
         let from = self.highest_available.map_or(0, |chunk| chunk + 1);
         let windows = 1 + self.takeover_delays_since(self.frontier_moved_at, now);
         let by_last = from.saturating_add(self.tuning.window.saturating_mul(windows));
-        let more = if self.origin_answers() {
+        let more = if self.drew_since_failure() {
             self.takeover_delays_since(self.last_arrival_at, now)
         } else {
             windows / TIMED_WINDOWS_PER_EXTRA_WINDOW
@@ -113,7 +113,7 @@
     /// Says whether the origin has given a chunk since it last failed.
     ///
     /// A VM that it gave none can't tell an origin that is away from others that draw nothing.
-    fn origin_answers(&self) -> bool {
+    fn drew_since_failure(&self) -> bool {
         self.last_draw_at
             .is_some_and(|at| at > self.origin_failed_at)
     }
@@ -135,10 +135,10 @@
     /// windows the others would never get as far as to draw them in its place.
     fn unavailable_frontier(&self, more: u32) -> ChunkIndex {
         let windows = MAX_WINDOWS.saturating_add(more);
-        let max_draws = self.tuning.window.saturating_mul(windows) as usize;
+        let max_chunks = self.tuning.window.saturating_mul(windows) as usize;
         let unavailable = self.have.missing();
         let mut unavailable = unavailable.filter(|chunk| self.peers.holders(*chunk) == 0);
-        unavailable.nth(max_draws).unwrap_or(self.have.capacity())
+        unavailable.nth(max_chunks).unwrap_or(self.have.capacity())
     }
 
     /// Returns the rarest chunk that the VM is second for and that its data centre lacks, if time
@@ -226,11 +226,11 @@
 
     /// Notes when the last chunk that was seen moved on.
     fn update_frontier(&mut self, now: Instant) {
-        let unavailable_since = (0..self.have.capacity())
+        let highest = (0..self.have.capacity())
             .rev()
             .find(|chunk| self.have.contains(*chunk) || self.peers.holders(*chunk) > 0);
-        if unavailable_since > self.highest_available {
-            self.highest_available = unavailable_since;
+        if highest > self.highest_available {
+            self.highest_available = highest;
             self.frontier_moved_at = now;
         }
         let frontier = self.frontier(now) as usize;
@@ -257,7 +257,7 @@
         }
         let is_quiet =
             self.draws() == 0 && self.takeover_delays_since(self.last_arrival_at, now) > 0;
-        if is_quiet && self.origin_answers() {
+        if is_quiet && self.drew_since_failure() {
             self.draws_blocked_at.get_or_insert(now);
         }
     }
