--- a/crates/spread/src/peers.rs
+++ b/crates/spread/src/peers.rs
@@ -9,10 +9,10 @@
 use crate::{ChunkSet, Site};
 
 /// Corrupt chunks that are put down to chance before a peer is judged by its share of them.
-const CORRUPT_BY_CHANCE: usize = 2;
+const MAX_CHANCE_CORRUPT: usize = 2;
 
 /// A peer is not believed if it gave one corrupt chunk or more for so many good ones.
-const GOOD_FOR_A_CORRUPT: usize = 8;
+const MIN_GOOD_PER_CORRUPT: usize = 8;
 
 /// One other VM.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// Fetches from it under way.
     pub(crate) active: usize,
     /// Chunks that it gave.
-    pub(crate) given: u32,
+    pub(crate) served: u32,
     pub(crate) backoff: Backoff,
     /// The last fetch from it broke, was given up or was corrupt: what it has can't be counted on.
     failing: bool,
@@ -40,7 +40,7 @@
             have: None,
             corrupt: BTreeSet::new(),
             active: 0,
-            given: 0,
+            served: 0,
             backoff: Backoff::default(),
             failing: false,
             lost_since: None,
@@ -51,10 +51,10 @@
     ///
     /// One that gives mostly corrupt chunks has none to give, whatever it says. Were it
     /// believed, nobody would draw the chunks that it alone claims to have.
-    pub(crate) fn is_believed(&self) -> bool {
+    pub(crate) fn is_trusted(&self) -> bool {
         let corrupt = self.corrupt.len();
-        let good = usize::try_from(self.given).unwrap_or(usize::MAX);
-        corrupt <= CORRUPT_BY_CHANCE || corrupt.saturating_mul(GOOD_FOR_A_CORRUPT) < good
+        let good = usize::try_from(self.served).unwrap_or(usize::MAX);
+        corrupt <= MAX_CHANCE_CORRUPT || corrupt.saturating_mul(MIN_GOOD_PER_CORRUPT) < good
     }
 
     /// Says whether the peer is there to give `chunk`.
@@ -126,7 +126,7 @@
             have.remove(*chunk);
         }
         peer.lost_since = None;
-        if !peer.is_believed() {
+        if !peer.is_trusted() {
             return;
         }
         let before = peer.have.replace(have.clone());
@@ -164,7 +164,7 @@
             return;
         };
         peer.corrupt.insert(chunk);
-        if peer.is_believed() {
+        if peer.is_trusted() {
             return;
         }
         let claimed = peer.have.take();
@@ -247,7 +247,7 @@
     pub(crate) fn all_answered(&self) -> bool {
         !self.neighbours.is_empty()
             && self.neighbours().all(|(_, peer)| {
-                peer.have.is_some() || peer.lost_since.is_some() || !peer.is_believed()
+                peer.have.is_some() || peer.lost_since.is_some() || !peer.is_trusted()
             })
     }
 }
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -230,7 +230,7 @@
                 Source::Peer(vm) => {
                     self.peer_fetch_time.observe(duration);
                     if let Some(peer) = self.peers.get_mut(vm) {
-                        peer.given += 1;
+                        peer.served += 1;
                         peer.backoff.reset();
                     }
                     self.peers.set_failing(vm, false, now);
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -10,7 +10,7 @@
 use crate::{Action, FetchId, Reason, Source};
 
 /// How little a peer is preferred as a giver; the lowest goes first.
-type Load = (bool, usize, u32, u32);
+type SourceRank = (bool, usize, u32, u32);
 
 /// Fetches from one peer at once if there are few peers.
 const MAX_PER_PEER_FEW_PEERS: usize = 2;
@@ -18,7 +18,7 @@
 impl Planner {
     /// Starts fetches from peers while there is room.
     pub(crate) fn spread(&mut self, now: Instant, out: &mut Vec<Action>) {
-        while self.fetches() < self.tuning.parallel {
+        while self.peer_fetches() < self.tuning.parallel {
             let Some((chunk, vm)) = self.next_spread(now) else {
                 return;
             };
@@ -32,7 +32,7 @@
         if self.unfetched().next().is_some() {
             return;
         }
-        while self.fetches() < self.tuning.parallel {
+        while self.peer_fetches() < self.tuning.parallel {
             let Some((chunk, vm)) = self.next_hedge(now) else {
                 return;
             };
@@ -44,8 +44,9 @@
     /// Drops fetches that take far too long, and passes over their source for a while.
     pub(crate) fn cancel_overdue(&mut self, now: Instant, out: &mut Vec<Action>) {
         let factor = self.tuning.timeout_factor;
-        let peer_limit = self.limit(self.peer_fetch_time.timeout_base() * factor);
-        let origin_limit = self.limit(self.origin_fetch_time.timeout_base() * factor);
+        let peer_limit = self.at_least_min_timeout(self.peer_fetch_time.timeout_base() * factor);
+        let origin_limit =
+            self.at_least_min_timeout(self.origin_fetch_time.timeout_base() * factor);
         let old: Vec<FetchId> = self
             .active
             .iter()
@@ -85,7 +86,7 @@
     }
 
     /// Returns how many fetches from peers are under way.
-    fn fetches(&self) -> usize {
+    fn peer_fetches(&self) -> usize {
         self.active
             .values()
             .filter(|active| active.from != Source::Origin)
@@ -98,16 +99,16 @@
         let chunk = self
             .unfetched()
             .filter(|chunk| {
-                let mut givers = usable.iter();
-                givers.any(|(_, peer)| self.may_give(peer, *chunk, now))
+                let mut sources = usable.iter();
+                sources.any(|(_, peer)| self.may_fetch_from(peer, *chunk, now))
             })
             .min_by_key(|chunk| (self.rarity(*chunk), self.order[*chunk as usize]))?;
-        let givers: Vec<(VmId, Load)> = usable
+        let sources: Vec<(VmId, SourceRank)> = usable
             .into_iter()
-            .filter(|(_, peer)| self.may_give(peer, chunk, now))
-            .map(|(vm, peer)| (vm.clone(), self.load(peer)))
+            .filter(|(_, peer)| self.may_fetch_from(peer, chunk, now))
+            .map(|(vm, peer)| (vm.clone(), self.rank_source(peer)))
             .collect();
-        self.pick(givers).map(|vm| (chunk, vm))
+        self.choose_source(sources).map(|vm| (chunk, vm))
     }
 
     /// Returns how rare a chunk is, the rarest lowest. What only failing peers have comes last.
@@ -118,31 +119,32 @@
 
     /// Chooses the chunk that has been on its way longest, and another neighbour that has it.
     fn next_hedge(&mut self, now: Instant) -> Option<(ChunkIndex, VmId)> {
-        let limit = self.limit(self.peer_fetch_time.timeout_base() * self.tuning.hedge_factor);
+        let at_least_min_timeout = self
+            .at_least_min_timeout(self.peer_fetch_time.timeout_base() * self.tuning.hedge_factor);
         let usable = self.usable(now);
         let mut slow: Vec<(Instant, ChunkIndex)> = self
             .active
             .values()
             .filter(|active| self.in_flight[active.chunk as usize] == 1)
-            .filter(|active| now.saturating_duration_since(active.since) > limit)
+            .filter(|active| now.saturating_duration_since(active.since) > at_least_min_timeout)
             .map(|active| (active.since, active.chunk))
             .collect();
         slow.sort_unstable();
-        let (chunk, givers) = slow.into_iter().find_map(|(_, chunk)| {
-            let givers: Vec<(VmId, Load)> = usable
+        let (chunk, sources) = slow.into_iter().find_map(|(_, chunk)| {
+            let sources: Vec<(VmId, SourceRank)> = usable
                 .iter()
-                .filter(|(_, peer)| self.may_give(peer, chunk, now))
-                .filter(|(vm, _)| !self.is_giving(vm, chunk))
-                .map(|(vm, peer)| ((*vm).clone(), self.load(peer)))
+                .filter(|(_, peer)| self.may_fetch_from(peer, chunk, now))
+                .filter(|(vm, _)| !self.is_fetching_from(vm, chunk))
+                .map(|(vm, peer)| ((*vm).clone(), self.rank_source(peer)))
                 .collect();
-            (!givers.is_empty()).then_some((chunk, givers))
+            (!sources.is_empty()).then_some((chunk, sources))
         })?;
-        self.pick(givers).map(|vm| (chunk, vm))
+        self.choose_source(sources).map(|vm| (chunk, vm))
     }
 
     /// Says whether `chunk` may be fetched from `peer`: from another data centre only by the VM that
     /// is first for it here, or in the place of those before it.
-    fn may_give(&self, peer: &Peer, chunk: ChunkIndex, now: Instant) -> bool {
+    fn may_fetch_from(&self, peer: &Peer, chunk: ChunkIndex, now: Instant) -> bool {
         if !peer.has(chunk) {
             return false;
         }
@@ -169,7 +171,7 @@
     }
 
     /// Says whether `chunk` is on its way from `vm`.
-    fn is_giving(&self, vm: &str, chunk: ChunkIndex) -> bool {
+    fn is_fetching_from(&self, vm: &str, chunk: ChunkIndex) -> bool {
         self.active.values().any(|active| {
             active.chunk == chunk && matches!(&active.from, Source::Peer(from) if from == vm)
         })
@@ -193,25 +195,25 @@
     }
 
     /// Weighs a giver. With origin bytes weighed, links between data centres are dear as well.
-    fn load(&self, peer: &Peer) -> Load {
-        let is_far = self.settings.weigh == Weigh::OriginBytes
+    fn rank_source(&self, peer: &Peer) -> SourceRank {
+        let is_remote = self.settings.weigh == Weigh::OriginBytes
             && peer.site.data_centre != self.own.data_centre;
-        (is_far, peer.active, peer.given, 0)
+        (is_remote, peer.active, peer.served, 0)
     }
 
     /// Picks the least loaded giver, at random among equals.
-    fn pick(&mut self, mut givers: Vec<(VmId, Load)>) -> Option<VmId> {
-        for (_, load) in &mut givers {
-            load.3 = self.rng.random();
+    fn choose_source(&mut self, mut sources: Vec<(VmId, SourceRank)>) -> Option<VmId> {
+        for (_, rank_source) in &mut sources {
+            rank_source.3 = self.rng.random();
         }
-        givers
+        sources
             .into_iter()
-            .min_by_key(|(_, load)| *load)
+            .min_by_key(|(_, rank_source)| *rank_source)
             .map(|(vm, _)| vm)
     }
 
     /// Returns `duration`, but no less than the shortest patience.
-    fn limit(&self, duration: Duration) -> Duration {
+    fn at_least_min_timeout(&self, duration: Duration) -> Duration {
         duration.max(self.tuning.min_timeout)
     }
 }
