--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -6,7 +6,7 @@
 use wagtailreel_core::{ChunkIndex, SpreadPolicy, Weigh};
 
 use crate::planner::Planner;
-use crate::ranking::NEVER;
+use crate::ranking::NEVER_DRAWS;
 use crate::{Action, Reason, Source};
 
 /// Draws of one VM at once, while VMs are few enough that one each would not fill the link.
@@ -40,7 +40,7 @@
             let Some((chunk, reason)) = self.next_draw(now) else {
                 return;
             };
-            let action = self.start(chunk, Source::Origin, reason, now);
+            let action = self.start_fetch(chunk, Source::Origin, reason, now);
             out.push(action);
         }
     }
@@ -173,7 +173,7 @@
             .without_reliable_fetch()
             .take_while(|chunk| *chunk < frontier)
             .filter(|chunk| self.peers.holders(*chunk) == 0)
-            .filter(|chunk| self.ranking.position(*chunk) != NEVER)
+            .filter(|chunk| self.ranking.position(*chunk) != NEVER_DRAWS)
             .find(|chunk| {
                 // Until a chunk was let go, nobody was late with it.
                 let released = self.released_at[*chunk as usize].unwrap_or(now);
@@ -193,7 +193,7 @@
         let since = self.last_arrival_at.max(self.origin_failed_at);
         let quiet = now.saturating_duration_since(since);
         self.without_reliable_fetch()
-            .filter(|chunk| self.ranking.position(*chunk) != NEVER)
+            .filter(|chunk| self.ranking.position(*chunk) != NEVER_DRAWS)
             .filter(|chunk| quiet >= self.takeover_delay() + self.takeover_delay_of(*chunk))
             .min_by_key(|chunk| (self.ranking.position(*chunk), self.order[*chunk as usize]))
     }
@@ -285,12 +285,12 @@
             .min(self.tuning.max_takeover_delays);
         // The jitter is fixed per chunk and VM, so that a wait is not drawn anew at every look.
         let jitter = f64::from(self.order[chunk as usize]) / f64::from(self.have.capacity());
-        let far = if self.ranking.position(chunk) >= self.tuning.max_takeover_delays {
+        let deep_factor = if self.ranking.position(chunk) >= self.tuning.max_takeover_delays {
             f64::from(self.tuning.max_takeover_delays)
         } else {
             0.5
         };
         self.takeover_delay()
-            .mul_f64(f64::from(ranks) + jitter * far)
+            .mul_f64(f64::from(ranks) + jitter * deep_factor)
     }
 }
--- a/crates/spread/src/neighbours.rs
+++ b/crates/spread/src/neighbours.rs
@@ -7,7 +7,7 @@
 use crate::Site;
 
 /// Key under which the baselines rank VMs.
-const LINE_KEY: &[u8] = b"wagtailreel line";
+const BASELINE_RANK_KEY: &[u8] = b"wagtailreel line";
 
 /// How many VMs fetch from one in the tree.
 const TREE_FAN_OUT: usize = 2;
@@ -26,7 +26,7 @@
     if others.len() <= local + global {
         return others.keys().cloned().collect();
     }
-    let home: Vec<&str> = others
+    let local_vms: Vec<&str> = others
         .iter()
         .filter(|(_, data_centre)| **data_centre == own.data_centre)
         .map(|(vm, _)| vm.as_str())
@@ -34,17 +34,17 @@
     let all: Vec<&str> = others.keys().map(String::as_str).collect();
     let mut chosen = BTreeSet::new();
     for ring in 0..local {
-        take_successor(&own.vm, &home, &format!("near {ring}"), &mut chosen);
+        add_successor(&own.vm, &local_vms, &format!("near {ring}"), &mut chosen);
     }
     let missing = local + global - chosen.len();
     for ring in 0..missing {
-        take_successor(&own.vm, &all, &format!("far {ring}"), &mut chosen);
+        add_successor(&own.vm, &all, &format!("far {ring}"), &mut chosen);
     }
     chosen
 }
 
 /// Adds to `chosen` the first VM after `own` on `ring` that is not chosen yet.
-fn take_successor(own: &str, others: &[&str], ring: &str, chosen: &mut BTreeSet<VmId>) {
+fn add_successor(own: &str, others: &[&str], ring: &str, chosen: &mut BTreeSet<VmId>) {
     let own = (rank_score(ring.as_bytes(), own), own);
     let successor = others
         .iter()
@@ -64,13 +64,13 @@
     others: &BTreeMap<VmId, DataCentre>,
 ) -> Option<VmId> {
     let names = others.keys().chain([&own.vm]).map(String::as_str);
-    let line = rank(LINE_KEY, names);
-    let place = line.iter().position(|vm| *vm == own.vm)?;
+    let ranked = rank(BASELINE_RANK_KEY, names);
+    let place = ranked.iter().position(|vm| *vm == own.vm)?;
     let before = place.checked_sub(1)?;
     let parent = match policy {
         SpreadPolicy::Tree => before / TREE_FAN_OUT,
         SpreadPolicy::Chain => before,
         SpreadPolicy::Balanced | SpreadPolicy::Origin => return None,
     };
-    Some(line[parent].to_owned())
+    Some(ranked[parent].to_owned())
 }
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::peers::Peers;
-use crate::ranking::{NEVER, Ranking};
+use crate::ranking::{NEVER_DRAWS, Ranking};
 use crate::timing::{Backoff, FetchTime};
 use crate::{
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Reason, Site, Source, Tuning, neighbours,
@@ -156,13 +156,13 @@
         let mut actions = Vec::new();
         match event {
             Event::Have { vm, have } => self.peers.set_have(&vm, have, now),
-            Event::Fetched { id, chunk } => self.fetched(id, chunk, now, &mut actions),
-            Event::Failed { id, failure } => self.failed(id, failure, now),
+            Event::Fetched { id, chunk } => self.on_fetched(id, chunk, now, &mut actions),
+            Event::Failed { id, failure } => self.on_failed(id, failure, now),
             Event::Peers(entries) => self.set_peers(&entries, now),
-            Event::Lost { vm } => self.note_lost(&vm, now),
+            Event::Lost { vm } => self.set_lost(&vm, now),
             Event::Tick => {}
         }
-        self.review_lost(now);
+        self.update_lost(now);
         self.note_available(now);
         self.cancel_overdue(now, &mut actions);
         if !self.is_done() {
@@ -174,7 +174,7 @@
     }
 
     /// Starts a fetch.
-    pub(crate) fn start(
+    pub(crate) fn start_fetch(
         &mut self,
         chunk: ChunkIndex,
         from: Source,
@@ -204,7 +204,7 @@
     }
 
     /// Forgets a fetch that has ended or is dropped.
-    pub(crate) fn end(&mut self, id: FetchId) -> Option<ActiveFetch> {
+    pub(crate) fn end_fetch(&mut self, id: FetchId) -> Option<ActiveFetch> {
         let active = self.active.remove(&id)?;
         self.in_flight[active.chunk as usize] -= 1;
         if let Source::Peer(vm) = &active.from
@@ -216,10 +216,10 @@
     }
 
     /// Takes in a chunk, and drops other fetches of it.
-    fn fetched(&mut self, id: FetchId, chunk: ChunkIndex, now: Instant, out: &mut Vec<Action>) {
+    fn on_fetched(&mut self, id: FetchId, chunk: ChunkIndex, now: Instant, out: &mut Vec<Action>) {
         self.have.insert(chunk);
         self.last_arrival_at = now;
-        if let Some(active) = self.end(id) {
+        if let Some(active) = self.end_fetch(id) {
             let duration = now.saturating_duration_since(active.since);
             match &active.from {
                 Source::Origin => {
@@ -244,42 +244,42 @@
             .map(|(id, _)| *id)
             .collect();
         for id in others {
-            self.end(id);
+            self.end_fetch(id);
             out.push(Action::Cancel { id });
         }
     }
 
     /// Takes in that a fetch brought nothing.
-    fn failed(&mut self, id: FetchId, failure: Failure, now: Instant) {
-        let Some(active) = self.end(id) else {
+    fn on_failed(&mut self, id: FetchId, failure: Failure, now: Instant) {
+        let Some(active) = self.end_fetch(id) else {
             return;
         };
         let jitter_factor = self.rng.random();
         match &active.from {
-            Source::Origin => self.origin_failed(failure, jitter_factor, now),
-            Source::Peer(vm) => self.peer_failed(vm, active.chunk, failure, jitter_factor, now),
+            Source::Origin => self.back_off_origin(failure, jitter_factor, now),
+            Source::Peer(vm) => self.back_off_peer(vm, active.chunk, failure, jitter_factor, now),
         }
     }
 
     /// Leaves the origin alone for a while.
-    fn origin_failed(&mut self, failure: Failure, jitter_factor: f64, now: Instant) {
+    fn back_off_origin(&mut self, failure: Failure, jitter_factor: f64, now: Instant) {
         self.origin_failed_at = now;
         let first = self.tuning.origin_backoff;
         let most = self.tuning.max_origin_backoff;
         self.origin_backoff
             .record_failure(now, first, most, jitter_factor);
         if let Failure::Busy {
-            retry_after: Some(asked),
+            retry_after: Some(requested),
         } = failure
         {
             // The jitter comes after what was asked, so that no VM is early.
             let jitter = self.tuning.origin_backoff.mul_f64(jitter_factor);
-            self.origin_backoff.extend(now, asked + jitter);
+            self.origin_backoff.extend(now, requested + jitter);
         }
     }
 
     /// Leaves a peer alone for a while, and notes what it can't give.
-    fn peer_failed(
+    fn back_off_peer(
         &mut self,
         vm: &str,
         chunk: ChunkIndex,
@@ -293,10 +293,11 @@
         let first = self.tuning.peer_backoff;
         match failure {
             Failure::Busy { retry_after } => {
-                let asked = retry_after.unwrap_or(self.tuning.busy_backoff);
+                let requested = retry_after.unwrap_or(self.tuning.busy_backoff);
                 // Half to one and a half of what was asked: VMs turned away together don't
                 // come back together.
-                peer.backoff.extend(now, asked.mul_f64(0.5 + jitter_factor));
+                peer.backoff
+                    .extend(now, requested.mul_f64(0.5 + jitter_factor));
             }
             Failure::Absent => self.peers.remove_chunk(vm, chunk, now),
             Failure::Corrupt => {
@@ -322,11 +323,11 @@
             .map(Site::of)
             .collect();
         self.peers.set_sites(sites);
-        self.arrange(now);
+        self.update_neighbours(now);
     }
 
     /// Notes that a peer can't be reached.
-    fn note_lost(&mut self, vm: &str, now: Instant) {
+    fn set_lost(&mut self, vm: &str, now: Instant) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.lost_since.get_or_insert(now);
             peer.have = None;
@@ -337,16 +338,16 @@
     }
 
     /// Arranges anew if other peers than before count as lost.
-    fn review_lost(&mut self, now: Instant) {
+    fn update_lost(&mut self, now: Instant) {
         let lost = self.peers.lost(self.tuning.lost_after, now);
         if lost != self.lost {
             self.lost = lost;
-            self.arrange(now);
+            self.update_neighbours(now);
         }
     }
 
     /// Chooses the neighbours and ranks the VMs that count as alive.
-    fn arrange(&mut self, now: Instant) {
+    fn update_neighbours(&mut self, now: Instant) {
         let all: BTreeMap<VmId, DataCentre> = self
             .peers
             .iter()
@@ -355,9 +356,9 @@
         let mut alive = all.clone();
         alive.retain(|vm, _| !self.lost.contains(vm));
         let mut neighbours = self.choose_neighbours(&alive);
-        self.place(&alive, neighbours.is_empty());
+        self.update_ranking(&alive, neighbours.is_empty());
         if self.tuning.cross_delay.is_some() {
-            neighbours.extend(self.ranking.drawers_abroad());
+            neighbours.extend(self.ranking.remote_drawers());
         }
         self.watched = self.choose_neighbours(&all);
         self.watched.extend(neighbours.iter().cloned());
@@ -384,12 +385,12 @@
     }
 
     /// Ranks the VMs; in a baseline, a VM without a parent draws everything and others nothing.
-    fn place(&mut self, alive: &BTreeMap<VmId, DataCentre>, is_root: bool) {
+    fn update_ranking(&mut self, alive: &BTreeMap<VmId, DataCentre>, is_root: bool) {
         match self.settings.policy {
             SpreadPolicy::Balanced => self.ranking.set_members(alive.clone()),
             SpreadPolicy::Origin => self.ranking.set_all(0),
             SpreadPolicy::Chain | SpreadPolicy::Tree => {
-                self.ranking.set_all(if is_root { 0 } else { NEVER });
+                self.ranking.set_all(if is_root { 0 } else { NEVER_DRAWS });
             }
         }
     }
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -7,7 +7,7 @@
 use crate::Site;
 
 /// Position of a VM that never draws a chunk of its own accord.
-pub(crate) const NEVER: u32 = u32::MAX;
+pub(crate) const NEVER_DRAWS: u32 = u32::MAX;
 
 /// The own VM's position in the ranking of each chunk, among the VMs that count as alive.
 ///
@@ -23,7 +23,7 @@
     /// For each chunk, members of the own group that rank before the own VM.
     ahead: Vec<u32>,
     /// For each chunk, members of the own data centre that rank before the own VM.
-    home_ahead: Vec<u32>,
+    local_ahead: Vec<u32>,
     members: BTreeMap<VmId, DataCentre>,
     positions: Vec<u32>,
 }
@@ -40,7 +40,7 @@
             weigh,
             own_scores,
             ahead: vec![0; chunks.len()],
-            home_ahead: vec![0; chunks.len()],
+            local_ahead: vec![0; chunks.len()],
             members: BTreeMap::new(),
             positions: vec![0; chunks.len()],
             chunks,
@@ -53,24 +53,24 @@
     }
 
     /// Returns how many VMs of the own data centre rank before the own one for `chunk`.
-    pub(crate) fn home_position(&self, chunk: ChunkIndex) -> u32 {
-        self.home_ahead[chunk as usize]
+    pub(crate) fn local_position(&self, chunk: ChunkIndex) -> u32 {
+        self.local_ahead[chunk as usize]
     }
 
     /// Returns the VMs of other data centres that draw what the own VM brings into its data centre.
     ///
     /// Without looking at them it would hear of a chunk only once that had come to one of a few
     /// neighbours abroad.
-    pub(crate) fn drawers_abroad(&self) -> BTreeSet<VmId> {
-        let brought = self.chunks.iter().zip(&self.home_ahead);
-        let brought = brought.filter(|(_, ahead)| **ahead == 0);
-        let firsts = brought.filter_map(|(chunk, _)| {
+    pub(crate) fn remote_drawers(&self) -> BTreeSet<VmId> {
+        let fetched_across = self.chunks.iter().zip(&self.local_ahead);
+        let fetched_across = fetched_across.filter(|(_, ahead)| **ahead == 0);
+        let firsts = fetched_across.filter_map(|(chunk, _)| {
             let score = |vm: &str| rank_score(chunk.as_bytes(), vm);
             let members = self.members.iter();
             members.max_by_key(|(vm, _)| (score(vm), std::cmp::Reverse(*vm)))
         });
-        let abroad = firsts.filter(|(_, data_centre)| **data_centre != self.own.data_centre);
-        abroad.map(|(vm, _)| vm.clone()).collect()
+        let remote = firsts.filter(|(_, data_centre)| **data_centre != self.own.data_centre);
+        remote.map(|(vm, _)| vm.clone()).collect()
     }
 
     /// Gives every chunk the same position, for policies that rank VMs and not chunks.
@@ -85,16 +85,16 @@
         let before = std::mem::take(&mut self.members);
         for (vm, data_centre) in &before {
             if members.get(vm) != Some(data_centre) {
-                self.count(vm, data_centre, |ahead| ahead.saturating_sub(1));
+                self.adjust_counts(vm, data_centre, |ahead| ahead.saturating_sub(1));
             }
         }
         for (vm, data_centre) in &members {
             if before.get(vm) != Some(data_centre) {
-                self.count(vm, data_centre, |ahead| ahead + 1);
+                self.adjust_counts(vm, data_centre, |ahead| ahead + 1);
             }
         }
         self.members = members;
-        self.place();
+        self.update_positions();
     }
 
     /// Says whether VMs of `data_centre` are ranked together with the own VM.
@@ -106,29 +106,29 @@
     }
 
     /// Changes the counts of every chunk that ranks `vm` before the own VM.
-    fn count<F>(&mut self, vm: &str, data_centre: &str, change: F)
+    fn adjust_counts<F>(&mut self, vm: &str, data_centre: &str, change: F)
     where
         F: Fn(u32) -> u32,
     {
         let in_group = self.in_group(data_centre);
-        let is_home = data_centre == self.own.data_centre;
-        if !in_group && !is_home {
+        let is_local = data_centre == self.own.data_centre;
+        if !in_group && !is_local {
             return;
         }
         for (index, (chunk, own)) in self.chunks.iter().zip(&self.own_scores).enumerate() {
-            let theirs = rank_score(chunk.as_bytes(), vm);
-            let before = theirs > *own || (theirs == *own && vm < self.own.vm.as_str());
+            let other = rank_score(chunk.as_bytes(), vm);
+            let before = other > *own || (other == *own && vm < self.own.vm.as_str());
             if before && in_group {
                 self.ahead[index] = change(self.ahead[index]);
             }
-            if before && is_home {
-                self.home_ahead[index] = change(self.home_ahead[index]);
+            if before && is_local {
+                self.local_ahead[index] = change(self.local_ahead[index]);
             }
         }
     }
 
     /// Computes the positions from the counts.
-    fn place(&mut self) {
+    fn update_positions(&mut self) {
         self.positions.clone_from(&self.ahead);
         if self.weigh == Weigh::OriginBytes {
             return;
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -22,7 +22,7 @@
             let Some((chunk, vm)) = self.next_spread(now) else {
                 return;
             };
-            let action = self.start(chunk, Source::Peer(vm), Reason::Spread, now);
+            let action = self.start_fetch(chunk, Source::Peer(vm), Reason::Spread, now);
             out.push(action);
         }
     }
@@ -36,7 +36,7 @@
             let Some((chunk, vm)) = self.next_hedge(now) else {
                 return;
             };
-            let action = self.start(chunk, Source::Peer(vm), Reason::Hedge, now);
+            let action = self.start_fetch(chunk, Source::Peer(vm), Reason::Hedge, now);
             out.push(action);
         }
     }
@@ -67,7 +67,7 @@
 
     /// Drops one fetch, and passes over its source for a while.
     fn cancel_overdue_fetch(&mut self, id: FetchId, now: Instant) {
-        let Some(active) = self.end(id) else {
+        let Some(active) = self.end_fetch(id) else {
             return;
         };
         let age = now.saturating_duration_since(active.since);
@@ -154,7 +154,7 @@
         if peer.site.data_centre == self.own.data_centre {
             return true;
         }
-        let ranks = self.ranking.home_position(chunk);
+        let ranks = self.ranking.local_position(chunk);
         let ranks = ranks.min(self.tuning.max_takeover_delays);
         let available_for = self.available_at[chunk as usize]
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -6,13 +6,13 @@
 /// of them takes that long, and the next in a chunk's ranking must not draw in its place meanwhile:
 /// with 24 chunks of 45 ms each the origin sent every third chunk twice, and a version that can be
 /// drawn in 4.3 s took 8 s. It is long enough for news of a chunk to reach those who draw the next.
-const WINDOW: Duration = Duration::from_millis(400);
+const WINDOW_DURATION: Duration = Duration::from_millis(400);
 
 /// Fewest chunks that are drawn together: one at a time would leave the link idle between two.
-const FEWEST: u32 = 4;
+const MIN_WINDOW_CHUNKS: u32 = 4;
 
 /// Most chunks that are drawn together; on a link that is so fast a few more make no difference.
-const MOST: u32 = 64;
+const MAX_WINDOW_CHUNKS: u32 = 64;
 
 /// Numbers that steer a planner. The defaults are those that the slot model of the tests did
 /// best with.
@@ -89,13 +89,15 @@
     /// `draw_time` for one chunk; none leaves both as they are.
     #[must_use]
     pub fn with_draw_time(mut self, draw_time: Option<Duration>) -> Self {
-        let Some(draw_time) = draw_time.filter(|it| !it.is_zero()) else {
+        let Some(draw_time) = draw_time.filter(|draw_time| !draw_time.is_zero()) else {
             return self;
         };
-        let fit = WINDOW.as_nanos() / draw_time.as_nanos();
-        self.window = u32::try_from(fit).unwrap_or(MOST).clamp(FEWEST, MOST);
-        let together = draw_time.saturating_mul(self.window);
-        self.takeover_delay = self.takeover_delay.max(together.saturating_mul(3));
+        let fitting = WINDOW_DURATION.as_nanos() / draw_time.as_nanos();
+        self.window = u32::try_from(fitting)
+            .unwrap_or(MAX_WINDOW_CHUNKS)
+            .clamp(MIN_WINDOW_CHUNKS, MAX_WINDOW_CHUNKS);
+        let window_duration = draw_time.saturating_mul(self.window);
+        self.takeover_delay = self.takeover_delay.max(window_duration.saturating_mul(3));
         self
     }
 }
