--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -1,4 +1,4 @@
-//! Draws from the origin: who, when and in whose place.
+//! Draws (fetches from the origin): which VM draws a chunk, when, and when another VM takes over.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -9,21 +9,21 @@
 use crate::ranking::NEVER_DRAWS;
 use crate::{Action, Reason, Source};
 
-/// Draws of one VM at once, while VMs are few enough that one each would not fill the link.
+/// Maximum draws in flight per VM in a fleet of few VMs, where one each would not fill the origin's link.
 const MAX_DRAWS_FEW_VMS: usize = 2;
 
-/// Up to this many other VMs, one draw each would not fill the origin's link.
+/// Maximum number of other VMs with which one draw each does not fill the origin's link.
 const FEW_VMS: usize = 3;
 
-/// Most windows of chunks that nobody is seen to have and that are drawn at once: one is under way, and another
-/// takes as long until its chunks are seen everywhere.
+/// Maximum windows of chunks that no neighbour is known to have: one is being drawn, and the chunks of another
+/// take as long again until all VMs know that they are available.
 const MAX_WINDOWS: u32 = 2;
 
-/// Windows that open with time for each one more of unseen chunks, at a VM that has not drawn since the origin
-/// failed: an origin that is away for four copies' time opens one.
+/// At a VM that has drawn nothing since the origin failed: number of windows opened by the passing of time per
+/// window added to [`MAX_WINDOWS`]. An origin that is unreachable for the time of four copies adds one window.
 const TIMED_WINDOWS_PER_EXTRA_WINDOW: u32 = 16;
 
-/// Fetches from peers in a row until a chunk is seen among the neighbours.
+/// Successive fetches between peers that bring a chunk from any VM to a neighbour.
 const HOPS_TO_NEIGHBOURS: u32 = 8;
 
 impl Planner {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns how many draws are under way.
+    /// Returns the number of draws in flight.
     fn draws(&self) -> usize {
         self.active
             .values()
@@ -53,7 +53,7 @@
             .count()
     }
 
-    /// Chooses the next draw, if one is due.
+    /// Returns the next chunk to draw and the reason, or `None` if no draw is due.
     fn next_draw(&self, now: Instant) -> Option<(ChunkIndex, Reason)> {
         if !self.neighbours_known(now) {
             return None;
@@ -67,15 +67,15 @@
         second.or_else(|| self.takeover(now).map(|chunk| (chunk, Reason::Takeover)))
     }
 
-    /// Says whether the neighbours had their chance to say what they have.
+    /// Returns whether the neighbours have reported their chunks, or the time for that is over.
     ///
-    /// A VM that starts among others that have the bundle must not draw it again.
+    /// Without this wait, a VM that starts among VMs that have the bundle would draw it again.
     fn neighbours_known(&self, now: Instant) -> bool {
         let is_late = now.saturating_duration_since(self.started_at) >= self.tuning.learn_timeout;
         is_late || self.settings.policy != SpreadPolicy::Balanced || self.peers.all_answered()
     }
 
-    /// Returns the first chunk that the VM is first for and that no neighbour has.
+    /// Returns the first chunk within the frontier that this VM ranks first for and that no neighbour has.
     fn own_draw(&self, now: Instant) -> Option<ChunkIndex> {
         let frontier = self.frontier(now);
         self.without_reliable_fetch()
@@ -84,16 +84,17 @@
             .find(|chunk| self.peers.holders(*chunk) == 0)
     }
 
-    /// Returns up to where chunks are drawn now: a window after the last chunk that was seen.
+    /// Returns the exclusive upper limit of the chunks that may be drawn now: one window past the highest
+    /// available chunk.
     ///
-    /// The origin shares its link evenly. Were all VMs to draw at once, then all draws would end
-    /// late and together, and until then nobody would have anything to give. A window that never
-    /// moves, because its VMs are gone, opens with time.
+    /// The origin shares its link evenly. If all VMs drew at once, all draws would end late and together, and no
+    /// VM would have a chunk to pass on until then. One more window opens per takeover delay without progress, so
+    /// that a window whose VMs are gone does not block the others.
     ///
-    /// While the origin is away the windows of all VMs open, and after its return chunks come out of order, so
-    /// that the last one seen says little. Bounded by it alone, 97 VMs drew 36 chunks at once of a link that
-    /// carries eight in the time of a window, and then drew in each other's place: 1.36 copies in 1.64 times
-    /// the time of one.
+    /// While the origin is unreachable, the windows of all VMs open. Chunks then arrive out of order, and the
+    /// highest available chunk says little about the others, so the number of unavailable chunks is limited too.
+    /// Without that limit, 97 VMs drew 36 chunks at once over a link that carries eight in the time of a window,
+    /// and then took over each other's draws: 1.36 copies in 1.64 times the time of one.
     fn frontier(&self, now: Instant) -> ChunkIndex {
         let count = self.have.capacity();
         if self.settings.policy != SpreadPolicy::Balanced {
@@ -110,15 +111,16 @@
         by_last.min(self.unavailable_frontier(more))
     }
 
-    /// Says whether the origin has given a chunk since it last failed.
+    /// Returns whether the VM has drawn a chunk since the origin last failed.
     ///
-    /// A VM that it gave none can't tell an origin that is away from others that draw nothing.
+    /// A VM that has drawn none can't tell an unreachable origin from other VMs that do not draw.
     fn drew_since_failure(&self) -> bool {
         self.last_draw_at
             .is_some_and(|at| at > self.origin_failed_at)
     }
 
-    /// Returns how many waits for another VM's draw have passed since `moment` without a failure of the origin.
+    /// Returns the number of takeover delays that have passed since the later of `moment` and the origin's last
+    /// failure.
     fn takeover_delays_since(&self, moment: Instant, now: Instant) -> u32 {
         let since = moment.max(self.origin_failed_at);
         let quiet = now.saturating_duration_since(since);
@@ -129,10 +131,11 @@
         delays
     }
 
-    /// Returns up to where [`MAX_WINDOWS`] and `more` hold the chunks that are missing and at no neighbour.
+    /// Returns the exclusive upper limit that leaves at most [`MAX_WINDOWS`] plus `more` windows of chunks that
+    /// this VM and its neighbours lack.
     ///
-    /// A VM that is there and draws nothing, for want of memory, leaves its chunks unseen for good: without more
-    /// windows the others would never get as far as to draw them in its place.
+    /// A VM that is alive but draws nothing, for lack of memory, never makes its chunks available. Without more
+    /// windows, the other VMs would not reach these chunks and take them over.
     fn unavailable_frontier(&self, more: u32) -> ChunkIndex {
         let windows = MAX_WINDOWS.saturating_add(more);
         let max_chunks = self.tuning.window.saturating_mul(windows) as usize;
@@ -141,9 +144,8 @@
         unavailable.nth(max_chunks).unwrap_or(self.have.capacity())
     }
 
-    /// Returns the rarest chunk that the VM is second for and that its data centre lacks, if time
-    /// is weighed. First copies go before second ones: at every VM, all first draws must have been
-    /// let go.
+    /// Returns the rarest chunk that this VM ranks second for and that its data centre lacks, or `None` if time
+    /// is not weighed. First copies come before second ones, so the frontier must have passed every chunk.
     fn second_copy(&self, now: Instant) -> Option<ChunkIndex> {
         let is_apt = self.settings.policy == SpreadPolicy::Balanced
             && self.settings.weigh == Weigh::Time
@@ -154,18 +156,18 @@
         }
         self.unfetched()
             .filter(|chunk| self.ranking.position(*chunk) == 1)
-            .filter(|chunk| !self.is_at_home(*chunk))
+            .filter(|chunk| !self.is_available_locally(*chunk))
             .min_by_key(|chunk| (self.peers.holders(*chunk), self.order[*chunk as usize]))
     }
 
-    /// Says whether a neighbour in the own data centre has `chunk`.
-    fn is_at_home(&self, chunk: ChunkIndex) -> bool {
+    /// Returns whether a neighbour in the own data centre has `chunk`.
+    fn is_available_locally(&self, chunk: ChunkIndex) -> bool {
         self.peers
             .neighbours()
             .any(|(_, peer)| peer.has(chunk) && peer.site.data_centre == self.own.data_centre)
     }
 
-    /// Returns a chunk that the VM draws in the place of those that rank before it.
+    /// Returns a chunk to draw in the place of the VMs that rank before this one, which are late with it.
     fn takeover(&self, now: Instant) -> Option<ChunkIndex> {
         let free_at = self.draws_blocked_at.or(self.own_draws_done_at)?;
         let frontier = self.frontier(now);
@@ -175,7 +177,7 @@
             .filter(|chunk| self.peers.holders(*chunk) == 0)
             .filter(|chunk| self.ranking.position(*chunk) != NEVER_DRAWS)
             .find(|chunk| {
-                // Until a chunk was let go, nobody was late with it.
+                // Before a chunk is released, its draw is not late.
                 let released = self.released_at[*chunk as usize].unwrap_or(now);
                 let unavailable_since = self
                     .peers
@@ -187,8 +189,9 @@
         unavailable.or_else(|| self.fallback_draw(now))
     }
 
-    /// Returns a chunk to draw although neighbours have it, because nothing has arrived for
-    /// long. Without this a VM whose neighbours all fail would wait for ever.
+    /// Returns a chunk to draw although neighbours have it, if no chunk has arrived for long.
+    ///
+    /// Without this, a VM whose neighbours all fail would wait for ever.
     fn fallback_draw(&self, now: Instant) -> Option<ChunkIndex> {
         let since = self.last_arrival_at.max(self.origin_failed_at);
         let quiet = now.saturating_duration_since(since);
@@ -198,10 +201,9 @@
             .min_by_key(|chunk| (self.ranking.position(*chunk), self.order[*chunk as usize]))
     }
 
-    /// Goes through the chunks that are missing and whose fetches can't be counted on.
+    /// Returns the missing chunks that are not being fetched from the origin or from a peer that is not failing.
     ///
-    /// A peer that gives nothing may hold a fetch for long; that must not keep a chunk from being
-    /// drawn.
+    /// A peer that sends nothing can hold a fetch for long, and must not keep the chunk from being drawn.
     fn without_reliable_fetch(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         let reliable: BTreeSet<ChunkIndex> = self
             .active
@@ -217,14 +219,14 @@
             .filter(move |chunk| !reliable.contains(chunk))
     }
 
-    /// Goes through the chunks that are missing and not on their way.
+    /// Returns the missing chunks without a fetch in flight.
     pub(crate) fn unfetched(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         self.have
             .missing()
             .filter(|chunk| self.in_flight[*chunk as usize] == 0)
     }
 
-    /// Notes when the last chunk that was seen moved on.
+    /// Updates the highest available chunk, and releases the chunks within the frontier.
     fn update_frontier(&mut self, now: Instant) {
         let highest = (0..self.have.capacity())
             .rev()
@@ -239,10 +241,10 @@
         }
     }
 
-    /// Notes when the VM has drawn all that it is first for, or can't go on with it.
+    /// Records when the VM has finished its own draws, or when the window blocks them.
     ///
-    /// VMs that are there and draw nothing leave chunks unseen until these fill the windows. The others have chunks
-    /// left to draw then, but none that was let go: only draws in the place of those VMs move the windows on.
+    /// Chunks of VMs that are alive but draw nothing stay unavailable until they fill the windows. Other VMs then
+    /// have chunks left to draw, but none of them is released: only taking over those draws moves the windows.
     fn update_own_draws(&mut self, now: Instant) {
         if self.own_draws_done_at.is_some() || !self.neighbours_known(now) {
             return;
@@ -262,12 +264,11 @@
         }
     }
 
-    /// Returns how long a VM waits for the one before it in a ranking.
+    /// Returns how long a VM waits for the VM before it in a ranking.
     ///
-    /// It grows with what the own draws took: an origin that is slow for this VM is slow for the
-    /// others. A chunk drawn by a VM that is no neighbour takes some hops to be seen. Neither is a
-    /// reason to draw in the others' place. Nor is time in which the origin fails: whoever waits
-    /// starts anew when it does.
+    /// The delay grows with the duration of this VM's own draws, because an origin that is slow for this VM is
+    /// slow for the others too. The delay also covers the hops that a chunk takes from a VM that is not a
+    /// neighbour. Time in which the origin fails does not count: the wait starts again at each failure.
     fn takeover_delay(&self) -> Duration {
         let span = self.own_draws_done_at.map_or(Duration::ZERO, |at| {
             at.saturating_duration_since(self.started_at)
@@ -277,13 +278,13 @@
         self.tuning.takeover_delay.max(draw).max(span / 2).max(hops)
     }
 
-    /// Returns how long the own VM waits for those that rank before it for `chunk`.
+    /// Returns how long this VM waits for the VMs that rank before it for `chunk`.
     fn takeover_delay_of(&self, chunk: ChunkIndex) -> Duration {
         let ranks = self
             .ranking
             .position(chunk)
             .min(self.tuning.max_takeover_delays);
-        // The jitter is fixed per chunk and VM, so that a wait is not drawn anew at every look.
+        // The jitter is fixed per chunk and VM, so that repeated checks see the same delay.
         let jitter = f64::from(self.order[chunk as usize]) / f64::from(self.have.capacity());
         let deep_factor = if self.ranking.position(chunk) >= self.tuning.max_takeover_delays {
             f64::from(self.tuning.max_takeover_delays)
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: its state, and what events change in it.
+//! State of the planner, and how events change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -17,25 +17,25 @@
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Reason, Site, Source, Tuning, neighbours,
 };
 
-/// Longest pause of a peer that keeps failing, in first pauses.
+/// Upper limit of the backoff of a failing peer, as a multiple of its first backoff.
 const MAX_BACKOFF_FACTOR: u32 = 32;
 
-/// What a planner is made from.
+/// Configuration of a planner.
 #[derive(Clone, Debug)]
 pub struct PlannerConfig {
     /// The VM that the planner decides for.
     pub own: Site,
     /// Digests of the bundle's chunks, each once. [`ChunkIndex`] is a position in this list.
     pub chunks: Vec<Digest>,
-    /// Chunks that the VM has already.
+    /// Chunks that the VM has at the start.
     pub have: ChunkSet,
-    /// The document's settings of the spread.
+    /// Settings of the distribution from the service's document.
     pub settings: SpreadSettings,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// A fetch under way.
+/// A fetch in flight.
 #[derive(Debug)]
 pub(crate) struct ActiveFetch {
     pub(crate) chunk: ChunkIndex,
@@ -45,9 +45,9 @@
 
 /// Decides for one VM and one bundle which chunks to fetch from whom.
 ///
-/// Invariants: a chunk counts as there only after [`Event::Fetched`], which the caller sends only
-/// once the digest was verified; and a chunk that a peer gave corrupted is never asked of that
-/// peer again.
+/// Invariants: a chunk counts as present only after [`Event::Fetched`], which the caller sends only
+/// after it has verified the digest; and a chunk that a peer sent corrupted is never fetched from
+/// that peer again.
 #[derive(Debug)]
 pub struct Planner {
     pub(crate) own: Site,
@@ -55,31 +55,32 @@
     pub(crate) tuning: Tuning,
     pub(crate) rng: StdRng,
     pub(crate) have: ChunkSet,
-    /// The VM's own random order of chunks, which breaks ties.
+    /// Rank of each chunk in a random order of this VM, which breaks ties between chunks.
     pub(crate) order: Vec<u32>,
     pub(crate) peers: Peers,
     pub(crate) ranking: Ranking,
     pub(crate) active: BTreeMap<FetchId, ActiveFetch>,
-    /// Fetches under way for each chunk.
+    /// Fetches in flight for each chunk.
     pub(crate) in_flight: Vec<u32>,
     pub(crate) origin_backoff: Backoff,
-    /// When the origin last failed; the start if it never did.
+    /// When the origin last failed; the start of the planner if the origin has not failed.
     pub(crate) origin_failed_at: Instant,
     pub(crate) origin_fetch_time: FetchTime,
     pub(crate) peer_fetch_time: FetchTime,
     pub(crate) started_at: Instant,
-    /// When the last draw arrived.
+    /// When the last chunk from the origin arrived.
     pub(crate) last_draw_at: Option<Instant>,
-    /// When the last of the draws that the VM is first for was done.
+    /// When no chunk was left that the VM is first for and that is not available.
     pub(crate) own_draws_done_at: Option<Instant>,
-    /// When the windows had kept it from those draws for as long as others are waited for.
+    /// When the window had kept the VM from its own draws for as long as the takeover delay.
     pub(crate) draws_blocked_at: Option<Instant>,
-    /// The last chunk that the VM or a neighbour has had, and since when.
+    /// Highest chunk that this VM or a neighbour has had.
     pub(crate) highest_available: Option<ChunkIndex>,
+    /// When `highest_available` last increased.
     pub(crate) frontier_moved_at: Instant,
-    /// Since when each chunk may be drawn by the VM that is first for it.
+    /// Since when the window lets the VM that is first for each chunk draw it.
     pub(crate) released_at: Vec<Option<Instant>>,
-    /// Since when each chunk is known to be at a neighbour.
+    /// Since when a neighbour is known to have each chunk.
     pub(crate) available_at: Vec<Option<Instant>>,
     /// When the last chunk arrived.
     pub(crate) last_arrival_at: Instant,
@@ -89,7 +90,7 @@
 }
 
 impl Planner {
-    /// Makes a planner at `now`; it starts fetching with the first event.
+    /// Makes a planner at `now`, which starts fetches from the first event on.
     pub fn new(cfg: PlannerConfig, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
         let count = cfg.have.capacity();
@@ -129,29 +130,29 @@
         }
     }
 
-    /// Sets the numbers that steer the planner.
+    /// Replaces the tuning parameters.
     pub fn with_tuning(mut self, tuning: Tuning) -> Self {
         self.tuning = tuning;
         self
     }
 
-    /// Says whether every chunk is there.
+    /// Returns whether the VM has every chunk.
     pub fn is_done(&self) -> bool {
         self.have.is_full()
     }
 
-    /// Returns the chunks that are there.
+    /// Returns the chunks that the VM has.
     pub const fn have(&self) -> &ChunkSet {
         &self.have
     }
 
-    /// Returns the peers whose chunks the planner wants to be told of: the neighbours, and those
-    /// that would be if they could be reached.
+    /// Returns the peers whose chunks the caller reports: the neighbours, and the peers that would
+    /// be neighbours if they were reachable.
     pub const fn watched(&self) -> &BTreeSet<VmId> {
         &self.watched
     }
 
-    /// Takes in `event` at `now`, and returns what to do.
+    /// Applies `event` at `now`, and returns the fetches to start and to cancel.
     pub fn apply(&mut self, event: Event, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Forgets a fetch that has ended or is dropped.
+    /// Removes a fetch that has ended or is cancelled.
     pub(crate) fn end_fetch(&mut self, id: FetchId) -> Option<ActiveFetch> {
         let active = self.active.remove(&id)?;
         self.in_flight[active.chunk as usize] -= 1;
@@ -215,7 +216,7 @@
         Some(active)
     }
 
-    /// Takes in a chunk, and drops other fetches of it.
+    /// Records a verified chunk, and cancels the other fetches of it.
     fn on_fetched(&mut self, id: FetchId, chunk: ChunkIndex, now: Instant, out: &mut Vec<Action>) {
         self.have.insert(chunk);
         self.last_arrival_at = now;
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Takes in that a fetch brought nothing.
+    /// Records that a fetch failed.
     fn on_failed(&mut self, id: FetchId, failure: Failure, now: Instant) {
         let Some(active) = self.end_fetch(id) else {
             return;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Leaves the origin alone for a while.
+    /// Records a failure of the origin, and backs off from it.
     fn back_off_origin(&mut self, failure: Failure, jitter_factor: f64, now: Instant) {
         self.origin_failed_at = now;
         let first = self.tuning.origin_backoff;
@@ -272,13 +273,13 @@
             retry_after: Some(requested),
         } = failure
         {
-            // The jitter comes after what was asked, so that no VM is early.
+            // The jitter is added to the requested delay, so that no VM comes back early.
             let jitter = self.tuning.origin_backoff.mul_f64(jitter_factor);
             self.origin_backoff.extend(now, requested + jitter);
         }
     }
 
-    /// Leaves a peer alone for a while, and notes what it can't give.
+    /// Backs off from a peer, and records the chunks that it does not have or sent corrupted.
     fn back_off_peer(
         &mut self,
         vm: &str,
@@ -294,8 +295,8 @@
         match failure {
             Failure::Busy { retry_after } => {
                 let requested = retry_after.unwrap_or(self.tuning.busy_backoff);
-                // Half to one and a half of what was asked: VMs turned away together don't
-                // come back together.
+                // The delay is 0.5 to 1.5 times the requested one, so that VMs that were refused
+                // together do not retry together.
                 peer.backoff
                     .extend(now, requested.mul_f64(0.5 + jitter_factor));
             }
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Takes the list of VMs.
+    /// Applies a list of VMs: peers are the other live upstreams.
     fn set_peers(&mut self, entries: &[VmEntry], now: Instant) {
         let sites = entries
             .iter()
@@ -326,18 +327,18 @@
         self.update_neighbours(now);
     }
 
-    /// Notes that a peer can't be reached.
+    /// Records that a peer is unreachable.
     fn set_lost(&mut self, vm: &str, now: Instant) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.lost_since.get_or_insert(now);
             peer.have = None;
         }
-        // Its chunks no longer count.
+        // Recounts the holders of chunks without those of the lost peer.
         let neighbours = self.peers.neighbour_names().clone();
         self.peers.set_neighbours(neighbours, now);
     }
 
-    /// Arranges anew if other peers than before count as lost.
+    /// Updates neighbours and ranking if the set of lost peers has changed.
     fn update_lost(&mut self, now: Instant) {
         let lost = self.peers.lost(self.tuning.lost_after, now);
         if lost != self.lost {
@@ -346,7 +347,7 @@
         }
     }
 
-    /// Chooses the neighbours and ranks the VMs that count as alive.
+    /// Chooses the neighbours and ranks the VMs that are not lost.
     fn update_neighbours(&mut self, now: Instant) {
         let all: BTreeMap<VmId, DataCentre> = self
             .peers
@@ -365,7 +366,7 @@
         self.peers.set_neighbours(neighbours, now);
     }
 
-    /// Chooses from whom to fetch, out of `others`.
+    /// Chooses the neighbours from `others` by the policy.
     fn choose_neighbours(&self, others: &BTreeMap<VmId, DataCentre>) -> BTreeSet<VmId> {
         let policy = self.settings.policy;
         match policy {
@@ -384,7 +385,8 @@
         }
     }
 
-    /// Ranks the VMs; in a baseline, a VM without a parent draws everything and others nothing.
+    /// Updates the ranking. With the policies chain and tree, a VM without a parent draws every chunk
+    /// and other VMs draw none.
     fn update_ranking(&mut self, alive: &BTreeMap<VmId, DataCentre>, is_root: bool) {
         match self.settings.policy {
             SpreadPolicy::Balanced => self.ranking.set_members(alive.clone()),
