--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -15,12 +15,13 @@
 /// Maximum number of other VMs with which one draw each does not fill the origin's link.
 const FEW_VMS: usize = 3;
 
-/// Maximum windows of chunks that no neighbour is known to have: one is being drawn, and the chunks of another
-/// take as long again until all VMs know that they are available.
+/// Maximum windows of chunks that no neighbour is known to have: one is being drawn, and the chunks of
+/// another take as long again until all VMs know that they are available.
 const MAX_WINDOWS: u32 = 2;
 
-/// At a VM that has drawn nothing since the origin failed: number of windows opened by the passing of time per
-/// window added to [`MAX_WINDOWS`]. An origin that is unreachable for the time of four copies adds one window.
+/// At a VM that has drawn nothing since the origin failed: number of windows opened by the passing of time
+/// per window added to [`MAX_WINDOWS`]. An origin that is unreachable for the time of four copies adds one
+/// window.
 const TIMED_WINDOWS_PER_EXTRA_WINDOW: u32 = 16;
 
 /// Successive fetches between peers that bring a chunk from any VM to a neighbour.
@@ -87,14 +88,14 @@
     /// Returns the exclusive upper limit of the chunks that may be drawn now: one window past the highest
     /// available chunk.
     ///
-    /// The origin shares its link evenly. If all VMs drew at once, all draws would end late and together, and no
-    /// VM would have a chunk to pass on until then. One more window opens per takeover delay without progress, so
-    /// that a window whose VMs are gone does not block the others.
+    /// The origin shares its link evenly. If all VMs drew at once, all draws would end late and together, and
+    /// no VM would have a chunk to pass on until then. One more window opens per takeover delay without
+    /// progress, so that a window whose VMs are gone does not block the others.
     ///
     /// While the origin is unreachable, the windows of all VMs open. Chunks then arrive out of order, and the
-    /// highest available chunk says little about the others, so the number of unavailable chunks is limited too.
-    /// Without that limit, 97 VMs drew 36 chunks at once over a link that carries eight in the time of a window,
-    /// and then took over each other's draws: 1.36 copies in 1.64 times the time of one.
+    /// highest available chunk says little about the others, so the number of unavailable chunks is limited
+    /// too. Without that limit, 97 VMs drew 36 chunks at once over a link that carries eight in the time of a
+    /// window, and then took over each other's draws: 1.36 copies in 1.64 times the time of one.
     fn frontier(&self, now: Instant) -> ChunkIndex {
         let count = self.have.capacity();
         if self.settings.policy != SpreadPolicy::Balanced {
@@ -119,8 +120,8 @@
             .is_some_and(|at| at > self.origin_failed_at)
     }
 
-    /// Returns the number of takeover delays that have passed since the later of `moment` and the origin's last
-    /// failure.
+    /// Returns the number of takeover delays that have passed since the later of `moment` and the origin's
+    /// last failure.
     fn takeover_delays_since(&self, moment: Instant, now: Instant) -> u32 {
         let since = moment.max(self.origin_failed_at);
         let quiet = now.saturating_duration_since(since);
@@ -131,11 +132,11 @@
         delays
     }
 
-    /// Returns the exclusive upper limit that leaves at most [`MAX_WINDOWS`] plus `more` windows of chunks that
-    /// this VM and its neighbours lack.
+    /// Returns the exclusive upper limit that leaves at most [`MAX_WINDOWS`] plus `more` windows of chunks
+    /// that this VM and its neighbours lack.
     ///
-    /// A VM that is alive but draws nothing, for lack of memory, never makes its chunks available. Without more
-    /// windows, the other VMs would not reach these chunks and take them over.
+    /// A VM that is alive but draws nothing, for lack of memory, never makes its chunks available. Without
+    /// more windows, the other VMs would not reach these chunks and take them over.
     fn unavailable_frontier(&self, more: u32) -> ChunkIndex {
         let windows = MAX_WINDOWS.saturating_add(more);
         let max_chunks = self.tuning.window.saturating_mul(windows) as usize;
@@ -144,8 +145,9 @@
         unavailable.nth(max_chunks).unwrap_or(self.have.capacity())
     }
 
-    /// Returns the rarest chunk that this VM ranks second for and that its data centre lacks, or `None` if time
-    /// is not weighed. First copies come before second ones, so the frontier must have passed every chunk.
+    /// Returns the rarest chunk that this VM ranks second for and that its data centre lacks, or `None` if
+    /// time is not weighed. First copies come before second ones, so the frontier must have passed every
+    /// chunk.
     fn second_copy(&self, now: Instant) -> Option<ChunkIndex> {
         let is_apt = self.settings.policy == SpreadPolicy::Balanced
             && self.settings.weigh == Weigh::Time
@@ -201,7 +203,8 @@
             .min_by_key(|chunk| (self.ranking.position(*chunk), self.order[*chunk as usize]))
     }
 
-    /// Returns the missing chunks that are not being fetched from the origin or from a peer that is not failing.
+    /// Returns the missing chunks that are not being fetched from the origin or from a peer that is not
+    /// failing.
     ///
     /// A peer that sends nothing can hold a fetch for long, and must not keep the chunk from being drawn.
     fn without_reliable_fetch(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
@@ -243,8 +246,9 @@
 
     /// Records when the VM has finished its own draws, or when the window blocks them.
     ///
-    /// Chunks of VMs that are alive but draw nothing stay unavailable until they fill the windows. Other VMs then
-    /// have chunks left to draw, but none of them is released: only taking over those draws moves the windows.
+    /// Chunks of VMs that are alive but draw nothing stay unavailable until they fill the windows. Other VMs
+    /// then have chunks left to draw, but none of them is released: only taking over those draws moves the
+    /// windows.
     fn update_own_draws(&mut self, now: Instant) {
         if self.own_draws_done_at.is_some() || !self.neighbours_known(now) {
             return;
@@ -266,8 +270,8 @@
 
     /// Returns how long a VM waits for the VM before it in a ranking.
     ///
-    /// The delay grows with the duration of this VM's own draws, because an origin that is slow for this VM is
-    /// slow for the others too. The delay also covers the hops that a chunk takes from a VM that is not a
+    /// The delay grows with the duration of this VM's own draws, because an origin that is slow for this VM
+    /// is slow for the others too. The delay also covers the hops that a chunk takes from a VM that is not a
     /// neighbour. Time in which the origin fails does not count: the wait starts again at each failure.
     fn takeover_delay(&self) -> Duration {
         let span = self.own_draws_done_at.map_or(Duration::ZERO, |at| {
--- a/crates/spread/src/peers.rs
+++ b/crates/spread/src/peers.rs
@@ -1,4 +1,4 @@
-//! What is known of the other VMs.
+//! Known state of the other VMs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,32 +8,33 @@
 use crate::timing::Backoff;
 use crate::{ChunkSet, Site};
 
-/// Corrupt chunks that are put down to chance before a peer is judged by its share of them.
+/// Corrupt chunks of a peer that are attributed to chance, before the share of corrupt chunks decides.
 const MAX_CHANCE_CORRUPT: usize = 2;
 
-/// A peer is not believed if it gave one corrupt chunk or more for so many good ones.
+/// A peer is trusted only if it sent more than this many good chunks per corrupt one.
 const MIN_GOOD_PER_CORRUPT: usize = 8;
 
 /// One other VM.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) site: Site,
-    /// What it can give, as far as it said; none until it has said anything.
+    /// Chunks that the peer last reported; `None` before the first report and while the peer is lost or not
+    /// trusted.
     pub(crate) have: Option<ChunkSet>,
-    /// Chunks that it gave corrupted; never asked of it again.
+    /// Chunks that the peer sent corrupted, which are never fetched from it again.
     pub(crate) corrupt: BTreeSet<ChunkIndex>,
-    /// Fetches from it under way.
+    /// Fetches in flight from the peer.
     pub(crate) active: usize,
-    /// Chunks that it gave.
+    /// Good chunks that the peer has sent.
     pub(crate) served: u32,
     pub(crate) backoff: Backoff,
-    /// The last fetch from it broke, was given up or was corrupt: what it has can't be counted on.
+    /// The last fetch from the peer broke, timed out or was corrupt, so its chunks don't count as available.
     failing: bool,
     pub(crate) lost_since: Option<Instant>,
 }
 
 impl Peer {
-    /// Makes a peer that has said nothing.
+    /// Makes a peer that has not reported yet.
     fn new(site: Site) -> Self {
         Self {
             site,
@@ -47,17 +48,17 @@
         }
     }
 
-    /// Says whether what the peer says of its chunks is believed.
+    /// Returns whether the peer's reports of its chunks are used.
     ///
-    /// One that gives mostly corrupt chunks has none to give, whatever it says. Were it
-    /// believed, nobody would draw the chunks that it alone claims to have.
+    /// If reports of a peer that sends mostly corrupt chunks were used, no VM would draw the chunks
+    /// that only this peer claims to have.
     pub(crate) fn is_trusted(&self) -> bool {
         let corrupt = self.corrupt.len();
         let good = usize::try_from(self.served).unwrap_or(usize::MAX);
         corrupt <= MAX_CHANCE_CORRUPT || corrupt.saturating_mul(MIN_GOOD_PER_CORRUPT) < good
     }
 
-    /// Says whether the peer is there to give `chunk`.
+    /// Returns whether the peer has reported `chunk`.
     pub(crate) fn has(&self, chunk: ChunkIndex) -> bool {
         self.have.as_ref().is_some_and(|have| have.contains(chunk))
     }
@@ -73,7 +74,7 @@
 }
 
 impl Peers {
-    /// Makes the view of a VM that knows no other, of a bundle with `chunks` chunks.
+    /// Makes the state of a VM that knows no others, for a bundle of `chunks` chunks.
     pub(crate) fn new(chunks: u32, now: Instant) -> Self {
         Self {
             all: BTreeMap::new(),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Keeps just the peers of `sites`, and adds those that are new.
+    /// Replaces the peers by those of `sites`. The state of a peer whose site is unchanged stays.
     pub(crate) fn set_sites(&mut self, sites: Vec<Site>) {
         let mut before = std::mem::take(&mut self.all);
         for site in sites {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes the neighbours; the others' chunks don't count.
+    /// Sets the neighbours, and recounts the holders of each chunk among them.
     pub(crate) fn set_neighbours(&mut self, neighbours: BTreeSet<VmId>, now: Instant) {
         self.neighbours = neighbours;
         let before = self.holders.clone();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Takes what `vm` says that it has. A chunk that it gave corrupted stays out.
+    /// Records the chunks that `vm` reports, without those that it sent corrupted.
     pub(crate) fn set_have(&mut self, vm: &str, mut have: ChunkSet, now: Instant) {
         let Some(peer) = self.all.get_mut(vm) else {
             return;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Notes that `vm` does not have `chunk` after all.
+    /// Records that `vm` does not have `chunk`, contrary to its report.
     pub(crate) fn remove_chunk(&mut self, vm: &str, chunk: ChunkIndex, now: Instant) {
         let Some(peer) = self.all.get_mut(vm) else {
             return;
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Notes that `vm` gave `chunk` corrupted. Its other chunks stop counting once it is not
-    /// believed any more.
+    /// Records that `vm` sent `chunk` corrupted. If `vm` is no longer trusted, its other chunks
+    /// stop counting as well.
     pub(crate) fn note_corrupt(&mut self, vm: &str, chunk: ChunkIndex, now: Instant) {
         self.remove_chunk(vm, chunk, now);
         let Some(peer) = self.all.get_mut(vm) else {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Notes whether what a peer has can be counted on.
+    /// Records whether a peer is failing; the chunks of a failing peer don't count as available.
     pub(crate) fn set_failing(&mut self, vm: &str, failing: bool, now: Instant) {
         let Some(peer) = self.all.get_mut(vm) else {
             return;
@@ -188,12 +189,12 @@
         }
     }
 
-    /// Says whether what a peer has can't be counted on; so it is with one that isn't known.
+    /// Returns whether a peer is failing. An unknown peer counts as failing.
     pub(crate) fn is_failing(&self, vm: &str) -> bool {
         self.all.get(vm).is_none_or(|peer| peer.failing)
     }
 
-    /// Counts one neighbour less that has `chunk`.
+    /// Decrements the holders of `chunk`.
     fn drop_holder(&mut self, chunk: ChunkIndex, now: Instant) {
         let holders = &mut self.holders[chunk as usize];
         *holders = holders.saturating_sub(1);
@@ -202,17 +203,16 @@
         }
     }
 
-    /// Returns a peer.
     pub(crate) fn get_mut(&mut self, vm: &str) -> Option<&mut Peer> {
         self.all.get_mut(vm)
     }
 
-    /// Goes through all peers.
+    /// Returns all peers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&VmId, &Peer)> {
         self.all.iter()
     }
 
-    /// Goes through the neighbours.
+    /// Returns the neighbours that are known peers.
     pub(crate) fn neighbours(&self) -> impl Iterator<Item = (&VmId, &Peer)> {
         self.neighbours
             .iter()
@@ -224,17 +224,17 @@
         &self.neighbours
     }
 
-    /// Returns how many neighbours have `chunk` and don't fail.
+    /// Returns the number of neighbours that have `chunk` and are not failing.
     pub(crate) fn holders(&self, chunk: ChunkIndex) -> u32 {
         self.holders[chunk as usize]
     }
 
-    /// Returns since when no neighbour has `chunk`; meaningless while one has it.
+    /// Returns since when no neighbour has `chunk`. The value is meaningless while a neighbour has it.
     pub(crate) fn unavailable_since(&self, chunk: ChunkIndex) -> Instant {
         self.unavailable_since[chunk as usize]
     }
 
-    /// Returns the peers that have been out of reach for `after` or longer.
+    /// Returns the peers that have been unreachable for `after` or longer.
     pub(crate) fn lost(&self, after: Duration, now: Instant) -> BTreeSet<VmId> {
         let lost = self.all.iter().filter(|(_, peer)| {
             let since = peer.lost_since;
@@ -243,7 +243,7 @@
         lost.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Says whether every neighbour has said what it has, or can't be reached.
+    /// Returns whether there are neighbours and each has reported, is unreachable or is not trusted.
     pub(crate) fn all_answered(&self) -> bool {
         !self.neighbours.is_empty()
             && self.neighbours().all(|(_, peer)| {
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -266,9 +266,9 @@
     fn back_off_origin(&mut self, failure: Failure, jitter_factor: f64, now: Instant) {
         self.origin_failed_at = now;
         let first = self.tuning.origin_backoff;
-        let most = self.tuning.max_origin_backoff;
+        let max = self.tuning.max_origin_backoff;
         self.origin_backoff
-            .record_failure(now, first, most, jitter_factor);
+            .record_failure(now, first, max, jitter_factor);
         if let Failure::Busy {
             retry_after: Some(requested),
         } = failure
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -1,4 +1,5 @@
-//! Who draws which chunk from the origin: the same order at every VM, without talking.
+//! Ranking of the VMs that draw each chunk from the origin. Every VM computes the same order without
+//! communication.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,30 +7,31 @@
 
 use crate::Site;
 
-/// Position of a VM that never draws a chunk of its own accord.
+/// Position of a VM that never draws a chunk.
 pub(crate) const NEVER_DRAWS: u32 = u32::MAX;
 
-/// The own VM's position in the ranking of each chunk, among the VMs that count as alive.
+/// Position of the own VM in the ranking of each chunk, among the VMs that are not lost.
 ///
-/// With [`Weigh::OriginBytes`] a chunk ranks all VMs. With [`Weigh::Time`] it ranks the data
-/// centres and, within each, the VMs; the order takes the first VM of each data centre, then the
-/// second of each, so that the first two draws go to two data centres.
+/// With [`Weigh::OriginBytes`], all VMs are ranked by their rendezvous score for the chunk. With
+/// [`Weigh::Time`], the data centres are ranked and, within each, the VMs. The order then takes the
+/// first VM of each data centre, then the second of each, so that the first two draws are in two
+/// data centres.
 #[derive(Debug)]
 pub(crate) struct Ranking {
     own: Site,
     weigh: Weigh,
     chunks: Vec<Digest>,
     own_scores: Vec<u64>,
-    /// For each chunk, members of the own group that rank before the own VM.
+    /// For each chunk, number of members of the own group (see `in_group`) that rank before the own VM.
     ahead: Vec<u32>,
-    /// For each chunk, members of the own data centre that rank before the own VM.
+    /// For each chunk, number of members of the own data centre that rank before the own VM.
     local_ahead: Vec<u32>,
     members: BTreeMap<VmId, DataCentre>,
     positions: Vec<u32>,
 }
 
 impl Ranking {
-    /// Makes the ranking of a VM that knows no other.
+    /// Makes the ranking of a VM that knows no others.
     pub(crate) fn new(own: Site, weigh: Weigh, chunks: Vec<Digest>) -> Self {
         let own_scores = chunks
             .iter()
@@ -47,20 +49,21 @@
         }
     }
 
-    /// Returns how many VMs rank before the own one for `chunk`.
+    /// Returns the number of VMs that rank before the own one for `chunk`.
     pub(crate) fn position(&self, chunk: ChunkIndex) -> u32 {
         self.positions[chunk as usize]
     }
 
-    /// Returns how many VMs of the own data centre rank before the own one for `chunk`.
+    /// Returns the number of VMs of the own data centre that rank before the own one for `chunk`.
     pub(crate) fn local_position(&self, chunk: ChunkIndex) -> u32 {
         self.local_ahead[chunk as usize]
     }
 
-    /// Returns the VMs of other data centres that draw what the own VM brings into its data centre.
+    /// Returns the VMs of other data centres that draw the chunks that the own VM is the first to
+    /// fetch into its data centre.
     ///
-    /// Without looking at them it would hear of a chunk only once that had come to one of a few
-    /// neighbours abroad.
+    /// Without these as neighbours, the own VM would learn of a chunk only after one of its few
+    /// remote neighbours had it.
     pub(crate) fn remote_drawers(&self) -> BTreeSet<VmId> {
         let fetched_across = self.chunks.iter().zip(&self.local_ahead);
         let fetched_across = fetched_across.filter(|(_, ahead)| **ahead == 0);
@@ -73,14 +76,14 @@
         remote.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Gives every chunk the same position, for policies that rank VMs and not chunks.
+    /// Sets the same position for every chunk, for policies that do not rank VMs per chunk.
     pub(crate) fn set_all(&mut self, position: u32) {
         self.positions.fill(position);
     }
 
-    /// Takes the other VMs that count as alive.
+    /// Replaces the other VMs that are not lost.
     ///
-    /// The cost goes with the number of VMs that came or went, not with how many there are.
+    /// The cost grows with the number of VMs that were added or removed, not with the total.
     pub(crate) fn set_members(&mut self, members: BTreeMap<VmId, DataCentre>) {
         let before = std::mem::take(&mut self.members);
         for (vm, data_centre) in &before {
@@ -97,7 +100,7 @@
         self.update_positions();
     }
 
-    /// Says whether VMs of `data_centre` are ranked together with the own VM.
+    /// Returns whether VMs of `data_centre` are ranked together with the own VM.
     fn in_group(&self, data_centre: &str) -> bool {
         match self.weigh {
             Weigh::OriginBytes => true,
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Changes the counts of every chunk that ranks `vm` before the own VM.
+    /// Applies `change` to the counts of every chunk for which `vm` ranks before the own VM.
     fn adjust_counts<F>(&mut self, vm: &str, data_centre: &str, change: F)
     where
         F: Fn(u32) -> u32,
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -1,25 +1,25 @@
-//! How long fetches usually take, and how long a source is left alone.
+//! Average duration of fetches, and backoff of sources that fail.
 
 use std::time::{Duration, Instant};
 
-/// Weight of what was known against a new duration.
+/// Weight of the previous average against a new duration, which has weight 1.
 const HISTORY_WEIGHT: u32 = 3;
 
-/// Most doublings of a pause.
+/// Maximum doublings of a time-out or of a backoff.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// The usual duration of fetches.
+/// Moving average of the duration of fetches, from which their time-outs are derived.
 #[derive(Debug)]
 pub(crate) struct FetchTime {
     initial: Duration,
-    /// None until a fetch has succeeded.
+    /// `None` until a fetch has succeeded.
     average: Option<Duration>,
-    /// Fetches given up since one succeeded.
+    /// Fetches that have timed out since the last success.
     timeouts: u32,
 }
 
 impl FetchTime {
-    /// Makes a pace from a first guess.
+    /// Makes an estimate that starts from `initial`.
     pub(crate) const fn new(initial: Duration) -> Self {
         Self {
             initial,
@@ -28,34 +28,34 @@
         }
     }
 
-    /// Returns the usual duration; none until a fetch has succeeded.
+    /// Returns the average duration, or `None` until a fetch has succeeded.
     pub(crate) const fn average(&self) -> Option<Duration> {
         self.average
     }
 
-    /// Returns the duration from which limits are made.
+    /// Returns the duration from which time-outs are derived.
     ///
-    /// It doubles with each fetch that is given up, so that a guess far too short can't give up
-    /// every fetch for ever.
+    /// The duration doubles with each time-out, up to [`MAX_DOUBLINGS`] times, so that an initial
+    /// estimate that is far too short does not make every fetch time out for ever.
     pub(crate) fn timeout_base(&self) -> Duration {
         let average = self.average.unwrap_or(self.initial);
         average.saturating_mul(1 << self.timeouts.min(MAX_DOUBLINGS))
     }
 
-    /// Takes in the duration of a fetch that succeeded.
+    /// Records the duration of a fetch that succeeded.
     pub(crate) fn observe(&mut self, duration: Duration) {
         let average = self.average.unwrap_or(duration);
         self.average = Some((average * HISTORY_WEIGHT + duration) / (HISTORY_WEIGHT + 1));
         self.timeouts = 0;
     }
 
-    /// Takes in that a fetch was given up.
+    /// Records that a fetch timed out.
     pub(crate) const fn record_timeout(&mut self) {
         self.timeouts = self.timeouts.saturating_add(1);
     }
 }
 
-/// When a source may be asked again.
+/// Backoff of a source: when the next fetch from it may start.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
     until: Option<Instant>,
@@ -63,12 +63,12 @@
 }
 
 impl Backoff {
-    /// Says whether the source may be asked.
+    /// Returns whether a fetch from the source may start.
     pub(crate) fn is_over(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| until <= now)
     }
 
-    /// Ends the pause and forgets the failures.
+    /// Ends the backoff and resets the count of failures.
     pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
