--- a/crates/spread/src/chunk_set.rs
+++ b/crates/spread/src/chunk_set.rs
@@ -4,7 +4,7 @@
 
 use wagtailreel_core::ChunkIndex;
 
-/// Bits in one word of a set.
+/// Bits per word of a set.
 const WORD_BITS: u32 = u64::BITS;
 
 /// A set of the chunks `0..len` of one bundle.
@@ -23,30 +23,29 @@
         }
     }
 
-    /// Returns how many chunks the bundle has, whether or not they are in the set.
+    /// Returns the number of chunks of the bundle, in the set or not.
     pub const fn capacity(&self) -> u32 {
         self.len
     }
 
-    /// Returns how many chunks are in the set.
+    /// Returns the number of chunks in the set.
     pub fn count(&self) -> u32 {
         self.words.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// Says whether every chunk of the bundle is in the set.
+    /// Returns whether the set contains every chunk of the bundle.
     pub fn is_full(&self) -> bool {
         self.count() == self.len
     }
 
-    /// Says whether `chunk` is in the set; a chunk that the bundle does not have never is.
+    /// Returns whether the set contains `chunk`; `false` for a chunk outside the bundle.
     pub fn contains(&self, chunk: ChunkIndex) -> bool {
         self.words
             .get((chunk / WORD_BITS) as usize)
             .is_some_and(|word| word & bit(chunk) != 0)
     }
 
-    /// Adds `chunk`, and says whether it was missing. A chunk that the bundle does not have is
-    /// passed over.
+    /// Adds `chunk`, and returns whether it was missing. Ignores a chunk outside the bundle.
     pub fn insert(&mut self, chunk: ChunkIndex) -> bool {
         if chunk >= self.len || self.contains(chunk) {
             return false;
@@ -55,7 +54,7 @@
         true
     }
 
-    /// Takes `chunk` out, and says whether it was there.
+    /// Removes `chunk`, and returns whether the set contained it.
     pub fn remove(&mut self, chunk: ChunkIndex) -> bool {
         if !self.contains(chunk) {
             return false;
@@ -64,18 +63,18 @@
         true
     }
 
-    /// Goes through the chunks of the set in order.
+    /// Returns the chunks of the set in order.
     pub fn iter(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         (0..self.len).filter(|chunk| self.contains(*chunk))
     }
 
-    /// Goes through the chunks that are not in the set, in order.
+    /// Returns the chunks that are not in the set, in order.
     pub fn missing(&self) -> impl Iterator<Item = ChunkIndex> + '_ {
         (0..self.len).filter(|chunk| !self.contains(*chunk))
     }
 
-    /// Writes the set as hexadecimal digits, eight chunks a byte, the lowest chunk in the lowest
-    /// bit of the first byte.
+    /// Encodes the set as hexadecimal digits: eight chunks per byte, with the lowest chunk in the
+    /// lowest bit of the first byte.
     pub fn to_hex(&self) -> String {
         let bytes = self.words.iter().flat_map(|word| word.to_le_bytes());
         bytes
@@ -84,12 +83,12 @@
             .collect()
     }
 
-    /// Reads what [`ChunkSet::to_hex`] wrote for a bundle of `len` chunks.
+    /// Decodes the text of [`ChunkSet::to_hex`] for a bundle of `len` chunks.
     ///
-    /// Returns none if the text has another length, another digit, or a chunk at or after `len`.
+    /// Returns `None` if the text has another length, an invalid digit, or a chunk at or after `len`.
     pub fn from_hex(text: &str, len: u32) -> Option<Self> {
-        let wanted = len.div_ceil(u8::BITS) as usize * 2;
-        if text.len() != wanted || !text.is_ascii() {
+        let expected_len = len.div_ceil(u8::BITS) as usize * 2;
+        if text.len() != expected_len || !text.is_ascii() {
             return None;
         }
         let mut set = Self::new(len);
@@ -113,12 +112,12 @@
     }
 }
 
-/// Returns the bit of `chunk` in its word.
+/// Returns the mask of `chunk` in its word.
 const fn bit(chunk: ChunkIndex) -> u64 {
     1 << (chunk % WORD_BITS)
 }
 
-/// Returns the chunks that `byte` at position `at` stands for.
+/// Returns the chunks whose bits are set in `byte` at position `at`.
 fn bits_of(at: usize, byte: u8) -> impl Iterator<Item = ChunkIndex> {
     let first = u32::try_from(at)
         .unwrap_or(u32::MAX)
--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -103,13 +103,13 @@
         }
         let from = self.highest_available.map_or(0, |chunk| chunk + 1);
         let windows = 1 + self.takeover_delays_since(self.frontier_moved_at, now);
-        let by_last = from.saturating_add(self.tuning.window.saturating_mul(windows));
-        let more = if self.drew_since_failure() {
+        let by_highest = from.saturating_add(self.tuning.window.saturating_mul(windows));
+        let extra_windows = if self.drew_since_failure() {
             self.takeover_delays_since(self.last_arrival_at, now)
         } else {
             windows / TIMED_WINDOWS_PER_EXTRA_WINDOW
         };
-        by_last.min(self.unavailable_frontier(more))
+        by_highest.min(self.unavailable_frontier(extra_windows))
     }
 
     /// Returns whether the VM has drawn a chunk since the origin last failed.
@@ -132,13 +132,13 @@
         delays
     }
 
-    /// Returns the exclusive upper limit that leaves at most [`MAX_WINDOWS`] plus `more` windows of chunks
-    /// that this VM and its neighbours lack.
+    /// Returns the exclusive upper limit that leaves at most [`MAX_WINDOWS`] plus `extra_windows` windows of
+    /// chunks that this VM and its neighbours lack.
     ///
     /// A VM that is alive but draws nothing, for lack of memory, never makes its chunks available. Without
     /// more windows, the other VMs would not reach these chunks and take them over.
-    fn unavailable_frontier(&self, more: u32) -> ChunkIndex {
-        let windows = MAX_WINDOWS.saturating_add(more);
+    fn unavailable_frontier(&self, extra_windows: u32) -> ChunkIndex {
+        let windows = MAX_WINDOWS.saturating_add(extra_windows);
         let max_chunks = self.tuning.window.saturating_mul(windows) as usize;
         let unavailable = self.have.missing();
         let mut unavailable = unavailable.filter(|chunk| self.peers.holders(*chunk) == 0);
@@ -149,11 +149,11 @@
     /// time is not weighed. First copies come before second ones, so the frontier must have passed every
     /// chunk.
     fn second_copy(&self, now: Instant) -> Option<ChunkIndex> {
-        let is_apt = self.settings.policy == SpreadPolicy::Balanced
+        let is_due = self.settings.policy == SpreadPolicy::Balanced
             && self.settings.weigh == Weigh::Time
             && self.own_draws_done_at.is_some()
             && self.frontier(now) >= self.have.capacity();
-        if !is_apt {
+        if !is_due {
             return None;
         }
         self.unfetched()
@@ -171,7 +171,7 @@
 
     /// Returns a chunk to draw in the place of the VMs that rank before this one, which are late with it.
     fn takeover(&self, now: Instant) -> Option<ChunkIndex> {
-        let free_at = self.draws_blocked_at.or(self.own_draws_done_at)?;
+        let own_draws_ended_at = self.draws_blocked_at.or(self.own_draws_done_at)?;
         let frontier = self.frontier(now);
         let unavailable = self
             .without_reliable_fetch()
@@ -185,7 +185,7 @@
                     .peers
                     .unavailable_since(*chunk)
                     .max(self.origin_failed_at);
-                let since = unavailable_since.max(free_at).max(released);
+                let since = unavailable_since.max(own_draws_ended_at).max(released);
                 now.saturating_duration_since(since) >= self.takeover_delay_of(*chunk)
             });
         unavailable.or_else(|| self.fallback_draw(now))
@@ -290,12 +290,12 @@
             .min(self.tuning.max_takeover_delays);
         // The jitter is fixed per chunk and VM, so that repeated checks see the same delay.
         let jitter = f64::from(self.order[chunk as usize]) / f64::from(self.have.capacity());
-        let deep_factor = if self.ranking.position(chunk) >= self.tuning.max_takeover_delays {
+        let jitter_range = if self.ranking.position(chunk) >= self.tuning.max_takeover_delays {
             f64::from(self.tuning.max_takeover_delays)
         } else {
             0.5
         };
         self.takeover_delay()
-            .mul_f64(f64::from(ranks) + jitter * deep_factor)
+            .mul_f64(f64::from(ranks) + jitter * jitter_range)
     }
 }
--- a/crates/spread/src/event.rs
+++ b/crates/spread/src/event.rs
@@ -1,4 +1,4 @@
-//! What a planner is told and what it asks for.
+//! Input events and output actions of a planner.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::ChunkSet;
 
-/// Identifies one fetch of one planner; never used twice.
+/// Identifier of one fetch of a planner, never reused.
 pub type FetchId = u64;
 
-/// Where a VM stands.
+/// Location of a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Site {
     /// Name of the VM.
@@ -22,7 +22,7 @@
 }
 
 impl Site {
-    /// Takes the site out of an entry of the list of VMs.
+    /// Returns the site of an entry of the list of VMs.
     pub fn of(entry: &VmEntry) -> Self {
         Self {
             vm: entry.vm.clone(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Where a chunk is fetched from.
+/// Source of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Source {
     /// The origin of weights.
@@ -49,94 +49,94 @@
     /// The VM is first in the chunk's ranking and draws it from the origin.
     #[display("draw")]
     Draw,
-    /// The VM is second in the chunk's ranking, and time is weighed: it draws a second copy.
+    /// The VM is second in the chunk's ranking and draws a second copy, because time is weighed.
     #[display("second")]
     SecondCopy,
-    /// Those before in the chunk's ranking did not deliver: the VM draws in their place.
+    /// The VMs before this one in the chunk's ranking are late, and this VM draws in their place.
     #[display("takeover")]
     Takeover,
     /// A peer has the chunk.
     #[display("spread")]
     Spread,
-    /// Another fetch of the chunk takes long.
+    /// Another fetch of the chunk is slow.
     #[display("hedge")]
     Hedge,
 }
 
-/// One fetch that the planner wants to be started.
+/// A fetch for the caller to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// Identifies the fetch.
+    /// Identifier of the fetch.
     pub id: FetchId,
     /// Position of the chunk in the planner's list.
     pub chunk: ChunkIndex,
-    /// Where from.
+    /// Source to fetch from.
     pub from: Source,
-    /// Why.
+    /// Reason of the fetch.
     pub reason: Reason,
 }
 
-/// How a fetch failed.
+/// Failure of a fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Failure {
-    /// The source refused for now.
+    /// The source refused the fetch temporarily.
     #[display("busy")]
     Busy {
-        /// When it wants to be asked again, if it said so.
+        /// Delay that the source requests before the next try, if any.
         retry_after: Option<Duration>,
     },
     /// The source does not have the chunk.
     #[display("absent")]
     Absent,
-    /// The bytes don't have the chunk's digest.
+    /// The bytes do not match the chunk's digest.
     #[display("corrupt")]
     Corrupt,
-    /// The connection failed or was cut.
+    /// The connection failed or was interrupted.
     #[display("broken")]
     Broken,
 }
 
-/// What a planner is told.
+/// Input of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A peer says which chunks it has.
+    /// A peer reports its chunks.
     Have {
         /// The peer.
         vm: VmId,
-        /// The chunks that it has now.
+        /// All chunks that the peer has now.
         have: ChunkSet,
     },
-    /// A chunk has arrived and its digest was verified.
+    /// A chunk arrived and its digest was verified.
     Fetched {
-        /// The fetch that brought it.
+        /// The fetch that delivered the chunk.
         id: FetchId,
-        /// The chunk; it counts even if the fetch was dropped in the meantime.
+        /// The chunk, which counts even if the fetch was cancelled in the meantime.
         chunk: ChunkIndex,
     },
-    /// A fetch brought nothing.
+    /// A fetch failed.
     Failed {
         /// The fetch.
         id: FetchId,
-        /// Why.
+        /// Kind of failure.
         failure: Failure,
     },
-    /// The VMs of the service, in all data centres.
+    /// Replaces the list of the service's VMs, in all data centres.
     Peers(Vec<VmEntry>),
-    /// A peer can't be reached, or does not want the bundle.
+    /// A peer is unreachable, or does not fetch the bundle.
     Lost {
         /// The peer.
         vm: VmId,
     },
-    /// Time has passed.
+    /// Time has passed without another event.
     Tick,
 }
 
-/// What a planner asks for.
+/// Output of a planner, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start a fetch, and say how it ended.
+    /// Start a fetch, and report its end with an event.
     Fetch(Fetch),
-    /// Drop a fetch; its end is not to be told.
+    /// Cancel a fetch, without an event for its end.
     Cancel {
         /// The fetch.
         id: FetchId,
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,8 +1,11 @@
-//! Which chunk to fetch from whom: decisions of the weights' spread, without I/O.
+//! Decides which chunk of a bundle each VM fetches from which source, without I/O.
 //!
-//! A [`Planner`] decides for one VM and one bundle. It is told the time, what peers have and how
-//! fetches ended, and returns the fetches to start and to drop. Every VM runs the same rules on
-//! what it sees; no VM coordinates.
+//! A [`Planner`] decides for one VM and one bundle. Its input is the time, the chunks of peers and
+//! the results of fetches; its output is the fetches to start and to cancel. Every VM applies the
+//! same rules to its own view, without a coordinator.
+//!
+//! A *draw* is a fetch from the origin; the *spread* is the fetches between VMs. Each chunk ranks
+//! the VMs, and the first VM draws it. A VM further down *takes over* a draw that is late.
 
 mod chunk_set;
 mod draw;
--- a/crates/spread/src/neighbours.rs
+++ b/crates/spread/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! From whom a VM fetches.
+//! Choice of the neighbours that a VM fetches from.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,17 +6,17 @@
 
 use crate::Site;
 
-/// Key under which the baselines rank VMs.
+/// Key by which the baseline policies, chain and tree, rank the VMs.
 const BASELINE_RANK_KEY: &[u8] = b"wagtailreel line";
 
-/// How many VMs fetch from one in the tree.
+/// Number of VMs that fetch from each VM in the tree.
 const TREE_FAN_OUT: usize = 2;
 
 /// Chooses up to `local` neighbours in the own data centre and `global` over all data centres.
 ///
-/// Each ring orders the VMs by a rendezvous score of its own, and a VM takes its successor. So a
-/// VM is the neighbour of about as many as it has neighbours itself, which balances what each
-/// gives, and a VM that comes or goes changes only the choices next to it.
+/// Each ring orders the VMs by a rendezvous score of its own, and a VM chooses its successor. A VM is
+/// therefore the neighbour of about as many VMs as it has neighbours, which balances the load of
+/// sending chunks. A VM that is added or removed changes only the choices next to it.
 pub(crate) fn choose(
     own: &Site,
     others: &BTreeMap<VmId, DataCentre>,
@@ -50,14 +50,14 @@
         .iter()
         .filter(|vm| !chosen.contains(**vm))
         .map(|vm| (rank_score(ring.as_bytes(), vm), *vm))
-        // The ring closes: VMs after the own one come before those that wrap around.
+        // VMs after the own one come before those that wrap around the end of the ring.
         .min_by_key(|place| (*place < own, *place));
     if let Some((_, vm)) = successor {
         chosen.insert(vm.to_owned());
     }
 }
 
-/// Returns the VM that the own one fetches from under a baseline policy, none for the first.
+/// Returns the VM that the own one fetches from under a baseline policy, or `None` for the first VM.
 pub(crate) fn parent(
     policy: SpreadPolicy,
     own: &Site,
@@ -66,10 +66,10 @@
     let names = others.keys().chain([&own.vm]).map(String::as_str);
     let ranked = rank(BASELINE_RANK_KEY, names);
     let place = ranked.iter().position(|vm| *vm == own.vm)?;
-    let before = place.checked_sub(1)?;
+    let previous = place.checked_sub(1)?;
     let parent = match policy {
-        SpreadPolicy::Tree => before / TREE_FAN_OUT,
-        SpreadPolicy::Chain => before,
+        SpreadPolicy::Tree => previous / TREE_FAN_OUT,
+        SpreadPolicy::Chain => previous,
         SpreadPolicy::Balanced | SpreadPolicy::Origin => return None,
     };
     Some(ranked[parent].to_owned())
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -1,4 +1,4 @@
-//! Fetches from peers: rarest first, balanced over the givers, with hedges for the tail.
+//! Fetches from peers: rarest chunk first, balanced over the sources, hedged when only slow fetches are left.
 
 use std::time::{Duration, Instant};
 
@@ -9,14 +9,15 @@
 use crate::planner::Planner;
 use crate::{Action, FetchId, Reason, Source};
 
-/// How little a peer is preferred as a giver; the lowest goes first.
+/// Rank of a peer as a source, lowest first: whether it is remote (if origin bytes are weighed), fetches in
+/// flight from it, chunks it has sent, and a random number.
 type SourceRank = (bool, usize, u32, u32);
 
-/// Fetches from one peer at once if there are few peers.
+/// Maximum fetches in flight from one peer if there are few neighbours.
 const MAX_PER_PEER_FEW_PEERS: usize = 2;
 
 impl Planner {
-    /// Starts fetches from peers while there is room.
+    /// Starts fetches from peers up to the limit of fetches in flight.
     pub(crate) fn spread(&mut self, now: Instant, out: &mut Vec<Action>) {
         while self.peer_fetches() < self.tuning.parallel {
             let Some((chunk, vm)) = self.next_spread(now) else {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Fetches once more what takes long, when nothing else is left to fetch.
+    /// Starts second fetches of slow chunks from other peers, once every missing chunk is in flight.
     pub(crate) fn hedge(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.unfetched().next().is_some() {
             return;
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Drops fetches that take far too long, and passes over their source for a while.
+    /// Cancels fetches that have timed out, and backs off from the peers that they came from.
     pub(crate) fn cancel_overdue(&mut self, now: Instant, out: &mut Vec<Action>) {
         let factor = self.tuning.timeout_factor;
         let peer_limit = self.at_least_min_timeout(self.peer_fetch_time.timeout_base() * factor);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Drops one fetch, and passes over its source for a while.
+    /// Cancels one fetch that has timed out, and backs off from its peer.
     fn cancel_overdue_fetch(&mut self, id: FetchId, now: Instant) {
         let Some(active) = self.end_fetch(id) else {
             return;
@@ -77,7 +78,8 @@
             Source::Peer(vm) => {
                 self.peer_fetch_time.record_timeout();
                 if let Some(peer) = self.peers.get_mut(vm) {
-                    // A peer that held a place for long is not tried again soon.
+                    // The backoff is as long as the fetch lasted: a peer that held a fetch for long is not
+                    // tried again soon.
                     peer.backoff.record_failure(now, age, age, jitter);
                 }
                 self.peers.set_failing(vm, true, now);
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Returns how many fetches from peers are under way.
+    /// Returns the number of fetches in flight from peers.
     fn peer_fetches(&self) -> usize {
         self.active
             .values()
@@ -93,7 +95,7 @@
             .count()
     }
 
-    /// Chooses the rarest chunk that a usable neighbour has, and the neighbour.
+    /// Chooses the rarest chunk that a usable neighbour has, and the neighbour to fetch it from.
     fn next_spread(&mut self, now: Instant) -> Option<(ChunkIndex, VmId)> {
         let usable = self.usable(now);
         let chunk = self
@@ -111,22 +113,22 @@
         self.choose_source(sources).map(|vm| (chunk, vm))
     }
 
-    /// Returns how rare a chunk is, the rarest lowest. What only failing peers have comes last.
+    /// Returns the rarity of a chunk, lowest for the rarest. Chunks that only failing peers have come last.
     fn rarity(&self, chunk: ChunkIndex) -> u32 {
         let holders = self.peers.holders(chunk);
         holders.checked_sub(1).unwrap_or(u32::MAX)
     }
 
-    /// Chooses the chunk that has been on its way longest, and another neighbour that has it.
+    /// Chooses the chunk that has been in flight longest, and another neighbour that has it.
     fn next_hedge(&mut self, now: Instant) -> Option<(ChunkIndex, VmId)> {
-        let at_least_min_timeout = self
+        let limit = self
             .at_least_min_timeout(self.peer_fetch_time.timeout_base() * self.tuning.hedge_factor);
         let usable = self.usable(now);
         let mut slow: Vec<(Instant, ChunkIndex)> = self
             .active
             .values()
             .filter(|active| self.in_flight[active.chunk as usize] == 1)
-            .filter(|active| now.saturating_duration_since(active.since) > at_least_min_timeout)
+            .filter(|active| now.saturating_duration_since(active.since) > limit)
             .map(|active| (active.since, active.chunk))
             .collect();
         slow.sort_unstable();
@@ -142,8 +144,10 @@
         self.choose_source(sources).map(|vm| (chunk, vm))
     }
 
-    /// Says whether `chunk` may be fetched from `peer`: from another data centre only by the VM that
-    /// is first for it here, or in the place of those before it.
+    /// Returns whether `chunk` may be fetched from `peer`.
+    ///
+    /// From another data centre, a chunk may be fetched by the VM that ranks first for it in this data
+    /// centre. Each VM further down may fetch it one `cross_delay` after the VM before.
     fn may_fetch_from(&self, peer: &Peer, chunk: ChunkIndex, now: Instant) -> bool {
         if !peer.has(chunk) {
             return false;
@@ -161,7 +165,7 @@
         available_for >= wait * ranks
     }
 
-    /// Notes since when chunks are known to be at neighbours.
+    /// Records since when neighbours are known to have each chunk.
     pub(crate) fn note_available(&mut self, now: Instant) {
         for chunk in 0..self.have.capacity() {
             if self.peers.holders(chunk) > 0 {
@@ -170,14 +174,14 @@
         }
     }
 
-    /// Says whether `chunk` is on its way from `vm`.
+    /// Returns whether `chunk` is being fetched from `vm`.
     fn is_fetching_from(&self, vm: &str, chunk: ChunkIndex) -> bool {
         self.active.values().any(|active| {
             active.chunk == chunk && matches!(&active.from, Source::Peer(from) if from == vm)
         })
     }
 
-    /// Returns the neighbours that may be asked now.
+    /// Returns the neighbours from which a fetch may start now.
     fn usable(&self, now: Instant) -> Vec<(&VmId, &Peer)> {
         // With few neighbours, one fetch from each would leave the link idle between fetches.
         let neighbours = self.peers.neighbour_names().len().max(1);
@@ -194,25 +198,26 @@
             .collect()
     }
 
-    /// Weighs a giver. With origin bytes weighed, links between data centres are dear as well.
+    /// Ranks a peer as a source. If origin bytes are weighed, local peers come first, because links between
+    /// data centres are expensive as well.
     fn rank_source(&self, peer: &Peer) -> SourceRank {
         let is_remote = self.settings.weigh == Weigh::OriginBytes
             && peer.site.data_centre != self.own.data_centre;
         (is_remote, peer.active, peer.served, 0)
     }
 
-    /// Picks the least loaded giver, at random among equals.
+    /// Chooses the lowest-ranked source, at random among equals.
     fn choose_source(&mut self, mut sources: Vec<(VmId, SourceRank)>) -> Option<VmId> {
-        for (_, rank_source) in &mut sources {
-            rank_source.3 = self.rng.random();
+        for (_, rank) in &mut sources {
+            rank.3 = self.rng.random();
         }
         sources
             .into_iter()
-            .min_by_key(|(_, rank_source)| *rank_source)
+            .min_by_key(|(_, rank)| *rank)
             .map(|(vm, _)| vm)
     }
 
-    /// Returns `duration`, but no less than the shortest patience.
+    /// Returns `duration`, but at least the minimum time-out.
     fn at_least_min_timeout(&self, duration: Duration) -> Duration {
         duration.max(self.tuning.min_timeout)
     }
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -73,14 +73,14 @@
         *self = Self::default();
     }
 
-    /// Leaves the source alone until `now + delay`, without counting a failure.
+    /// Extends the backoff at least until `now + delay`, without counting a failure.
     pub(crate) fn extend(&mut self, now: Instant, delay: Duration) {
         let until = now + delay;
         self.until = Some(self.until.map_or(until, |before| before.max(until)));
     }
 
-    /// Counts a failure and leaves the source alone for `first`, doubled with each failure
-    /// before, but no longer than `max`; `jitter` is a jitter from 0 to 1 that is added.
+    /// Counts a failure and backs off for `first`, doubled with each earlier failure and at most `max`.
+    /// `jitter`, from 0 to 1, lengthens the result by that share, also beyond `max`.
     pub(crate) fn record_failure(
         &mut self,
         now: Instant,
--- a/crates/spread/src/tuning.rs
+++ b/crates/spread/src/tuning.rs
@@ -1,61 +1,63 @@
-//! Numbers that steer a planner.
+//! Tuning parameters of a planner.
 
 use std::time::Duration;
 
-/// How long the draws that are under way together take on the origin's link. They share it, so each
-/// of them takes that long, and the next in a chunk's ranking must not draw in its place meanwhile:
-/// with 24 chunks of 45 ms each the origin sent every third chunk twice, and a version that can be
-/// drawn in 4.3 s took 8 s. It is long enough for news of a chunk to reach those who draw the next.
+/// Time that the draws of one window take on the origin's link.
+///
+/// The draws share the link, so each of them takes that long, and the next VM in a chunk's ranking must not
+/// take over the draw meanwhile. With 24 chunks of 45 ms each, the origin sent every third chunk twice, and a
+/// version that can be drawn in 4.3 s took 8 s. The time is long enough for the report of a chunk to reach
+/// the VMs that draw the next ones.
 const WINDOW_DURATION: Duration = Duration::from_millis(400);
 
-/// Fewest chunks that are drawn together: one at a time would leave the link idle between two.
+/// Minimum chunks per window. With one chunk at a time, the link would be idle between draws.
 const MIN_WINDOW_CHUNKS: u32 = 4;
 
-/// Most chunks that are drawn together; on a link that is so fast a few more make no difference.
+/// Maximum chunks per window. On a link that is fast enough for more, more make no difference.
 const MAX_WINDOW_CHUNKS: u32 = 64;
 
-/// Numbers that steer a planner. The defaults are those that the slot model of the tests did
-/// best with.
+/// Tuning parameters of a planner. The defaults gave the best results on the slot model of the tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// Most fetches from peers at once.
+    /// Maximum fetches in flight from peers.
     pub parallel: usize,
-    /// Most fetches from one peer at once.
+    /// Maximum fetches in flight from one peer.
     pub per_peer: usize,
-    /// Neighbours in the own data centre.
+    /// Number of neighbours in the own data centre.
     pub local_neighbours: usize,
-    /// Neighbours over all data centres, besides the near ones.
+    /// Number of further neighbours, from all data centres.
     pub global_neighbours: usize,
-    /// How long the first draw waits for the neighbours to say what they have.
+    /// Maximum time that the first draw waits for the neighbours to report their chunks.
     pub learn_timeout: Duration,
-    /// How many chunks after the last one seen may be drawn by those first in their ranking.
+    /// Number of chunks past the highest available one that may be drawn.
     pub window: u32,
-    /// How long the next in a chunk's ranking waits before it draws in place of the one before.
+    /// Minimum time that a VM waits before it draws a chunk in the place of the VM before it in the chunk's
+    /// ranking.
     pub takeover_delay: Duration,
-    /// Highest number of stalls that a VM far down a ranking waits.
+    /// Maximum number of ranks for which a VM far down a ranking waits.
     pub max_takeover_delays: u32,
-    /// How long an unreachable peer still counts as one that will draw.
+    /// Time after which an unreachable peer is lost: the ranking leaves it out.
     pub lost_after: Duration,
-    /// What a fetch is taken to last until one has ended.
+    /// Estimated duration of a fetch until a fetch has succeeded.
     pub initial_fetch_time: Duration,
-    /// Shortest time after which a fetch is hedged or given up.
+    /// Minimum time after which a fetch is hedged or times out.
     pub min_timeout: Duration,
-    /// A fetch is hedged after so many times the usual duration.
+    /// A fetch is hedged after this many times the average duration.
     pub hedge_factor: u32,
-    /// A fetch is given up after so many times the usual duration.
+    /// A fetch times out after this many times the average duration.
     pub timeout_factor: u32,
-    /// How long a peer that failed is passed over, doubled with each failure in a row.
+    /// First backoff from a peer that failed, doubled with each failure in a row.
     pub peer_backoff: Duration,
-    /// How long a busy peer is passed over if it does not say.
+    /// Backoff from a busy peer that does not request a delay.
     pub busy_backoff: Duration,
-    /// How long the next in a chunk's ranking within a data centre waits before it fetches from
-    /// another data centre in place of the one before; none lets every VM fetch from anywhere.
+    /// Time that a VM waits, per VM before it in a chunk's ranking within the data centre, before it fetches
+    /// the chunk from another data centre. With `None`, every VM fetches from any data centre at once.
     ///
-    /// With it each chunk crosses into a data centre once.
+    /// With this delay each chunk crosses into a data centre once.
     pub cross_delay: Option<Duration>,
-    /// First pause after the origin refused or failed, doubled with each failure in a row.
+    /// First backoff after the origin refused or failed, doubled with each failure in a row.
     pub origin_backoff: Duration,
-    /// Longest pause after the origin refused or failed, unless it asks for a longer one.
+    /// Maximum backoff after the origin refused or failed, unless the origin requests a longer one.
     pub max_origin_backoff: Duration,
 }
 
@@ -85,8 +87,8 @@
 }
 
 impl Tuning {
-    /// Fits the window of draws and the wait for another VM's to an origin whose link takes
-    /// `draw_time` for one chunk; none leaves both as they are.
+    /// Fits the window and the takeover delay to an origin whose link takes `draw_time` for one chunk.
+    /// `None` or zero leaves both unchanged.
     #[must_use]
     pub fn with_draw_time(mut self, draw_time: Option<Duration>) -> Self {
         let Some(draw_time) = draw_time.filter(|draw_time| !draw_time.is_zero()) else {
