--- a/crates/spread/tests/crossing.rs
+++ b/crates/spread/tests/crossing.rs
@@ -1,4 +1,4 @@
-//! A chunk crosses into a data centre once.
+//! Each chunk crosses into a data centre once.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 
 const CHUNKS: u32 = 12;
 
-const WAIT: Duration = Duration::from_millis(400);
+const CROSS_DELAY: Duration = Duration::from_millis(400);
 
 fn entry(vm: &str, data_centre: &str) -> VmEntry {
     let addr = "10.0.0.1:1".parse().unwrap();
@@ -37,15 +37,15 @@
     ]
 }
 
-fn all() -> ChunkSet {
-    let mut all = ChunkSet::new(CHUNKS);
+fn all_chunks() -> ChunkSet {
+    let mut all_chunks = ChunkSet::new(CHUNKS);
     for chunk in 0..CHUNKS {
-        all.insert(chunk);
+        all_chunks.insert(chunk);
     }
-    all
+    all_chunks
 }
 
-/// Makes the planner of a VM at home that knows that `global_neighbours` has everything.
+/// Makes the planner of a VM in the data centre `home` that knows that the VM `far` has every chunk.
 fn planner(own: &str, now: Instant) -> (Planner, Vec<Action>) {
     let fleet = fleet();
     let site = fleet.iter().find(|it| it.vm == own).unwrap();
@@ -63,7 +63,7 @@
     let tuning = Tuning {
         parallel: CHUNKS as usize,
         per_peer: CHUNKS as usize,
-        cross_delay: Some(WAIT),
+        cross_delay: Some(CROSS_DELAY),
         ..Tuning::default()
     };
     let mut planner = Planner::new(cfg, now).with_tuning(tuning);
@@ -75,11 +75,17 @@
         planner.apply(Event::Have { vm, have }, now);
     }
     let vm = "far".to_owned();
-    let actions = planner.apply(Event::Have { vm, have: all() }, now);
+    let actions = planner.apply(
+        Event::Have {
+            vm,
+            have: all_chunks(),
+        },
+        now,
+    );
     (planner, actions)
 }
 
-fn from_far(actions: &[Action]) -> BTreeSet<u32> {
+fn from_remote(actions: &[Action]) -> BTreeSet<u32> {
     let fetches = actions.iter().filter_map(|action| match action {
         Action::Fetch(Fetch { chunk, from, .. }) if *from == Source::Peer("far".to_owned()) => {
             Some(*chunk)
@@ -90,55 +96,62 @@
 }
 
 #[rstest]
-fn each_once() {
+fn one_vm_fetches_each_chunk_across() {
     let now = Instant::now();
-    let parts = ["a", "b", "c"].map(|vm| from_far(&planner(vm, now).1));
+    let parts = ["a", "b", "c"].map(|vm| from_remote(&planner(vm, now).1));
     let total: usize = parts.iter().map(BTreeSet::len).sum();
     let union: BTreeSet<u32> = parts.into_iter().flatten().collect();
-    assert_eq!(union.len(), CHUNKS as usize, "somebody brings each chunk");
-    assert_eq!(total, CHUNKS as usize, "and only one does");
+    assert_eq!(union.len(), CHUNKS as usize, "each chunk is fetched across");
+    assert_eq!(
+        total, CHUNKS as usize,
+        "each chunk is fetched across by one VM only"
+    );
 }
 
 #[rstest]
-fn next_in_rank() {
+fn lower_ranks_fetch_after_delay() {
     let now = Instant::now();
     let (mut planner, first) = planner("a", now);
-    let own = from_far(&first).len();
+    let own = from_remote(&first).len();
     assert!(own < CHUNKS as usize);
-    let mut brought = own;
-    for waits in 1..=3 {
-        let actions = planner.apply(Event::Tick, now + WAIT * waits);
-        brought += from_far(&actions).len();
+    let mut fetched = own;
+    for delays in 1..=3 {
+        let actions = planner.apply(Event::Tick, now + CROSS_DELAY * delays);
+        fetched += from_remote(&actions).len();
     }
-    assert_eq!(brought, CHUNKS as usize, "nobody else brought the others");
+    assert_eq!(
+        fetched, CHUNKS as usize,
+        "the chunks that no other VM fetched across"
+    );
 }
 
-/// In a fleet of which a VM sees but a small part, it looks at those that draw what it is to bring.
+/// Guards against late fetches in a fleet of which a VM watches only a small part: the VM also watches the
+/// remote VMs that draw the chunks that it is the first to fetch into its data centre.
 #[rstest]
-fn drawers_are_watched() {
+fn remote_drawers_are_watched() {
     let now = Instant::now();
-    let names: Vec<VmEntry> = (0..30)
+    let entries: Vec<VmEntry> = (0..30)
         .map(|at| entry(&format!("home-{at}"), "home"))
         .chain((0..60).map(|at| entry(&format!("far-{at}"), "abroad")))
         .collect();
     let digests: Vec<Digest> = (0..CHUNKS)
         .map(|chunk| Digest::of(&chunk.to_be_bytes()))
         .collect();
-    let first = |chunk: &Digest, all: &mut dyn Iterator<Item = &VmEntry>| {
+    let first = |chunk: &Digest, all_chunks: &mut dyn Iterator<Item = &VmEntry>| {
         let score = |it: &&VmEntry| rank_score(chunk.as_bytes(), &it.vm);
-        all.max_by_key(score).unwrap().clone()
+        all_chunks.max_by_key(score).unwrap().clone()
     };
     for chunk in &digests {
-        let drawer = first(chunk, &mut names.iter());
-        let bringer = first(
+        let drawer = first(chunk, &mut entries.iter());
+        let fetcher = first(
             chunk,
-            &mut names.iter().filter(|it| it.data_centre == "home"),
+            &mut entries.iter().filter(|it| it.data_centre == "home"),
         );
         if drawer.data_centre == "home" {
             continue;
         }
         let cfg = PlannerConfig {
-            own: Site::of(&bringer),
+            own: Site::of(&fetcher),
             chunks: digests.clone(),
             have: ChunkSet::new(CHUNKS),
             settings: SpreadSettings {
@@ -148,15 +161,15 @@
             seed: 7,
         };
         let tuning = Tuning {
-            cross_delay: Some(WAIT),
+            cross_delay: Some(CROSS_DELAY),
             local_neighbours: 3,
             global_neighbours: 1,
             ..Tuning::default()
         };
         let mut planner = Planner::new(cfg, now).with_tuning(tuning);
-        let others = names.iter().filter(|it| it.vm != bringer.vm).cloned();
+        let others = entries.iter().filter(|it| it.vm != fetcher.vm).cloned();
         planner.apply(Event::Peers(others.collect()), now);
         assert!(planner.watched().contains(&drawer.vm));
-        assert!(planner.watched().len() < 20, "but few in all");
+        assert!(planner.watched().len() < 20, "watches few VMs in total");
     }
 }
--- a/crates/spread/tests/faults.rs
+++ b/crates/spread/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The spread survives faults on the slot model.
+//! Distributions on the slot model complete in spite of faults.
 
 mod model;
 
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use wagtailreel_core::{SpreadSettings, Weigh};
 
-/// Returns a run of 13 VMs and 64 chunks.
+/// Returns the configuration of a run of 13 VMs and 64 chunks.
 fn setup(weigh: Weigh) -> Setup {
     let settings = SpreadSettings {
         weigh,
@@ -39,9 +39,9 @@
     assert!(out.is_done && out.origin <= 2.0, "{out:?}");
 }
 
-/// Two stalled VMs in turn held the last chunk of another for ever.
+/// Guards against two stalled VMs that in turn hold the fetch of another VM's last chunk for ever.
 #[test]
-fn stalled_in_turn() {
+fn stalled_sources_in_turn() {
     let mut setup = setup(Weigh::Time);
     (setup.vms, setup.chunks, setup.seed) = (4, 8, 603);
     setup.corrupt = 0.192_772_845_260_377_02;
@@ -53,35 +53,35 @@
 #[rstest]
 #[case::time(Weigh::Time, 1.9)]
 #[case::origin_bytes(Weigh::OriginBytes, 1.25)]
-fn cut_and_healed(#[case] weigh: Weigh, #[case] most_drawn: f64) {
+fn partition_and_recovery(#[case] weigh: Weigh, #[case] max_drawn: f64) {
     let mut setup = setup(weigh);
-    setup.cut = 150..700;
+    setup.partition = 150..700;
     let out = Model::new(setup).run(4);
     println!("{out:?}");
-    assert!(out.is_done && out.origin <= most_drawn, "{out:?}");
+    assert!(out.is_done && out.origin <= max_drawn, "{out:?}");
 }
 
 #[rstest]
 #[case::time(Weigh::Time, 2.0)]
 #[case::origin_bytes(Weigh::OriginBytes, 1.25)]
-fn lying_vm(#[case] weigh: Weigh, #[case] most_drawn: f64) {
+fn corrupting_vm_is_not_trusted(#[case] weigh: Weigh, #[case] max_drawn: f64) {
     let mut setup = setup(weigh);
-    setup.liar = Some(4);
+    setup.corrupting_vm = Some(4);
     let out = Model::new(setup).run(4);
-    println!("liar {out:?}");
+    println!("corrupting VM: {out:?}");
     assert!(out.is_done && out.ratio <= 2.0, "{out:?}");
-    assert!(out.origin <= most_drawn, "{out:?}");
+    assert!(out.origin <= max_drawn, "{out:?}");
 }
 
 #[rstest]
 #[case::time(Weigh::Time, 2.0)]
 #[case::origin_bytes(Weigh::OriginBytes, 1.05)]
-fn corrupt_chunks(#[case] weigh: Weigh, #[case] most_drawn: f64) {
+fn corrupt_chunks(#[case] weigh: Weigh, #[case] max_drawn: f64) {
     let mut setup = setup(weigh);
     setup.corrupt = 0.01;
     let out = Model::new(setup).run(4);
-    println!("corrupt {out:?}");
-    assert!(out.is_done && out.origin <= most_drawn, "{out:?}");
+    println!("corrupt chunks: {out:?}");
+    assert!(out.is_done && out.origin <= max_drawn, "{out:?}");
 }
 
 #[rstest]
@@ -91,16 +91,16 @@
 #[case::origin_bytes_from_start(Weigh::OriginBytes, 0..340, 1.02)]
 #[case::time_for_long(Weigh::Time, 100..5000, 2.0)]
 #[case::origin_bytes_for_long(Weigh::OriginBytes, 100..5000, 1.02)]
-fn origin_down(#[case] weigh: Weigh, #[case] down: Range<u64>, #[case] most_drawn: f64) {
+fn origin_down(#[case] weigh: Weigh, #[case] down: Range<u64>, #[case] max_drawn: f64) {
     let mut setup = setup(weigh);
     setup.origin_down = down;
     let out = Model::new(setup).run(8);
     println!("{out:?}");
-    assert!(out.is_done && out.origin <= most_drawn, "{out:?}");
+    assert!(out.is_done && out.origin <= max_drawn, "{out:?}");
 }
 
 prop_compose! {
-    /// Any faults at once, so long as one VM lives, the origin comes back and the cut heals.
+    /// Any combination of faults in which one VM lives, the origin recovers and the partition ends.
     fn any_faults()(
         vms in 1_usize..9,
         chunks in 1_u32..24,
@@ -110,7 +110,7 @@
         dead in prop::collection::btree_map(1_usize..9, 0_u64..400, 0..4),
         stalled in prop::collection::btree_map(0_usize..9, 0_u64..400, 0..3),
         down in (0_u64..300, 0_u64..300),
-        cut in (0_u64..300, 0_u64..300),
+        partition in (0_u64..300, 0_u64..300),
     ) -> Setup {
         let settings = SpreadSettings { weigh, ..SpreadSettings::default() };
         let mut setup = Setup::new(vms, chunks, settings, seed);
@@ -118,12 +118,12 @@
         setup.dead = dead;
         setup.stalled = stalled;
         setup.origin_down = down.0..down.0 + down.1;
-        setup.cut = cut.0..cut.0 + cut.1;
+        setup.partition = partition.0..partition.0 + partition.1;
         setup
     }
 }
 
-/// Returns a configuration whose cases are the same in every run, for one verdict in CI.
+/// Returns a configuration with the same cases in every run, so that the result in CI is reproducible.
 fn config() -> ProptestConfig {
     ProptestConfig {
         failure_persistence: None,
@@ -135,11 +135,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Every living VM gets every chunk. On the way the model checks that no VM counts a chunk
-    /// before it was verified and that none asks a corrupt giver again.
+    /// Every living VM gets every chunk. The model also checks that no VM counts a chunk before it was
+    /// verified and that no VM fetches a chunk again from the peer that sent it corrupted.
     #[test]
-    fn always_ends(setup in any_faults()) {
-        let copies = 40_000 / setup.copy();
+    fn every_vm_completes(setup in any_faults()) {
+        let copies = 40_000 / setup.copy_steps();
         let out = Model::new(setup).run(copies);
         prop_assert!(out.is_done, "{out:?}");
     }
--- a/crates/spread/tests/idle_peer.rs
+++ b/crates/spread/tests/idle_peer.rs
@@ -1,4 +1,4 @@
-//! A VM that is there, and draws nothing.
+//! VMs that are alive and draw nothing.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod model;
@@ -13,11 +13,11 @@
 const CHUNKS: u32 = 64;
 const STEP: Duration = Duration::from_millis(5);
 
-/// Time within which everything has to be drawn: with the other VM it would take a third of a second.
-const BOUND: Duration = Duration::from_secs(20);
+/// Maximum time for drawing every chunk. If the other VM drew its share, it would take a third of a second.
+const MAX_TIME: Duration = Duration::from_secs(20);
 
-/// Copies that the origin may give: as many as where a VM lies.
-const MOST_DRAWN: f64 = 1.25;
+/// Maximum copies drawn from the origin, the same as with a VM that sends corrupt chunks.
+const MAX_DRAWN: f64 = 1.25;
 
 fn entry(vm: &str) -> VmEntry {
     let addr = ([127, 0, 0, 1], 7700).into();
@@ -33,7 +33,8 @@
     }
 }
 
-/// It has no memory for the weights, and answers that it has no chunk. What it is first for is drawn in its place.
+/// The other VM has no memory for the weights and reports that it has no chunks. The VM under test must take
+/// over the chunks that the other VM ranks first for.
 #[rstest]
 fn drawn_for_idle_peer() {
     let start = Instant::now();
@@ -50,16 +51,16 @@
     let mut actions = planner.apply(Event::Peers(vec![entry("vm-1"), entry("vm-2")]), now);
     while !planner.is_done() {
         assert!(
-            now - start < BOUND,
+            now - start < MAX_TIME,
             "{} of {CHUNKS}",
             planner.have().count()
         );
         now += STEP;
-        let drawn = std::mem::take(&mut actions);
+        let fetches = std::mem::take(&mut actions);
         let have = ChunkSet::new(CHUNKS);
         let vm = "vm-1".to_owned();
         actions.extend(planner.apply(Event::Have { vm, have }, now));
-        for action in drawn {
+        for action in fetches {
             if let Action::Fetch(fetch) = action {
                 assert_eq!(fetch.from, Source::Origin);
                 let (id, chunk) = (fetch.id, fetch.chunk);
@@ -69,18 +70,18 @@
     }
 }
 
-/// The chunks that idle VMs are first for are more than the windows hold: those that draw go on all the same.
+/// Idle VMs rank first for more chunks than the windows hold. The other VMs must not stop drawing at these.
 #[rstest]
 #[case::one_of_two(2, 1, 1, 4)]
 #[case::one_of_three(3, 1, 1, 4)]
 #[case::one_of_eight(8, 1, 1, 4)]
 #[case::in_three_data_centres(9, 2, 3, 4)]
 #[case::within_a_minute(8, 4, 1, 11)]
-fn windows_go_on(
+fn idle_vms_do_not_block_windows(
     #[case] vms: usize,
     #[case] idle: usize,
     #[case] data_centres: usize,
-    #[case] most_copies: u64,
+    #[case] max_copies: u64,
     #[values(Weigh::Time, Weigh::OriginBytes)] weigh: Weigh,
 ) {
     let settings = SpreadSettings {
@@ -91,7 +92,7 @@
     setup.slices = 4;
     setup.data_centres = data_centres;
     setup.idle = (vms - idle..vms).collect();
-    let out = Model::new(setup).run(most_copies);
+    let out = Model::new(setup).run(max_copies);
     println!("{idle} idle of {vms}: {out:?}");
-    assert!(out.is_done && out.origin <= MOST_DRAWN, "{out:?}");
+    assert!(out.is_done && out.origin <= MAX_DRAWN, "{out:?}");
 }
--- a/crates/spread/tests/model/mod.rs
+++ b/crates/spread/tests/model/mod.rs
@@ -1,13 +1,10 @@
-//! A fake at the planners' interface: links that carry one slice of a chunk a step.
+//! Simulation of the planners' environment: links that carry one slice of a chunk per step.
 //!
-//! Every VM takes in one slice and gives out one slice a step, the origin gives four, shared
-//! evenly. A giver serves its oldest request first and turns others away when it has too many. No
-//! cluster, no clock: a step is [`STEP`] of the `Instant` that the planners are told.
+//! Per step, every VM receives one slice and sends one slice, and the origin sends four, shared evenly. A VM
+//! serves its oldest request first and refuses requests beyond [`MAX_UPLOADS`]. There is no cluster and no
+//! clock: each step adds [`STEP`] to the `Instant` that the planners get.
 #![allow(dead_code, reason = "each test file uses a part of the model")]
-#![allow(
-    clippy::unwrap_used,
-    reason = "a model that can't go on fails the test"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic of the model fails the test")]
 #![allow(unreachable_pub, reason = "the module is shared by test files")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,22 +19,22 @@
     Tuning,
 };
 
-/// What a step is on the planners' clock.
+/// Duration of a step on the planners' clock.
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// Slices that the origin gives a step.
-const ORIGIN_SLICES: usize = 4;
+/// Slices that the origin sends per step.
+const ORIGIN_SLICES_PER_STEP: usize = 4;
 
-/// Steps until a VM sees what a neighbour got.
-const LAG: u64 = 4;
+/// Steps until a VM learns of a chunk that a neighbour received.
+const REPORT_DELAY_STEPS: u64 = 4;
 
-/// Slices that the buffers between a giver and a receiver hold.
-const BUFFER: u32 = 8;
+/// Slices that the buffers between a sender and a receiver hold.
+const BUFFER_SLICES: u32 = 8;
 
-/// Chunks that a VM gives at once.
-const GIVES: usize = 4;
+/// Maximum chunks that a VM sends at once.
+const MAX_UPLOADS: usize = 4;
 
-/// What a run is made of. Times are in steps.
+/// Configuration of a run. Times are in steps.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub vms: usize,
@@ -51,33 +48,33 @@
     pub corrupt: f64,
     /// VMs that die, and when.
     pub dead: BTreeMap<usize, u64>,
-    /// VMs that accept requests and give nothing, and since when.
+    /// VMs that accept requests and send nothing, and since when.
     pub stalled: BTreeMap<usize, u64>,
-    /// VM that gives nothing but corrupt chunks.
-    pub liar: Option<usize>,
-    /// VMs that answer that they have nothing, and fetch nothing.
+    /// VM that sends only corrupt chunks.
+    pub corrupting_vm: Option<usize>,
+    /// VMs that report no chunks and fetch nothing.
     pub idle: BTreeSet<usize>,
-    /// Slices that the origin gives a step.
+    /// Slices that the origin sends per step.
     pub origin_slices: usize,
     pub tuning: Tuning,
     /// When the origin refuses.
     pub origin_down: Range<u64>,
-    /// When the first data centre is cut off from the others and the origin.
-    pub cut: Range<u64>,
+    /// When the first data centre is partitioned from the others and from the origin.
+    pub partition: Range<u64>,
 }
 
-/// What a run gave. Lengths are in copies.
+/// Result of a run. Amounts are in copies of the bundle.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Time until the last living VM had everything, over the time of one copy on a link.
+    /// Time until the last living VM had every chunk, divided by the time of one copy on a link.
     pub ratio: f64,
     /// Drawn from the origin.
     pub origin: f64,
-    /// Most that one VM gave out.
-    pub most_given: f64,
-    /// Draws in another VM's place.
+    /// Maximum that one VM sent.
+    pub max_sent: f64,
+    /// Draws that were taken over from another VM.
     pub takeovers: u32,
-    /// Whether every living VM had everything at the end.
+    /// Whether every living VM had every chunk at the end.
     pub is_done: bool,
 }
 
@@ -93,17 +90,17 @@
             corrupt: 0.0,
             dead: BTreeMap::new(),
             stalled: BTreeMap::new(),
-            liar: None,
+            corrupting_vm: None,
             idle: BTreeSet::new(),
-            origin_slices: ORIGIN_SLICES,
+            origin_slices: ORIGIN_SLICES_PER_STEP,
             tuning: Tuning::default(),
             origin_down: 0..0,
-            cut: 0..0,
+            partition: 0..0,
         }
     }
 
     /// Returns the steps that one copy takes on a VM's link.
-    pub fn copy(&self) -> u64 {
+    pub fn copy_steps(&self) -> u64 {
         u64::from(self.chunks * self.slices)
     }
 }
@@ -111,24 +108,24 @@
 struct Transfer {
     to: usize,
     fetch: Fetch,
-    /// The giver; none is the origin.
+    /// The sending VM; `None` is the origin.
     from: Option<usize>,
-    /// Slices that the giver has yet to send.
+    /// Slices that are not sent yet.
     unsent: u32,
-    /// Slices that the receiver has yet to take in.
-    left: u32,
+    /// Slices that are not received yet.
+    unreceived: u32,
 }
 
 struct Node {
     planner: Planner,
-    /// Chunks in the order in which they came, with the step.
-    got: Vec<(u64, u32)>,
+    /// Chunks in order of arrival, with the step.
+    received: Vec<(u64, u32)>,
     has: ChunkSet,
-    /// How many of a peer's chunks the VM was told of; none if it was told of a loss.
-    told: BTreeMap<usize, Option<usize>>,
-    /// Chunks that a peer gave corrupted.
+    /// Number of chunks last reported for each peer; `None` if the peer was reported as lost.
+    reported: BTreeMap<usize, Option<usize>>,
+    /// Chunks that a peer sent corrupted.
     corrupt: BTreeSet<(Source, u32)>,
-    given: u64,
+    sent: u64,
 }
 
 pub struct Model {
@@ -176,11 +173,11 @@
             };
             Node {
                 planner: Planner::new(cfg, now).with_tuning(setup.tuning.clone()),
-                got: Vec::new(),
+                received: Vec::new(),
                 has: ChunkSet::new(setup.chunks),
-                told: BTreeMap::new(),
+                reported: BTreeMap::new(),
                 corrupt: BTreeSet::new(),
-                given: 0,
+                sent: 0,
             }
         };
         Self {
@@ -198,23 +195,23 @@
         }
     }
 
-    /// Runs until every living VM has everything, at most for the time of `most` copies.
-    pub fn run(mut self, most: u64) -> Outcome {
-        let copy = self.setup.copy();
-        while self.step < copy * most && !self.is_done() {
-            self.tell();
-            self.drive();
+    /// Runs until every living VM has every chunk, at most for the time of `max_copies` copies.
+    pub fn run(mut self, max_copies: u64) -> Outcome {
+        let copy_steps = self.setup.copy_steps();
+        while self.step < copy_steps * max_copies && !self.is_done() {
+            self.report_chunks();
+            self.apply_events();
             self.send();
             self.receive();
-            self.cut();
+            self.break_unreachable();
             self.step += 1;
             self.now += STEP;
         }
-        let given = self.nodes.iter().map(|node| node.given).max();
+        let sent = self.nodes.iter().map(|node| node.sent).max();
         Outcome {
-            ratio: self.step as f64 / copy as f64,
-            origin: self.origin_slices as f64 / copy as f64,
-            most_given: given.unwrap() as f64 / copy as f64,
+            ratio: self.step as f64 / copy_steps as f64,
+            origin: self.origin_slices as f64 / copy_steps as f64,
+            max_sent: sent.unwrap() as f64 / copy_steps as f64,
             takeovers: self.takeovers,
             is_done: self.is_done(),
         }
@@ -233,33 +230,34 @@
         nodes.all(|(_, node)| node.has.is_full())
     }
 
-    /// Says whether `to` reaches `from`; none is the origin.
+    /// Returns whether `to` reaches `from`; `None` is the origin.
     fn reaches(&self, to: usize, from: Option<usize>) -> bool {
-        let is_cut = self.setup.cut.contains(&self.step);
+        let is_partitioned = self.setup.partition.contains(&self.step);
         let inside = |at: usize| at.is_multiple_of(self.setup.data_centres);
-        let is_across = from.map_or(inside(to), |from| inside(from) != inside(to));
-        from.is_none_or(|from| self.is_alive(from)) && !(is_cut && is_across)
+        let crosses = from.map_or(inside(to), |from| inside(from) != inside(to));
+        from.is_none_or(|from| self.is_alive(from)) && !(is_partitioned && crosses)
     }
 
-    /// Tells VMs what the peers that they watch had [`LAG`] steps ago.
-    fn tell(&mut self) {
+    /// Reports to the VMs the chunks that their watched peers had [`REPORT_DELAY_STEPS`] steps ago.
+    fn report_chunks(&mut self) {
         let nodes = 0..self.nodes.len();
         let living: Vec<usize> = nodes.filter(|at| self.is_alive(*at)).collect();
         for at in living {
             for vm in self.nodes[at].planner.watched().clone() {
                 let peer: usize = vm[3..].parse().unwrap();
-                let got = &self.nodes[peer].got;
-                let seen = got.partition_point(|(step, _)| step + LAG <= self.step);
-                let news = self.reaches(at, Some(peer)).then_some(seen);
-                if self.nodes[at].told.get(&peer) == Some(&news) {
+                let received = &self.nodes[peer].received;
+                let seen =
+                    received.partition_point(|(step, _)| step + REPORT_DELAY_STEPS <= self.step);
+                let update = self.reaches(at, Some(peer)).then_some(seen);
+                if self.nodes[at].reported.get(&peer) == Some(&update) {
                     continue;
                 }
                 let mut have = ChunkSet::new(self.setup.chunks);
-                got[..seen].iter().for_each(|(_, chunk)| {
+                received[..seen].iter().for_each(|(_, chunk)| {
                     have.insert(*chunk);
                 });
-                self.nodes[at].told.insert(peer, news);
-                let event = match news {
+                self.nodes[at].reported.insert(peer, update);
+                let event = match update {
                     Some(_) => Event::Have { vm, have },
                     None => Event::Lost { vm },
                 };
@@ -268,7 +266,7 @@
         }
     }
 
-    fn drive(&mut self) {
+    fn apply_events(&mut self) {
         let mut events = std::mem::take(&mut self.events);
         events.extend((0..self.nodes.len()).map(|at| (at, Event::Tick)));
         for (at, event) in events {
@@ -280,13 +278,16 @@
                     Action::Fetch(fetch) => self.start(at, fetch),
                     Action::Cancel { id } => {
                         self.transfers
-                            .retain(|one| (one.to, one.fetch.id) != (at, id));
+                            .retain(|transfer| (transfer.to, transfer.fetch.id) != (at, id));
                     }
                 }
             }
             let node = &self.nodes[at];
             let mut known = node.planner.have().iter();
-            assert!(known.all(|chunk| node.has.contains(chunk)), "not verified");
+            assert!(
+                known.all(|chunk| node.has.contains(chunk)),
+                "counts a chunk that was not verified"
+            );
         }
     }
 
@@ -296,11 +297,14 @@
             Source::Peer(vm) => Some(vm[3..].parse::<usize>().unwrap()),
         };
         let node = &self.nodes[to];
-        assert!(!node.has.contains(fetch.chunk), "fetched twice");
-        let asked = (fetch.from.clone(), fetch.chunk);
         assert!(
-            !node.corrupt.contains(&asked),
-            "a corrupt giver is asked again"
+            !node.has.contains(fetch.chunk),
+            "fetched a chunk that is there"
+        );
+        let requested = (fetch.from.clone(), fetch.chunk);
+        assert!(
+            !node.corrupt.contains(&requested),
+            "fetched again from the peer that sent it corrupted"
         );
         self.takeovers += u32::from(fetch.reason == Reason::Takeover);
         if let Some(failure) = self.refusal(to, from, fetch.chunk) {
@@ -312,7 +316,7 @@
             fetch,
             from,
             unsent: self.setup.slices,
-            left: self.setup.slices,
+            unreceived: self.setup.slices,
         });
     }
 
@@ -321,66 +325,78 @@
         if !self.reaches(to, from) {
             return Some(Failure::Broken);
         }
-        let Some(giver) = from else {
+        let Some(source) = from else {
             let is_down = self.setup.origin_down.contains(&self.step);
             return is_down.then_some(busy);
         };
-        if !self.nodes[giver].has.contains(chunk) {
+        if !self.nodes[source].has.contains(chunk) {
             return Some(Failure::Absent);
         }
-        let gives = self.transfers.iter().filter(|one| one.from == from);
-        (gives.count() >= GIVES).then_some(busy)
+        let uploads = self
+            .transfers
+            .iter()
+            .filter(|transfer| transfer.from == from);
+        (uploads.count() >= MAX_UPLOADS).then_some(busy)
     }
 
-    /// Sends the slices of one step: the origin's in turn, of each giver the oldest.
+    /// Sends the slices of one step: the origin's in turn, each VM's for its oldest request.
     fn send(&mut self) {
-        let mut drawn = BTreeSet::new();
-        let mut given = BTreeSet::new();
+        let mut sent_by_origin = BTreeSet::new();
+        let mut sent = BTreeSet::new();
         let stalled = |at: &usize| {
             self.setup
                 .stalled
                 .get(at)
                 .is_some_and(|at| *at <= self.step)
         };
-        for one in &mut self.transfers {
-            let has_room = one.unsent > 0 && one.left - one.unsent < BUFFER;
-            let sends = match one.from {
-                None => has_room && drawn.len() < self.setup.origin_slices && drawn.insert(one.to),
-                Some(at) => has_room && !stalled(&at) && given.insert(at),
+        for transfer in &mut self.transfers {
+            let can_send =
+                transfer.unsent > 0 && transfer.unreceived - transfer.unsent < BUFFER_SLICES;
+            let sends = match transfer.from {
+                None => {
+                    can_send
+                        && sent_by_origin.len() < self.setup.origin_slices
+                        && sent_by_origin.insert(transfer.to)
+                }
+                Some(at) => can_send && !stalled(&at) && sent.insert(at),
             };
-            one.unsent -= u32::from(sends);
+            transfer.unsent -= u32::from(sends);
         }
-        self.origin_slices += drawn.len() as u64;
-        given.iter().for_each(|at| self.nodes[*at].given += 1);
-        // What the origin served goes to the end of its line.
+        self.origin_slices += sent_by_origin.len() as u64;
+        sent.iter().for_each(|at| self.nodes[*at].sent += 1);
+        // Transfers that the origin served go to the end of its queue.
         let all = std::mem::take(&mut self.transfers).into_iter();
-        let is_served = |one: &Transfer| one.from.is_none() && drawn.contains(&one.to);
+        let is_served =
+            |transfer: &Transfer| transfer.from.is_none() && sent_by_origin.contains(&transfer.to);
         let (served, rest): (Vec<_>, Vec<_>) = all.partition(is_served);
         self.transfers = rest.into_iter().chain(served).collect();
     }
 
-    /// Takes in one slice at each VM: draws first, then the oldest.
+    /// Receives one slice at each VM: from the origin first, then of the oldest transfer.
     fn receive(&mut self) {
         let mut busy = BTreeSet::new();
         let mut order: Vec<&mut Transfer> = self.transfers.iter_mut().collect();
-        order.sort_by_key(|one| one.from.is_some());
-        for one in order {
-            if one.left > one.unsent && busy.insert(one.to) {
-                one.left -= 1;
+        order.sort_by_key(|transfer| transfer.from.is_some());
+        for transfer in order {
+            if transfer.unreceived > transfer.unsent && busy.insert(transfer.to) {
+                transfer.unreceived -= 1;
             }
         }
-        let done: Vec<Transfer> = self.transfers.extract_if(.., |one| one.left == 0).collect();
-        for one in done {
-            self.finish(one);
+        let done: Vec<Transfer> = self
+            .transfers
+            .extract_if(.., |transfer| transfer.unreceived == 0)
+            .collect();
+        for transfer in done {
+            self.finish(transfer);
         }
     }
 
-    fn finish(&mut self, one: Transfer) {
-        let (to, fetch) = (one.to, one.fetch);
+    fn finish(&mut self, transfer: Transfer) {
+        let (to, fetch) = (transfer.to, transfer.fetch);
         let (id, chunk) = (fetch.id, fetch.chunk);
         let node = &mut self.nodes[to];
-        let lies = one.from.is_some() && one.from == self.setup.liar;
-        if lies || self.rng.random::<f64>() < self.setup.corrupt {
+        let is_corrupted = transfer.from.is_some() && transfer.from == self.setup.corrupting_vm;
+        if is_corrupted || self.rng.random::<f64>() < self.setup.corrupt {
             if fetch.from != Source::Origin {
                 node.corrupt.insert((fetch.from, chunk));
             }
@@ -388,20 +404,21 @@
             return self.events.push((to, Event::Failed { id, failure }));
         }
         if node.has.insert(chunk) {
-            node.got.push((self.step, chunk));
+            node.received.push((self.step, chunk));
         }
         self.events.push((to, Event::Fetched { id, chunk }));
     }
 
-    /// Breaks the transfers whose giver or receiver is gone.
-    fn cut(&mut self) {
+    /// Breaks the transfers whose receiver can't reach the sender.
+    fn break_unreachable(&mut self) {
         let all: Vec<Transfer> = std::mem::take(&mut self.transfers);
-        for one in all {
-            if self.reaches(one.to, one.from) {
-                self.transfers.push(one);
+        for transfer in all {
+            if self.reaches(transfer.to, transfer.from) {
+                self.transfers.push(transfer);
             } else {
-                let (id, failure): (FetchId, _) = (one.fetch.id, Failure::Broken);
-                self.events.push((one.to, Event::Failed { id, failure }));
+                let (id, failure): (FetchId, _) = (transfer.fetch.id, Failure::Broken);
+                self.events
+                    .push((transfer.to, Event::Failed { id, failure }));
             }
         }
     }
--- a/crates/spread/tests/ratio.rs
+++ b/crates/spread/tests/ratio.rs
@@ -1,6 +1,6 @@
-//! How close the spread comes to its bounds on the slot model.
+//! Time and traffic of a distribution on the slot model, compared with their limits.
 //!
-//! The model is seeded and has no clock, so that the figures are the same in every run.
+//! The model is seeded and has no clock, so the figures are the same in every run.
 
 mod model;
 
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use wagtailreel_core::{SpreadPolicy, SpreadSettings, Weigh};
 
-/// Returns what the model gives for some settings.
+/// Returns the result of the model for some settings.
 fn run(vms: usize, chunks: u32, weigh: Weigh, policy: SpreadPolicy) -> model::Outcome {
     let settings = SpreadSettings {
         weigh,
@@ -29,14 +29,14 @@
     #[case] vms: usize,
     #[case] chunks: u32,
     #[case] weigh: Weigh,
-    #[case] most_time: f64,
-    #[case] most_drawn: f64,
+    #[case] max_time: f64,
+    #[case] max_drawn: f64,
 ) {
     let out = run(vms, chunks, weigh, SpreadPolicy::Balanced);
     println!("{vms} VMs, {chunks} chunks, {weigh:?}: {out:?}");
-    assert!(out.is_done && out.ratio <= most_time, "{out:?}");
-    assert!(out.origin <= most_drawn, "{out:?}");
-    assert!(out.most_given <= 1.2, "{out:?}");
+    assert!(out.is_done && out.ratio <= max_time, "{out:?}");
+    assert!(out.origin <= max_drawn, "{out:?}");
+    assert!(out.max_sent <= 1.2, "{out:?}");
 }
 
 #[rstest]
@@ -45,12 +45,12 @@
 #[case::tree(SpreadPolicy::Tree, 2.0, 1.0, 2.0)]
 fn baselines(
     #[case] policy: SpreadPolicy,
-    #[case] least_time: f64,
+    #[case] min_time: f64,
     #[case] drawn: f64,
-    #[case] given: f64,
+    #[case] sent: f64,
 ) {
     let out = run(13, 64, Weigh::Time, policy);
     println!("{policy:?}: {out:?}");
-    assert!(out.is_done && out.ratio >= least_time, "{out:?}");
-    assert!((out.origin, out.most_given) == (drawn, given), "{out:?}");
+    assert!(out.is_done && out.ratio >= min_time, "{out:?}");
+    assert!((out.origin, out.max_sent) == (drawn, sent), "{out:?}");
 }
--- a/crates/spread/tests/session.rs
+++ b/crates/spread/tests/session.rs
@@ -1,7 +1,7 @@
-//! Goldens of whole sessions of one planner: what it is told, and what it asks for.
+//! Snapshots of whole sessions of one planner: its input events and its actions.
 #![allow(
     clippy::unwrap_used,
-    reason = "a session that can't be written fails the test"
+    reason = "a panic while a session is written fails the test"
 )]
 
 mod model;
@@ -16,7 +16,7 @@
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Planner, PlannerConfig, Site, Source,
 };
 
-/// A planner of `vm-000` with its transcript.
+/// The planner of `vm-000` with a transcript.
 struct Session {
     planner: Planner,
     now: Instant,
@@ -50,12 +50,12 @@
             fetches: BTreeMap::new(),
             text: String::new(),
         };
-        session.tell(&format!("{vms} VMs"), Event::Peers(entries));
+        session.apply(&format!("{vms} VMs"), Event::Peers(entries));
         session
     }
 
-    /// Tells the planner, and writes down what it does.
-    fn tell(&mut self, what: &str, event: Event) {
+    /// Applies an event, and appends it and the actions to the transcript.
+    fn apply(&mut self, what: &str, event: Event) {
         let actions = self.planner.apply(event, self.now + self.at);
         writeln!(self.text, "{:>6} ms  {what}", self.at.as_millis()).unwrap();
         for action in actions {
@@ -83,32 +83,32 @@
             have.insert(*chunk);
         }
         let vm = vm.to_owned();
-        self.tell(&format!("{vm} has {chunks:?}"), Event::Have { vm, have });
+        self.apply(&format!("{vm} has {chunks:?}"), Event::Have { vm, have });
     }
 
     fn lost(&mut self, vm: &str) {
         let vm = vm.to_owned();
-        self.tell(&format!("{vm} is lost"), Event::Lost { vm });
+        self.apply(&format!("{vm} is lost"), Event::Lost { vm });
     }
 
     fn fetched(&mut self, id: FetchId) {
         let chunk = self.fetches[&id].chunk;
-        self.tell(&format!("fetched {id}"), Event::Fetched { id, chunk });
+        self.apply(&format!("fetched {id}"), Event::Fetched { id, chunk });
     }
 
     fn failed(&mut self, id: FetchId, failure: Failure) {
-        self.tell(
+        self.apply(
             &format!("failed {id}: {failure}"),
             Event::Failed { id, failure },
         );
     }
 
-    /// Lets time pass in steps, and writes down the steps in which something is done.
+    /// Advances the time in steps of 50 ms, and appends the steps that cause actions.
     fn wait(&mut self, length: u64) {
         for _ in 0..length / 50 {
             self.at += Duration::from_millis(50);
             let before = self.text.len();
-            self.tell("", Event::Tick);
+            self.apply("", Event::Tick);
             if self.text[before..].lines().count() == 1 {
                 self.text.truncate(before);
             }
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns what a busy source answers.
+/// Returns the failure of a busy source that requests a delay.
 const fn busy(millis: u64) -> Failure {
     Failure::Busy {
         retry_after: Some(Duration::from_millis(millis)),
@@ -166,13 +166,13 @@
         session.wait(300);
         session.fetched(id);
     }
-    // vm-001 is there, but draws nothing of what it is first for.
+    // vm-001 is alive, but draws none of the chunks that it ranks first for.
     session.wait(3000);
     insta::assert_snapshot!(session.text);
 }
 
 #[test]
-fn corrupt_giver() {
+fn corrupt_source() {
     let mut session = Session::new(3, 2, Weigh::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[0, 1]);
     session.have("vm-002", &[]);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn stalled_giver() {
+fn stalled_source() {
     let mut session = Session::new(3, 1, Weigh::OriginBytes, SpreadPolicy::Balanced);
     session.have("vm-001", &[0]);
     session.have("vm-002", &[]);
@@ -235,6 +235,6 @@
     session.failed(1, Failure::Broken);
     session.wait(2000);
     let watched = session.planner.watched().clone();
-    session.tell(&format!("watches {watched:?}"), Event::Tick);
+    session.apply(&format!("watches {watched:?}"), Event::Tick);
     insta::assert_snapshot!(session.text);
 }
--- a/crates/spread/tests/slow_origin.rs
+++ b/crates/spread/tests/slow_origin.rs
@@ -1,4 +1,4 @@
-//! An origin whose link is as narrow as that of one VM.
+//! An origin whose link has only the bandwidth of one VM's link.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod model;
@@ -10,11 +10,11 @@
 use wagtailreel_core::{SpreadPolicy, SpreadSettings, Weigh};
 use wagtailreel_spread::Tuning;
 
-/// Steps in which a link carries a chunk: 45 ms.
-const CHUNK: u32 = 9;
+/// Steps that a chunk takes on a link: 45 ms.
+const CHUNK_STEPS: u32 = 9;
 
-/// Plays 97 VMs that bring 96 chunks with a window of 24 draws, fitted to the link or not.
-fn play(draw_time: Option<Duration>) -> Outcome {
+/// Runs 97 VMs that fetch 96 chunks with a window of 24 draws, fitted to the link if `draw_time` is given.
+fn run(draw_time: Option<Duration>) -> Outcome {
     Model::new(setup(draw_time)).run(12)
 }
 
@@ -31,40 +31,44 @@
         ..Tuning::default()
     };
     let mut setup = Setup::new(97, 96, settings, 3);
-    setup.slices = CHUNK;
+    setup.slices = CHUNK_STEPS;
     setup.origin_slices = 1;
     setup.tuning = tuning.with_draw_time(draw_time);
     setup
 }
 
-/// The origin is away while weights are named, for longer than one copy takes.
+/// The origin is unreachable from the start, for at least as long as one copy takes. After its recovery, VMs
+/// must not draw all chunks at once and take over each other's draws.
 #[rstest]
 #[case::as_long_as_a_copy(1)]
-#[case::longer(2)]
+#[case::twice_a_copy(2)]
 fn drawn_after_outage(#[case] copies: u64) {
-    let mut setup = setup(Some(STEP * CHUNK));
-    let away = copies * setup.copy();
-    setup.origin_down = 0..away;
+    let mut setup = setup(Some(STEP * CHUNK_STEPS));
+    let outage_steps = copies * setup.copy_steps();
+    setup.origin_down = 0..outage_steps;
     let outcome = Model::new(setup).run(12);
     println!("after an outage: {outcome:?}");
-    let since_return = outcome.ratio - copies as f64;
+    let since_recovery = outcome.ratio - copies as f64;
     assert!(outcome.is_done && outcome.origin <= 1.1, "{outcome:?}");
-    assert!(since_return < 1.4, "{since_return}");
+    assert!(since_recovery < 1.4, "{since_recovery}");
 }
 
 #[rstest]
-fn drawn_once() {
-    let fitted = play(Some(STEP * CHUNK));
-    let fixed = play(None);
+fn fitted_window_draws_each_chunk_once() {
+    let fitted = run(Some(STEP * CHUNK_STEPS));
+    let fixed = run(None);
     println!("fitted: {fitted:?}, 24 at once: {fixed:?}");
     assert!(fitted.is_done && fitted.origin <= 1.1, "{fitted:?}");
-    assert!(fixed.origin > 1.3, "the load shows the fault: {fixed:?}");
+    assert!(
+        fixed.origin > 1.3,
+        "without fitting, chunks are drawn again: {fixed:?}"
+    );
     assert!(fitted.ratio < fixed.ratio, "{fixed:?}");
 }
 
 #[rstest]
 #[case::narrow(500, 4, 6000)]
-#[case::of_the_model(45, 8, 1080)]
+#[case::model_link(45, 8, 1080)]
 #[case::wide(2, 64, 500)]
 #[case::very_wide(0, 24, 500)]
 fn window(#[case] draw_ms: u64, #[case] chunks: u32, #[case] stall_ms: u64) {
