--- a/crates/spread/src/draw.rs
+++ b/crates/spread/src/draw.rs
@@ -15,8 +15,8 @@
 /// Maximum number of other VMs with which one draw each does not fill the origin's link.
 const FEW_VMS: usize = 3;
 
-/// Maximum windows of chunks that no neighbour is known to have: one is being drawn, and the chunks of
-/// another take as long again until all VMs know that they are available.
+/// Maximum windows of chunks that may be drawn while no neighbour is known to have them: one is being drawn,
+/// and the chunks of another take as long again until all VMs know that they are available.
 const MAX_WINDOWS: u32 = 2;
 
 /// At a VM that has drawn nothing since the origin failed: number of windows opened by the passing of time
@@ -124,8 +124,8 @@
     /// last failure.
     fn takeover_delays_since(&self, moment: Instant, now: Instant) -> u32 {
         let since = moment.max(self.origin_failed_at);
-        let quiet = now.saturating_duration_since(since);
-        let delays = quiet.as_secs_f64() / self.takeover_delay().as_secs_f64();
+        let elapsed = now.saturating_duration_since(since);
+        let delays = elapsed.as_secs_f64() / self.takeover_delay().as_secs_f64();
         // The value is small and not negative.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let delays = delays as u32;
@@ -136,7 +136,7 @@
     /// chunks that this VM and its neighbours lack.
     ///
     /// A VM that is alive but draws nothing, for lack of memory, never makes its chunks available. Without
-    /// more windows, the other VMs would not reach these chunks and take them over.
+    /// more windows, the other VMs would never reach these chunks to take them over.
     fn unavailable_frontier(&self, extra_windows: u32) -> ChunkIndex {
         let windows = MAX_WINDOWS.saturating_add(extra_windows);
         let max_chunks = self.tuning.window.saturating_mul(windows) as usize;
@@ -145,9 +145,10 @@
         unavailable.nth(max_chunks).unwrap_or(self.have.capacity())
     }
 
-    /// Returns the rarest chunk that this VM ranks second for and that its data centre lacks, or `None` if
-    /// time is not weighed. First copies come before second ones, so the frontier must have passed every
-    /// chunk.
+    /// Returns the rarest chunk that this VM ranks second for and that its data centre lacks, if time is
+    /// weighed.
+    ///
+    /// First copies come before second ones, so the VM's own draws must be done and every chunk released.
     fn second_copy(&self, now: Instant) -> Option<ChunkIndex> {
         let is_due = self.settings.policy == SpreadPolicy::Balanced
             && self.settings.weigh == Weigh::Time
@@ -196,10 +197,10 @@
     /// Without this, a VM whose neighbours all fail would wait for ever.
     fn fallback_draw(&self, now: Instant) -> Option<ChunkIndex> {
         let since = self.last_arrival_at.max(self.origin_failed_at);
-        let quiet = now.saturating_duration_since(since);
+        let elapsed = now.saturating_duration_since(since);
         self.without_reliable_fetch()
             .filter(|chunk| self.ranking.position(*chunk) != NEVER_DRAWS)
-            .filter(|chunk| quiet >= self.takeover_delay() + self.takeover_delay_of(*chunk))
+            .filter(|chunk| elapsed >= self.takeover_delay() + self.takeover_delay_of(*chunk))
             .min_by_key(|chunk| (self.ranking.position(*chunk), self.order[*chunk as usize]))
     }
 
@@ -253,11 +254,11 @@
         if self.own_draws_done_at.is_some() || !self.neighbours_known(now) {
             return;
         }
-        let left = self
+        let has_own_draws = self
             .have
             .missing()
             .any(|chunk| self.ranking.position(chunk) == 0 && self.peers.holders(chunk) == 0);
-        if !left {
+        if !has_own_draws {
             self.own_draws_done_at = Some(now);
             return;
         }
--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -43,7 +43,7 @@
     pub(crate) since: Instant,
 }
 
-/// Decides for one VM and one bundle which chunks to fetch from whom.
+/// Decides for one VM and one bundle which chunks to fetch from which source.
 ///
 /// Invariants: a chunk counts as present only after [`Event::Fetched`], which the caller sends only
 /// after it has verified the digest; and a chunk that a peer sent corrupted is never fetched from
@@ -70,7 +70,7 @@
     pub(crate) started_at: Instant,
     /// When the last chunk from the origin arrived.
     pub(crate) last_draw_at: Option<Instant>,
-    /// When no chunk was left that the VM is first for and that is not available.
+    /// When every chunk that the VM is first for was here or at a neighbour.
     pub(crate) own_draws_done_at: Option<Instant>,
     /// When the window had kept the VM from its own draws for as long as the takeover delay.
     pub(crate) draws_blocked_at: Option<Instant>,
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -22,9 +22,9 @@
     weigh: Weigh,
     chunks: Vec<Digest>,
     own_scores: Vec<u64>,
-    /// For each chunk, number of members of the own group (see `in_group`) that rank before the own VM.
+    /// For each chunk, number of VMs of the own group (see `in_group`) that rank before the own VM.
     ahead: Vec<u32>,
-    /// For each chunk, number of members of the own data centre that rank before the own VM.
+    /// For each chunk, number of VMs of the own data centre that rank before the own VM.
     local_ahead: Vec<u32>,
     members: BTreeMap<VmId, DataCentre>,
     positions: Vec<u32>,
@@ -65,9 +65,9 @@
     /// Without these as neighbours, the own VM would learn of a chunk only after one of its few
     /// remote neighbours had it.
     pub(crate) fn remote_drawers(&self) -> BTreeSet<VmId> {
-        let fetched_across = self.chunks.iter().zip(&self.local_ahead);
-        let fetched_across = fetched_across.filter(|(_, ahead)| **ahead == 0);
-        let firsts = fetched_across.filter_map(|(chunk, _)| {
+        let own_first = self.chunks.iter().zip(&self.local_ahead);
+        let own_first = own_first.filter(|(_, ahead)| **ahead == 0);
+        let firsts = own_first.filter_map(|(chunk, _)| {
             let score = |vm: &str| rank_score(chunk.as_bytes(), vm);
             let members = self.members.iter();
             members.max_by_key(|(vm, _)| (score(vm), std::cmp::Reverse(*vm)))
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -147,12 +147,12 @@
     /// Returns whether `chunk` may be fetched from `peer`.
     ///
     /// From another data centre, a chunk may be fetched by the VM that ranks first for it in this data
-    /// centre. Each VM further down may fetch it one `cross_delay` after the VM before.
+    /// centre. Each VM further down may fetch it one [`crate::Tuning::cross_delay`] after the VM before.
     fn may_fetch_from(&self, peer: &Peer, chunk: ChunkIndex, now: Instant) -> bool {
         if !peer.has(chunk) {
             return false;
         }
-        let Some(wait) = self.tuning.cross_delay else {
+        let Some(delay) = self.tuning.cross_delay else {
             return true;
         };
         if peer.site.data_centre == self.own.data_centre {
@@ -162,7 +162,7 @@
         let ranks = ranks.min(self.tuning.max_takeover_delays);
         let available_for = self.available_at[chunk as usize]
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        available_for >= wait * ranks
+        available_for >= delay * ranks
     }
 
     /// Records since when neighbours are known to have each chunk.
@@ -185,12 +185,12 @@
     fn usable(&self, now: Instant) -> Vec<(&VmId, &Peer)> {
         // With few neighbours, one fetch from each would leave the link idle between fetches.
         let neighbours = self.peers.neighbour_names().len().max(1);
-        let few = self
+        let per_few_peers = self
             .tuning
             .parallel
             .div_ceil(neighbours)
             .min(MAX_PER_PEER_FEW_PEERS);
-        let per_peer = self.tuning.per_peer.max(few);
+        let per_peer = self.tuning.per_peer.max(per_few_peers);
         self.peers
             .neighbours()
             .filter(|(_, peer)| peer.active < per_peer)
@@ -198,8 +198,8 @@
             .collect()
     }
 
-    /// Ranks a peer as a source. If origin bytes are weighed, local peers come first, because links between
-    /// data centres are expensive as well.
+    /// Ranks a peer as a source. If origin bytes are weighed, local peers come first, because traffic between
+    /// data centres is expensive as well.
     fn rank_source(&self, peer: &Peer) -> SourceRank {
         let is_remote = self.settings.weigh == Weigh::OriginBytes
             && peer.site.data_centre != self.own.data_centre;
@@ -217,7 +217,7 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Returns `duration`, but at least the minimum time-out.
+    /// Returns `duration`, or the minimum time-out if that is longer.
     fn at_least_min_timeout(&self, duration: Duration) -> Duration {
         duration.max(self.tuning.min_timeout)
     }
--- a/crates/spread/tests/model/mod.rs
+++ b/crates/spread/tests/model/mod.rs
@@ -341,7 +341,7 @@
 
     /// Sends the slices of one step: the origin's in turn, each VM's for its oldest request.
     fn send(&mut self) {
-        let mut sent_by_origin = BTreeSet::new();
+        let mut served_vms = BTreeSet::new();
         let mut sent = BTreeSet::new();
         let stalled = |at: &usize| {
             self.setup
@@ -355,19 +355,19 @@
             let sends = match transfer.from {
                 None => {
                     can_send
-                        && sent_by_origin.len() < self.setup.origin_slices
-                        && sent_by_origin.insert(transfer.to)
+                        && served_vms.len() < self.setup.origin_slices
+                        && served_vms.insert(transfer.to)
                 }
                 Some(at) => can_send && !stalled(&at) && sent.insert(at),
             };
             transfer.unsent -= u32::from(sends);
         }
-        self.origin_slices += sent_by_origin.len() as u64;
+        self.origin_slices += served_vms.len() as u64;
         sent.iter().for_each(|at| self.nodes[*at].sent += 1);
         // Transfers that the origin served go to the end of its queue.
         let all = std::mem::take(&mut self.transfers).into_iter();
         let is_served =
-            |transfer: &Transfer| transfer.from.is_none() && sent_by_origin.contains(&transfer.to);
+            |transfer: &Transfer| transfer.from.is_none() && served_vms.contains(&transfer.to);
         let (served, rest): (Vec<_>, Vec<_>) = all.partition(is_served);
         self.transfers = rest.into_iter().chain(served).collect();
     }
