--- a/crates/spread/src/planner.rs
+++ b/crates/spread/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: its state, and what events change in it.
+//! State of the planner, and how events change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -10,44 +10,44 @@
     ChunkIndex, DataCentre, Digest, SpreadPolicy, SpreadSettings, VmEntry, VmId, VmRole, VmState,
 };
 
-use crate::pace::{Pace, Pause};
 use crate::peers::Peers;
-use crate::ranking::{NEVER, Ranking};
+use crate::ranking::{NEVER_DRAWS, Ranking};
+use crate::timing::{Backoff, FetchTime};
 use crate::{
     Action, ChunkSet, Event, Failure, Fetch, FetchId, Reason, Site, Source, Tuning, neighbours,
 };
 
-/// Longest pause of a peer that keeps failing, in first pauses.
-const PENALTY_MOST: u32 = 32;
+/// Upper limit of the backoff of a failing peer, as a multiple of its first backoff.
+const MAX_BACKOFF_FACTOR: u32 = 32;
 
-/// What a planner is made from.
+/// Configuration of a planner.
 #[derive(Clone, Debug)]
 pub struct PlannerConfig {
     /// The VM that the planner decides for.
     pub own: Site,
     /// Digests of the bundle's chunks, each once. [`ChunkIndex`] is a position in this list.
     pub chunks: Vec<Digest>,
-    /// Chunks that the VM has already.
+    /// Chunks that the VM has at the start.
     pub have: ChunkSet,
-    /// The document's settings of the spread.
+    /// Settings of the distribution from the service's document.
     pub settings: SpreadSettings,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// A fetch under way.
+/// A fetch in flight.
 #[derive(Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveFetch {
     pub(crate) chunk: ChunkIndex,
     pub(crate) from: Source,
     pub(crate) since: Instant,
 }
 
-/// Decides for one VM and one bundle which chunks to fetch from whom.
+/// Decides for one VM and one bundle which chunks to fetch from which source.
 ///
-/// Invariants: a chunk counts as there only after [`Event::Fetched`], which the caller sends only
-/// once the digest was verified; and a chunk that a peer gave corrupted is never asked of that
-/// peer again.
+/// Invariants: a chunk counts as present only after [`Event::Fetched`], which the caller sends only
+/// after it has verified the digest; and a chunk that a peer sent corrupted is never fetched from
+/// that peer again.
 #[derive(Debug)]
 pub struct Planner {
     pub(crate) own: Site,
@@ -55,41 +55,42 @@
     pub(crate) tuning: Tuning,
     pub(crate) rng: StdRng,
     pub(crate) have: ChunkSet,
-    /// The VM's own random order of chunks, which breaks ties.
+    /// Rank of each chunk in a random order of this VM, which breaks ties between chunks.
     pub(crate) order: Vec<u32>,
     pub(crate) peers: Peers,
     pub(crate) ranking: Ranking,
-    pub(crate) active: BTreeMap<FetchId, Active>,
-    /// Fetches under way for each chunk.
-    pub(crate) flying: Vec<u32>,
-    pub(crate) origin_pause: Pause,
-    /// When the origin last failed; the start if it never did.
+    pub(crate) active: BTreeMap<FetchId, ActiveFetch>,
+    /// Fetches in flight for each chunk.
+    pub(crate) in_flight: Vec<u32>,
+    pub(crate) origin_backoff: Backoff,
+    /// When the origin last failed; the start of the planner if the origin has not failed.
     pub(crate) origin_failed_at: Instant,
-    pub(crate) origin_pace: Pace,
-    pub(crate) peer_pace: Pace,
-    pub(crate) started: Instant,
-    /// When the last draw arrived.
-    pub(crate) drew_at: Option<Instant>,
-    /// When the last of the draws that the VM is first for was done.
-    pub(crate) drawn_at: Option<Instant>,
-    /// When the windows had kept it from those draws for as long as others are waited for.
-    pub(crate) blocked_at: Option<Instant>,
-    /// The last chunk that the VM or a neighbour has had, and since when.
-    pub(crate) last_seen: Option<ChunkIndex>,
-    pub(crate) moved_at: Instant,
-    /// Since when each chunk may be drawn by the VM that is first for it.
-    pub(crate) let_go_at: Vec<Option<Instant>>,
-    /// Since when each chunk is known to be at a neighbour.
-    pub(crate) seen_at: Vec<Option<Instant>>,
+    pub(crate) origin_fetch_time: FetchTime,
+    pub(crate) peer_fetch_time: FetchTime,
+    pub(crate) started_at: Instant,
+    /// When the last chunk from the origin arrived.
+    pub(crate) last_draw_at: Option<Instant>,
+    /// When every chunk that the VM is first for was here or at a neighbour.
+    pub(crate) own_draws_done_at: Option<Instant>,
+    /// When the window had kept the VM from its own draws for as long as the takeover delay.
+    pub(crate) draws_blocked_at: Option<Instant>,
+    /// Highest chunk that this VM or a neighbour has had.
+    pub(crate) highest_available: Option<ChunkIndex>,
+    /// When `highest_available` last increased.
+    pub(crate) frontier_moved_at: Instant,
+    /// Since when the window lets the VM that is first for each chunk draw it.
+    pub(crate) released_at: Vec<Option<Instant>>,
+    /// Since when a neighbour is known to have each chunk.
+    pub(crate) available_at: Vec<Option<Instant>>,
     /// When the last chunk arrived.
-    pub(crate) arrived_at: Instant,
+    pub(crate) last_arrival_at: Instant,
     lost: BTreeSet<VmId>,
     watched: BTreeSet<VmId>,
     next_id: FetchId,
 }
 
 impl Planner {
-    /// Makes a planner at `now`; it starts fetching with the first event.
+    /// Makes a planner at `now`, which starts fetches from the first event on.
     pub fn new(cfg: PlannerConfig, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(cfg.seed);
         let count = cfg.have.capacity();
@@ -108,63 +109,63 @@
             peers: Peers::new(count, now),
             ranking,
             active: BTreeMap::new(),
-            flying: vec![0; count as usize],
-            origin_pause: Pause::default(),
+            in_flight: vec![0; count as usize],
+            origin_backoff: Backoff::default(),
             origin_failed_at: now,
-            origin_pace: Pace::new(tuning.first_guess),
-            peer_pace: Pace::new(tuning.first_guess),
+            origin_fetch_time: FetchTime::new(tuning.initial_fetch_time),
+            peer_fetch_time: FetchTime::new(tuning.initial_fetch_time),
             tuning,
-            started: now,
-            drew_at: None,
-            drawn_at: None,
-            blocked_at: None,
-            last_seen: None,
-            moved_at: now,
-            let_go_at: vec![None; count as usize],
-            seen_at: vec![None; count as usize],
-            arrived_at: now,
+            started_at: now,
+            last_draw_at: None,
+            own_draws_done_at: None,
+            draws_blocked_at: None,
+            highest_available: None,
+            frontier_moved_at: now,
+            released_at: vec![None; count as usize],
+            available_at: vec![None; count as usize],
+            last_arrival_at: now,
             lost: BTreeSet::new(),
             watched: BTreeSet::new(),
             next_id: 1,
         }
     }
 
-    /// Sets the numbers that steer the planner.
+    /// Replaces the tuning parameters.
     pub fn with_tuning(mut self, tuning: Tuning) -> Self {
         self.tuning = tuning;
         self
     }
 
-    /// Says whether every chunk is there.
+    /// Returns whether the VM has every chunk.
     pub fn is_done(&self) -> bool {
         self.have.is_full()
     }
 
-    /// Returns the chunks that are there.
+    /// Returns the chunks that the VM has.
     pub const fn have(&self) -> &ChunkSet {
         &self.have
     }
 
-    /// Returns the peers whose chunks the planner wants to be told of: the neighbours, and those
-    /// that would be if they could be reached.
+    /// Returns the peers whose chunks the caller reports: the neighbours, and the peers that would
+    /// be neighbours if they were reachable.
     pub const fn watched(&self) -> &BTreeSet<VmId> {
         &self.watched
     }
 
-    /// Takes in `event` at `now`, and returns what to do.
+    /// Applies `event` at `now`, and returns the fetches to start and to cancel.
     pub fn apply(&mut self, event: Event, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Have { vm, have } => self.peers.set_have(&vm, have, now),
-            Event::Fetched { id, chunk } => self.fetched(id, chunk, now, &mut actions),
-            Event::Failed { id, failure } => self.failed(id, failure, now),
+            Event::Fetched { id, chunk } => self.on_fetched(id, chunk, now, &mut actions),
+            Event::Failed { id, failure } => self.on_failed(id, failure, now),
             Event::Peers(entries) => self.set_peers(&entries, now),
-            Event::Lost { vm } => self.note_lost(&vm, now),
+            Event::Lost { vm } => self.set_lost(&vm, now),
             Event::Tick => {}
         }
-        self.review_lost(now);
-        self.note_seen(now);
-        self.give_up(now, &mut actions);
+        self.update_lost(now);
+        self.note_available(now);
+        self.cancel_overdue(now, &mut actions);
         if !self.is_done() {
             self.draw(now, &mut actions);
             self.spread(now, &mut actions);
@@ -174,7 +175,7 @@
     }
 
     /// Starts a fetch.
-    pub(crate) fn start(
+    pub(crate) fn start_fetch(
         &mut self,
         chunk: ChunkIndex,
         from: Source,
@@ -183,13 +184,13 @@
     ) -> Action {
         let id = self.next_id;
         self.next_id += 1;
-        self.flying[chunk as usize] += 1;
+        self.in_flight[chunk as usize] += 1;
         if let Source::Peer(vm) = &from
             && let Some(peer) = self.peers.get_mut(vm)
         {
             peer.active += 1;
         }
-        let active = Active {
+        let active = ActiveFetch {
             chunk,
             from: from.clone(),
             since: now,
@@ -203,10 +204,10 @@
         })
     }
 
-    /// Forgets a fetch that has ended or is dropped.
-    pub(crate) fn end(&mut self, id: FetchId) -> Option<Active> {
+    /// Removes a fetch that has ended or is cancelled.
+    pub(crate) fn end_fetch(&mut self, id: FetchId) -> Option<ActiveFetch> {
         let active = self.active.remove(&id)?;
-        self.flying[active.chunk as usize] -= 1;
+        self.in_flight[active.chunk as usize] -= 1;
         if let Source::Peer(vm) = &active.from
             && let Some(peer) = self.peers.get_mut(vm)
         {
@@ -215,23 +216,23 @@
         Some(active)
     }
 
-    /// Takes in a chunk, and drops other fetches of it.
-    fn fetched(&mut self, id: FetchId, chunk: ChunkIndex, now: Instant, out: &mut Vec<Action>) {
+    /// Records a verified chunk, and cancels the other fetches of it.
+    fn on_fetched(&mut self, id: FetchId, chunk: ChunkIndex, now: Instant, out: &mut Vec<Action>) {
         self.have.insert(chunk);
-        self.arrived_at = now;
-        if let Some(active) = self.end(id) {
-            let taken = now.saturating_duration_since(active.since);
+        self.last_arrival_at = now;
+        if let Some(active) = self.end_fetch(id) {
+            let duration = now.saturating_duration_since(active.since);
             match &active.from {
                 Source::Origin => {
-                    self.origin_pace.observe(taken);
-                    self.origin_pause.clear();
-                    self.drew_at = Some(now);
+                    self.origin_fetch_time.observe(duration);
+                    self.origin_backoff.reset();
+                    self.last_draw_at = Some(now);
                 }
                 Source::Peer(vm) => {
-                    self.peer_pace.observe(taken);
+                    self.peer_fetch_time.observe(duration);
                     if let Some(peer) = self.peers.get_mut(vm) {
-                        peer.given += 1;
-                        peer.pause.clear();
+                        peer.served += 1;
+                        peer.backoff.reset();
                     }
                     self.peers.set_failing(vm, false, now);
                 }
@@ -244,73 +245,77 @@
             .map(|(id, _)| *id)
             .collect();
         for id in others {
-            self.end(id);
+            self.end_fetch(id);
             out.push(Action::Cancel { id });
         }
     }
 
-    /// Takes in that a fetch brought nothing.
-    fn failed(&mut self, id: FetchId, failure: Failure, now: Instant) {
-        let Some(active) = self.end(id) else {
+    /// Records that a fetch failed.
+    fn on_failed(&mut self, id: FetchId, failure: Failure, now: Instant) {
+        let Some(active) = self.end_fetch(id) else {
             return;
         };
-        let stretch = self.rng.random();
+        let jitter_factor = self.rng.random();
         match &active.from {
-            Source::Origin => self.origin_failed(failure, stretch, now),
-            Source::Peer(vm) => self.peer_failed(vm, active.chunk, failure, stretch, now),
+            Source::Origin => self.back_off_origin(failure, jitter_factor, now),
+            Source::Peer(vm) => self.back_off_peer(vm, active.chunk, failure, jitter_factor, now),
         }
     }
 
-    /// Leaves the origin alone for a while.
-    fn origin_failed(&mut self, failure: Failure, stretch: f64, now: Instant) {
+    /// Records a failure of the origin, and backs off from it.
+    fn back_off_origin(&mut self, failure: Failure, jitter_factor: f64, now: Instant) {
         self.origin_failed_at = now;
-        let first = self.tuning.origin_pause;
-        let most = self.tuning.origin_pause_most;
-        self.origin_pause.fail(now, first, most, stretch);
+        let first = self.tuning.origin_backoff;
+        let max = self.tuning.max_origin_backoff;
+        self.origin_backoff
+            .record_failure(now, first, max, jitter_factor);
         if let Failure::Busy {
-            retry_after: Some(asked),
+            retry_after: Some(requested),
         } = failure
         {
-            // The jitter comes after what was asked, so that no VM is early.
-            let jitter = self.tuning.origin_pause.mul_f64(stretch);
-            self.origin_pause.extend(now, asked + jitter);
+            // The jitter is added to the requested delay, so that no VM comes back early.
+            let jitter = self.tuning.origin_backoff.mul_f64(jitter_factor);
+            self.origin_backoff.extend(now, requested + jitter);
         }
     }
 
-    /// Leaves a peer alone for a while, and notes what it can't give.
-    fn peer_failed(
+    /// Backs off from a peer, and records the chunks that it does not have or sent corrupted.
+    fn back_off_peer(
         &mut self,
         vm: &str,
         chunk: ChunkIndex,
         failure: Failure,
-        stretch: f64,
+        jitter_factor: f64,
         now: Instant,
     ) {
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
-        let first = self.tuning.penalty;
+        let first = self.tuning.peer_backoff;
         match failure {
             Failure::Busy { retry_after } => {
-                let asked = retry_after.unwrap_or(self.tuning.busy);
-                // Half to one and a half of what was asked: VMs turned away together don't
-                // come back together.
-                peer.pause.extend(now, asked.mul_f64(0.5 + stretch));
+                let requested = retry_after.unwrap_or(self.tuning.busy_backoff);
+                // The delay is 0.5 to 1.5 times the requested one, so that VMs that were refused
+                // together do not retry together.
+                peer.backoff
+                    .extend(now, requested.mul_f64(0.5 + jitter_factor));
             }
             Failure::Absent => self.peers.remove_chunk(vm, chunk, now),
             Failure::Corrupt => {
-                peer.pause.fail(now, first, first * PENALTY_MOST, stretch);
+                peer.backoff
+                    .record_failure(now, first, first * MAX_BACKOFF_FACTOR, jitter_factor);
                 self.peers.note_corrupt(vm, chunk, now);
                 self.peers.set_failing(vm, true, now);
             }
             Failure::Broken => {
-                peer.pause.fail(now, first, first * PENALTY_MOST, stretch);
+                peer.backoff
+                    .record_failure(now, first, first * MAX_BACKOFF_FACTOR, jitter_factor);
                 self.peers.set_failing(vm, true, now);
             }
         }
     }
 
-    /// Takes the list of VMs.
+    /// Applies a list of VMs: peers are the other live upstreams.
     fn set_peers(&mut self, entries: &[VmEntry], now: Instant) {
         let sites = entries
             .iter()
@@ -319,31 +324,31 @@
             .map(Site::of)
             .collect();
         self.peers.set_sites(sites);
-        self.arrange(now);
+        self.update_neighbours(now);
     }
 
-    /// Notes that a peer can't be reached.
-    fn note_lost(&mut self, vm: &str, now: Instant) {
+    /// Records that a peer is unreachable.
+    fn set_lost(&mut self, vm: &str, now: Instant) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.lost_since.get_or_insert(now);
             peer.have = None;
         }
-        // Its chunks no longer count.
+        // Recounts the holders of chunks without those of the lost peer.
         let neighbours = self.peers.neighbour_names().clone();
         self.peers.set_neighbours(neighbours, now);
     }
 
-    /// Arranges anew if other peers than before count as lost.
-    fn review_lost(&mut self, now: Instant) {
+    /// Updates neighbours and ranking if the set of lost peers has changed.
+    fn update_lost(&mut self, now: Instant) {
         let lost = self.peers.lost(self.tuning.lost_after, now);
         if lost != self.lost {
             self.lost = lost;
-            self.arrange(now);
+            self.update_neighbours(now);
         }
     }
 
-    /// Chooses the neighbours and ranks the VMs that count as alive.
-    fn arrange(&mut self, now: Instant) {
+    /// Chooses the neighbours and ranks the VMs that are not lost.
+    fn update_neighbours(&mut self, now: Instant) {
         let all: BTreeMap<VmId, DataCentre> = self
             .peers
             .iter()
@@ -352,22 +357,25 @@
         let mut alive = all.clone();
         alive.retain(|vm, _| !self.lost.contains(vm));
         let mut neighbours = self.choose_neighbours(&alive);
-        self.place(&alive, neighbours.is_empty());
-        if self.tuning.cross.is_some() {
-            neighbours.extend(self.ranking.drawers_abroad());
+        self.update_ranking(&alive, neighbours.is_empty());
+        if self.tuning.cross_delay.is_some() {
+            neighbours.extend(self.ranking.remote_drawers());
         }
         self.watched = self.choose_neighbours(&all);
         self.watched.extend(neighbours.iter().cloned());
         self.peers.set_neighbours(neighbours, now);
     }
 
-    /// Chooses from whom to fetch, out of `others`.
+    /// Chooses the neighbours from `others` by the policy.
     fn choose_neighbours(&self, others: &BTreeMap<VmId, DataCentre>) -> BTreeSet<VmId> {
         let policy = self.settings.policy;
         match policy {
-            SpreadPolicy::Balanced => {
-                neighbours::choose(&self.own, others, self.tuning.near, self.tuning.far)
-            }
+            SpreadPolicy::Balanced => neighbours::choose(
+                &self.own,
+                others,
+                self.tuning.local_neighbours,
+                self.tuning.global_neighbours,
+            ),
             SpreadPolicy::Origin => BTreeSet::new(),
             SpreadPolicy::Chain | SpreadPolicy::Tree => {
                 neighbours::parent(policy, &self.own, others)
@@ -377,13 +385,14 @@
         }
     }
 
-    /// Ranks the VMs; in a baseline, a VM without a parent draws everything and others nothing.
-    fn place(&mut self, alive: &BTreeMap<VmId, DataCentre>, is_root: bool) {
+    /// Updates the ranking. With the policies chain and tree, a VM without a parent draws every chunk
+    /// and other VMs draw none.
+    fn update_ranking(&mut self, alive: &BTreeMap<VmId, DataCentre>, is_root: bool) {
         match self.settings.policy {
             SpreadPolicy::Balanced => self.ranking.set_members(alive.clone()),
             SpreadPolicy::Origin => self.ranking.set_all(0),
             SpreadPolicy::Chain | SpreadPolicy::Tree => {
-                self.ranking.set_all(if is_root { 0 } else { NEVER });
+                self.ranking.set_all(if is_root { 0 } else { NEVER_DRAWS });
             }
         }
     }
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -1,4 +1,5 @@
-//! Who draws which chunk from the origin: the same order at every VM, without talking.
+//! Ranking of the VMs that draw each chunk from the origin. Every VM computes the same order without
+//! communication.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,30 +7,31 @@
 
 use crate::Site;
 
-/// Position of a VM that never draws a chunk of its own accord.
-pub(crate) const NEVER: u32 = u32::MAX;
+/// Position of a VM that never draws a chunk.
+pub(crate) const NEVER_DRAWS: u32 = u32::MAX;
 
-/// The own VM's position in the ranking of each chunk, among the VMs that count as alive.
+/// Position of the own VM in the ranking of each chunk, among the VMs that are not lost.
 ///
-/// With [`SpreadGoal::OriginBytes`] a chunk ranks all VMs. With [`SpreadGoal::Time`] it ranks the data
-/// centres and, within each, the VMs; the order takes the first VM of each data centre, then the
-/// second of each, so that the first two draws go to two data centres.
+/// With [`Weigh::OriginBytes`], all VMs are ranked by their rendezvous score for the chunk. With
+/// [`Weigh::Time`], the data centres are ranked and, within each, the VMs. The order then takes the
+/// first VM of each data centre, then the second of each, so that the first two draws are in two
+/// data centres.
 #[derive(Debug)]
 pub(crate) struct Ranking {
     own: Site,
     weigh: SpreadGoal,
     chunks: Vec<Digest>,
     own_scores: Vec<u64>,
-    /// For each chunk, members of the own group that rank before the own VM.
+    /// For each chunk, number of VMs of the own group (see `in_group`) that rank before the own VM.
     ahead: Vec<u32>,
-    /// For each chunk, members of the own data centre that rank before the own VM.
-    home_ahead: Vec<u32>,
+    /// For each chunk, number of VMs of the own data centre that rank before the own VM.
+    local_ahead: Vec<u32>,
     members: BTreeMap<VmId, DataCentre>,
     positions: Vec<u32>,
 }
 
 impl Ranking {
-    /// Makes the ranking of a VM that knows no other.
+    /// Makes the ranking of a VM that knows no others.
     pub(crate) fn new(own: Site, weigh: SpreadGoal, chunks: Vec<Digest>) -> Self {
         let own_scores = chunks
             .iter()
@@ -40,64 +42,65 @@
             weigh,
             own_scores,
             ahead: vec![0; chunks.len()],
-            home_ahead: vec![0; chunks.len()],
+            local_ahead: vec![0; chunks.len()],
             members: BTreeMap::new(),
             positions: vec![0; chunks.len()],
             chunks,
         }
     }
 
-    /// Returns how many VMs rank before the own one for `chunk`.
+    /// Returns the number of VMs that rank before the own one for `chunk`.
     pub(crate) fn position(&self, chunk: ChunkIndex) -> u32 {
         self.positions[chunk as usize]
     }
 
-    /// Returns how many VMs of the own data centre rank before the own one for `chunk`.
-    pub(crate) fn home_position(&self, chunk: ChunkIndex) -> u32 {
-        self.home_ahead[chunk as usize]
+    /// Returns the number of VMs of the own data centre that rank before the own one for `chunk`.
+    pub(crate) fn local_position(&self, chunk: ChunkIndex) -> u32 {
+        self.local_ahead[chunk as usize]
     }
 
-    /// Returns the VMs of other data centres that draw what the own VM brings into its data centre.
+    /// Returns the VMs of other data centres that draw the chunks that the own VM is the first to
+    /// fetch into its data centre.
     ///
-    /// Without looking at them it would hear of a chunk only once that had come to one of a few
-    /// neighbours abroad.
-    pub(crate) fn drawers_abroad(&self) -> BTreeSet<VmId> {
-        let brought = self.chunks.iter().zip(&self.home_ahead);
-        let brought = brought.filter(|(_, ahead)| **ahead == 0);
-        let firsts = brought.filter_map(|(chunk, _)| {
+    /// Without these as neighbours, the own VM would learn of a chunk only after one of its few
+    /// remote neighbours had it.
+    pub(crate) fn remote_drawers(&self) -> BTreeSet<VmId> {
+        let own_first = self.chunks.iter().zip(&self.local_ahead);
+        let own_first = own_first.filter(|(_, ahead)| **ahead == 0);
+        let firsts = own_first.filter_map(|(chunk, _)| {
             let score = |vm: &str| rank_score(chunk.as_bytes(), vm);
             let members = self.members.iter();
             members.max_by_key(|(vm, _)| (score(vm), std::cmp::Reverse(*vm)))
         });
-        let abroad = firsts.filter(|(_, data_centre)| **data_centre != self.own.data_centre);
-        abroad.map(|(vm, _)| vm.clone()).collect()
+        let remote = firsts.filter(|(_, data_centre)| **data_centre != self.own.data_centre);
+        remote.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Gives every chunk the same position, for policies that rank VMs and not chunks.
+    /// Sets the same position for every chunk, for policies that do not rank VMs per chunk.
     pub(crate) fn set_all(&mut self, position: u32) {
         self.positions.fill(position);
     }
 
-    /// Takes the other VMs that count as alive.
+    /// Replaces the other VMs that are not lost.
     ///
-    /// The cost goes with the number of VMs that came or went, not with how many there are.
+    /// The cost grows with the number of VMs that were added or removed, not with the total.
     pub(crate) fn set_members(&mut self, members: BTreeMap<VmId, DataCentre>) {
         let before = std::mem::take(&mut self.members);
         for (vm, data_centre) in &before {
             if members.get(vm) != Some(data_centre) {
-                self.count(vm, data_centre, |ahead| ahead.saturating_sub(1));
+                self.adjust_counts(vm, data_centre, |ahead| ahead.saturating_sub(1));
             }
         }
         for (vm, data_centre) in &members {
             if before.get(vm) != Some(data_centre) {
-                self.count(vm, data_centre, |ahead| ahead + 1);
+                self.adjust_counts(vm, data_centre, |ahead| ahead + 1);
             }
         }
         self.members = members;
-        self.place();
+        self.update_positions();
     }
 
-    /// Says whether VMs of `data_centre` are ranked together with the own VM.
+    /// Returns whether VMs of `data_centre` are ranked together with the own VM.
     fn in_group(&self, data_centre: &str) -> bool {
         match self.weigh {
             SpreadGoal::OriginBytes => true,
@@ -105,30 +108,30 @@
         }
     }
 
-    /// Changes the counts of every chunk that ranks `vm` before the own VM.
-    fn count<F>(&mut self, vm: &str, data_centre: &str, change: F)
+    /// Applies `change` to the counts of every chunk for which `vm` ranks before the own VM.
+    fn adjust_counts<F>(&mut self, vm: &str, data_centre: &str, change: F)
     where
         F: Fn(u32) -> u32,
     {
         let in_group = self.in_group(data_centre);
-        let is_home = data_centre == self.own.data_centre;
-        if !in_group && !is_home {
+        let is_local = data_centre == self.own.data_centre;
+        if !in_group && !is_local {
             return;
         }
         for (index, (chunk, own)) in self.chunks.iter().zip(&self.own_scores).enumerate() {
-            let theirs = rank_score(chunk.as_bytes(), vm);
-            let before = theirs > *own || (theirs == *own && vm < self.own.vm.as_str());
+            let other = rank_score(chunk.as_bytes(), vm);
+            let before = other > *own || (other == *own && vm < self.own.vm.as_str());
             if before && in_group {
                 self.ahead[index] = change(self.ahead[index]);
             }
-            if before && is_home {
-                self.home_ahead[index] = change(self.home_ahead[index]);
+            if before && is_local {
+                self.local_ahead[index] = change(self.local_ahead[index]);
             }
         }
     }
 
     /// Computes the positions from the counts.
-    fn place(&mut self) {
+    fn update_positions(&mut self) {
         self.positions.clone_from(&self.ahead);
         if self.weigh == SpreadGoal::OriginBytes {
             return;
--- a/crates/stage/src/fetch.rs
+++ b/crates/stage/src/fetch.rs
@@ -51,16 +51,16 @@
 /// Returns the planner's tuning for chunks that take tens of milliseconds to transfer.
 fn tuning(draw_time: Option<Duration>) -> Tuning {
     let tuning = Tuning {
-        learn: Duration::from_millis(120),
+        learn_timeout: Duration::from_millis(120),
         window: 24,
-        stall: Duration::from_millis(500),
+        takeover_delay: Duration::from_millis(500),
         lost_after: Duration::from_millis(500),
-        first_guess: Duration::from_millis(150),
-        patience: Duration::from_millis(250),
-        penalty: Duration::from_millis(100),
-        cross: Some(Duration::from_millis(900)),
-        origin_pause: Duration::from_millis(100),
-        origin_pause_most: Duration::from_millis(800),
+        initial_fetch_time: Duration::from_millis(150),
+        min_timeout: Duration::from_millis(250),
+        peer_backoff: Duration::from_millis(100),
+        cross_delay: Some(Duration::from_millis(900)),
+        origin_backoff: Duration::from_millis(100),
+        max_origin_backoff: Duration::from_millis(800),
         ..Tuning::default()
     };
     tuning.with_draw_time(draw_time)
