--- a/crates/direct/src/choosing.rs
+++ b/crates/direct/src/choosing.rs
@@ -148,7 +148,7 @@
         count()
     }
 
-    /// Returns what the request requires of an upstream, with a load report since `heard_since` if given.
+    /// Returns what the request requires of an upstream, with a load report since `reported_since` if given.
     fn needs(&self, reported_since: Option<Instant>) -> Requirements<'_> {
         let model = self.admitted.model.as_deref();
         Requirements {
--- a/crates/spread/src/ranking.rs
+++ b/crates/spread/src/ranking.rs
@@ -12,8 +12,8 @@
 
 /// Position of the own VM in the ranking of each chunk, among the VMs that are not lost.
 ///
-/// With [`Weigh::OriginBytes`], all VMs are ranked by their rendezvous score for the chunk. With
-/// [`Weigh::Time`], the data centres are ranked and, within each, the VMs. The order then takes the
+/// With [`SpreadGoal::OriginBytes`], all VMs are ranked by their rendezvous score for the chunk. With
+/// [`SpreadGoal::Time`], the data centres are ranked and, within each, the VMs. The order then takes the
 /// first VM of each data centre, then the second of each, so that the first two draws are in two
 /// data centres.
 #[derive(Debug)]
