--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -11,7 +11,7 @@
 
 use crate::events;
 use crate::follower::StreamSink;
-use crate::live::TimeToLive;
+use crate::live::GoLiveTimer;
 use crate::metrics::Metrics;
 use crate::services::Services;
 
@@ -29,7 +29,7 @@
     services: Arc<Services>,
     control: EntryControl,
     metrics: Metrics,
-    live: Arc<TimeToLive>,
+    live: Arc<GoLiveTimer>,
     started: SystemTime,
 }
 
@@ -39,7 +39,7 @@
         services: Arc<Services>,
         control: EntryControl,
         metrics: Metrics,
-        live: Arc<TimeToLive>,
+        live: Arc<GoLiveTimer>,
     ) -> Self {
         Self {
             fold: Mutex::default(),
--- a/crates/entry/src/live.rs
+++ b/crates/entry/src/live.rs
@@ -95,12 +95,12 @@
 
 /// Measures the time until new weights are live.
 #[derive(Debug)]
-pub(crate) struct TimeToLive {
+pub(crate) struct GoLiveTimer {
     awaited: Mutex<AwaitedEpochs>,
     metrics: Metrics,
 }
 
-impl TimeToLive {
+impl GoLiveTimer {
     /// Makes a measure that awaits nothing.
     pub(crate) fn new(metrics: Metrics) -> Self {
         Self {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -12,7 +12,7 @@
 
 use crate::config::ConfigBook;
 use crate::events;
-use crate::live::TimeToLive;
+use crate::live::GoLiveTimer;
 use crate::services::Services;
 use crate::vms::KnownVms;
 
@@ -93,7 +93,7 @@
 /// Takes the agents' reports to the request path, until `cancel`.
 pub(crate) async fn follow_agents(
     services: Arc<Services>,
-    live: Arc<TimeToLive>,
+    live: Arc<GoLiveTimer>,
     control: EntryControl,
     cancel: CancellationToken,
 ) {
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -24,7 +24,7 @@
 use crate::config::ConfigBook;
 use crate::error::{ControlSnafu, EntryError, ListenSnafu, MetricsSnafu, UrlSnafu};
 use crate::follower::follow;
-use crate::live::TimeToLive;
+use crate::live::GoLiveTimer;
 use crate::metrics::Metrics;
 use crate::services::Services;
 use crate::shared::Shared;
@@ -173,7 +173,7 @@
         settings.region.clone(),
         metrics.clone(),
     ));
-    let live = Arc::new(TimeToLive::new(metrics.clone()));
+    let live = Arc::new(GoLiveTimer::new(metrics.clone()));
     let book = ConfigBook::new(
         Arc::clone(&services),
         control.clone(),
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -14,7 +14,7 @@
 
 use crate::claims::Claims;
 use crate::config::ConfigBook;
-use crate::live::TimeToLive;
+use crate::live::GoLiveTimer;
 use crate::metrics::Metrics;
 use crate::services::Services;
 
@@ -31,7 +31,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) book: Arc<ConfigBook>,
     pub(crate) services: Arc<Services>,
-    pub(crate) live: Arc<TimeToLive>,
+    pub(crate) live: Arc<GoLiveTimer>,
     pub(crate) claims: Arc<Claims>,
     /// Requests in flight, streams to callers included.
     pub(crate) requests: TaskTracker,
