--- a/crates/entry/src/backoff.rs
+++ b/crates/entry/src/backoff.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes that it worked.
-    pub(crate) fn worked(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.next = FIRST;
     }
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -301,7 +301,7 @@
         let wait = match released.and(claimed) {
             Ok(true) => continue,
             Ok(false) => {
-                backoff.worked();
+                backoff.reset();
                 let woken = cancel.run_until_cancelled(claims.wake.notified()).await;
                 if woken.is_none() {
                     return;
--- a/crates/entry/src/follower.rs
+++ b/crates/entry/src/follower.rs
@@ -99,7 +99,7 @@
         }
         away = false;
         check_again = false;
-        backoff.worked();
+        backoff.reset();
         sink.set_reading(true);
     }
 }
--- a/crates/entry/src/vms.rs
+++ b/crates/entry/src/vms.rs
@@ -98,7 +98,7 @@
                     events::VM_LIST_BACK.emit(&[]);
                 }
                 away = false;
-                backoff.worked();
+                backoff.reset();
                 if let Some(page) = page {
                     since = Some(page.version);
                     consumers.take(page);
