--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -232,7 +232,7 @@
     }
 
     /// Says whether claims or releases wait to be appended.
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn is_flushed(&self) -> bool {
         let queue = self.lock();
         queue.claims.is_empty() && queue.releases.is_empty()
     }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -139,7 +139,7 @@
     /// Waits until cancels are answered and what claims were given up is in the log.
     async fn settle(&self) {
         self.cx.cleanups.wait().await;
-        while !self.cx.claims.is_settled() {
+        while !self.cx.claims.is_flushed() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
