--- a/crates/entry/src/admin/mod.rs
+++ b/crates/entry/src/admin/mod.rs
@@ -14,7 +14,7 @@
 use wagtailreel_adapters::LogService;
 use wagtailreel_settings::MAX_DOCUMENT_BYTES;
 
-use crate::leftover::read_rest;
+use crate::drain::drain_body;
 use crate::shared::Shared;
 
 /// What the handlers share.
@@ -40,6 +40,6 @@
         .route("/metrics", get(health::metrics::<L>))
         .route("/healthz", get(health::healthz))
         .route("/readyz", get(health::readyz::<L>))
-        .layer(from_fn(read_rest))
+        .layer(from_fn(drain_body))
         .with_state(admin)
 }
--- a/crates/entry/src/leftover.rs
+++ b/crates/entry/src/drain.rs
@@ -8,7 +8,7 @@
 use wagtailreel_adapters::{Returning, discard};
 
 /// Answers a request, and reads what its handler left of the body before the answer goes.
-pub(crate) async fn read_rest(req: Request, next: Next) -> Response {
+pub(crate) async fn drain_body(req: Request, next: Next) -> Response {
     // Whoever asks first sends nothing that would have to be read.
     if req.headers().contains_key(header::EXPECT) {
         return next.run(req).await;
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) use answer::OUTCOME;
 pub(crate) use head::bearer;
 
-use crate::leftover::read_rest;
+use crate::drain::drain_body;
 use crate::shared::Shared;
 
 /// Returns the routes of the callers' listener.
@@ -30,6 +30,6 @@
         .route("/v1/services/{service}/call/", any(call::call_root))
         .route("/v1/services/{service}/call/{*path}", any(call::call))
         .fallback(answer::no_route)
-        .layer(from_fn(read_rest))
+        .layer(from_fn(drain_body))
         .with_state(cx)
 }
