--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -33,10 +33,10 @@
 
 /// Longest that a request of high priority waits for room after it was let in: as long as one that
 /// waits to be let in.
-const ROOM_WAIT: Duration = Duration::from_secs(1);
+const HIGH_PRIORITY_CAPACITY_WAIT: Duration = Duration::from_secs(1);
 
 /// Longest wait between looks for an upstream with room.
-const ROOM_EVERY: Duration = Duration::from_millis(50);
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 const SERVICE: HeaderName = HeaderName::from_static(headers::SERVICE);
 const CUSTOMER: HeaderName = HeaderName::from_static(headers::CUSTOMER);
@@ -103,7 +103,7 @@
             ..Requirements::default()
         };
         let capacity_wait = match head.priority {
-            Priority::High => ROOM_WAIT,
+            Priority::High => HIGH_PRIORITY_CAPACITY_WAIT,
             Priority::Normal | Priority::Low => Duration::ZERO,
         };
         let cfg = AttemptsConfig {
@@ -160,9 +160,10 @@
                 Step::Again => {}
                 Step::Wait(until) => {
                     // A standing that changes wakes it; time alone does if only room is wanted.
-                    let for_room = self.attempts.is_started() || self.attempts.awaits_capacity();
-                    let until = if for_room {
-                        until.min(began + ROOM_EVERY)
+                    let for_capacity =
+                        self.attempts.is_started() || self.attempts.awaits_capacity();
+                    let until = if for_capacity {
+                        until.min(began + CAPACITY_CHECK_INTERVAL)
                     } else {
                         until
                     };
