--- a/crates/entry/src/front/attempt.rs
+++ b/crates/entry/src/front/attempt.rs
@@ -14,7 +14,7 @@
 use crate::shared::Shared;
 
 /// How often it is checked that a silent upstream is still there.
-const ALIVE_EVERY: Duration = Duration::from_millis(500);
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One attempt at one upstream. Cancelled there if it is dropped while it may run.
 #[derive(Debug)]
@@ -25,9 +25,9 @@
     over: bool,
     /// Given up if the cancel shows that the order was not run.
     claim: Option<ClaimTicket>,
-    alive: Interval,
+    liveness_check: Interval,
     /// How long an answer is waited for after the upstream fell silent.
-    patience: Duration,
+    silence_timeout: Duration,
     silent_since: Option<Instant>,
 }
 
@@ -38,18 +38,18 @@
         slot: Slot,
         id: RequestId,
         claim: Option<ClaimTicket>,
-        patience: Duration,
+        silence_timeout: Duration,
     ) -> Self {
-        let mut alive = tokio::time::interval(ALIVE_EVERY);
-        alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut liveness_check = tokio::time::interval(LIVENESS_CHECK_INTERVAL);
+        liveness_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Self {
             cx: Arc::clone(cx),
             slot,
             id,
             over: false,
             claim,
-            alive,
-            patience,
+            liveness_check,
+            silence_timeout,
             silent_since: None,
         }
     }
@@ -85,8 +85,8 @@
             tokio::select! {
                 biased;
                 output = &mut f => return Some(output),
-                _ = self.alive.tick() => {
-                    if self.is_given_up() {
+                _ = self.liveness_check.tick() => {
+                    if self.is_timed_out() {
                         return None;
                     }
                 }
@@ -94,13 +94,13 @@
         }
     }
 
-    fn is_given_up(&mut self) -> bool {
-        if !self.slot.is_gone() {
+    fn is_timed_out(&mut self) -> bool {
+        if !self.slot.is_unresponsive() {
             self.silent_since = None;
             return false;
         }
         let since = *self.silent_since.get_or_insert_with(Instant::now);
-        since.elapsed() >= self.patience
+        since.elapsed() >= self.silence_timeout
     }
 }
 
--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -29,7 +29,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// How long the answer to what can't be repeated is waited for after the upstream fell silent.
-const PATIENCE: Duration = Duration::from_secs(10);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Longest that a request of high priority waits for room after it was let in: as long as one that
 /// waits to be let in.
@@ -241,7 +241,13 @@
         if let Some(claim) = &mut self.claim {
             claim.sending();
         }
-        let mut attempt = Attempt::new(&self.cx, slot, id, self.claim.take(), self.patience());
+        let mut attempt = Attempt::new(
+            &self.cx,
+            slot,
+            id,
+            self.claim.take(),
+            self.silence_timeout(),
+        );
         let client = self.cx.client.clone();
         let sent = client.request_within(req, HEAD_TIMEOUT);
         let answer = attempt.while_alive(sent).await;
@@ -335,10 +341,10 @@
     }
 
     /// A stream is resumed elsewhere at once; what can't be repeated is worth a wait.
-    fn patience(&self) -> Duration {
+    fn silence_timeout(&self) -> Duration {
         match self.attempts.repeat() {
             Repeat::Resumable => Duration::ZERO,
-            Repeat::Never => PATIENCE,
+            Repeat::Never => SILENCE_TIMEOUT,
         }
     }
 
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -22,7 +22,7 @@
 use crate::metrics::Metrics;
 
 /// An upstream without a report for this long is given up on, and streams from it are resumed.
-const GONE_AFTER: Duration = Duration::from_secs(2);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a request was not admitted, and when it may come back.
 pub(crate) type Turned = (NotRunReason, Duration);
@@ -261,14 +261,14 @@
     }
 
     /// Says whether the upstream has been silent for so long that nothing is expected of it.
-    fn is_gone(&self, vm: &str) -> bool {
+    fn is_unresponsive(&self, vm: &str) -> bool {
         let now = Instant::now();
         let inner = self.lock();
         let Some(member) = inner.membership.get(vm) else {
             return true;
         };
         let silence = now.saturating_duration_since(member.received);
-        silence > GONE_AFTER && inner.membership.standing(member, now) != Standing::Usable
+        silence > REPORT_TIMEOUT && inner.membership.standing(member, now) != Standing::Usable
     }
 
     /// Returns the last report of each upstream with its age and standing.
@@ -310,7 +310,7 @@
             (Admission::Admitted, _) => Ok(self.ticket()),
             (Admission::Refused(reason, retry_after), _) => Err(Err((reason, retry_after))),
             (Admission::Waiting(_), Some(waiting)) => Err(Ok(waiting)),
-            (Admission::Waiting(_), None) => Err(Err((NotRunReason::Full, GONE_AFTER))),
+            (Admission::Waiting(_), None) => Err(Err((NotRunReason::Full, REPORT_TIMEOUT))),
         }
     }
 
@@ -373,8 +373,8 @@
 
 impl Slot {
     /// Says whether the upstream has been silent for so long that nothing is expected of it.
-    pub(crate) fn is_gone(&self) -> bool {
-        self.service.is_gone(&self.vm)
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.service.is_unresponsive(&self.vm)
     }
 }
 
