--- a/crates/entry/src/front/attempt.rs
+++ b/crates/entry/src/front/attempt.rs
@@ -9,7 +9,7 @@
 use wagtailreel_route::CancelState;
 
 use crate::claims::ClaimTicket;
-use crate::front::cancel::ask_cancel;
+use crate::front::cancel::send_cancel;
 use crate::service::Slot;
 use crate::shared::Shared;
 
@@ -22,7 +22,7 @@
     cx: Arc<Shared>,
     slot: Slot,
     id: RequestId,
-    over: bool,
+    done: bool,
     /// Given up if the cancel shows that the order was not run.
     claim: Option<ClaimTicket>,
     liveness_check: Interval,
@@ -46,7 +46,7 @@
             cx: Arc::clone(cx),
             slot,
             id,
-            over: false,
+            done: false,
             claim,
             liveness_check,
             silence_timeout,
@@ -67,12 +67,12 @@
     /// Asks the upstream's agent to cancel the attempt; none if it does not answer.
     pub(crate) async fn cancel(&self) -> Option<CancelState> {
         let (addr, incarnation) = (self.slot.addr, self.slot.incarnation);
-        ask_cancel(&self.cx.client, addr, incarnation, &self.id).await
+        send_cancel(&self.cx.client, addr, incarnation, &self.id).await
     }
 
     /// Takes that the attempt is over at the upstream, so that there is nothing to cancel.
-    pub(crate) fn set_over(&mut self) {
-        self.over = true;
+    pub(crate) fn set_done(&mut self) {
+        self.done = true;
     }
 
     /// Awaits `f`; returns none if the upstream is gone meanwhile.
@@ -106,7 +106,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if self.over {
+        if self.done {
             return;
         }
         let client = self.cx.client.clone();
@@ -117,7 +117,7 @@
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             let cleanup = self.cx.cleanups.token();
             runtime.spawn(async move {
-                let state = ask_cancel(&client, addr, incarnation, &id).await;
+                let state = send_cancel(&client, addr, incarnation, &id).await;
                 if let (Some(CancelState::NotRun), Some(mut claim)) = (state, claim) {
                     claim.not_run();
                 }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -135,7 +135,7 @@
     body: Incoming,
     attempt: Attempt,
     dispatch: Dispatch,
-    over: bool,
+    done: bool,
     _in_flight: TaskTrackerToken,
 }
 
@@ -150,7 +150,7 @@
             body,
             attempt: opened.attempt,
             dispatch,
-            over: false,
+            done: false,
             _in_flight: in_flight,
         }
     }
@@ -165,7 +165,7 @@
                 }
                 None => return Ok(true),
                 Some(Err(BrokenOff)) => {
-                    self.over = true;
+                    self.done = true;
                     let vm = self.attempt.vm().clone();
                     let Err(denial) = self.dispatch.cut(&vm, 0, None) else {
                         // A call is never repeated, so it can't go on.
@@ -200,9 +200,9 @@
     }
 
     fn finish(&mut self) {
-        self.over = true;
-        self.attempt.set_over();
-        self.dispatch.note_outcome(Outcome::Answered, None);
+        self.done = true;
+        self.attempt.set_done();
+        self.dispatch.record_outcome(Outcome::Answered, None);
     }
 
     fn into_whole(mut self) -> Body {
@@ -230,8 +230,8 @@
             match answer.read().await? {
                 Ok(data) => Some((Ok(data), Some(answer))),
                 Err(err) => {
-                    answer.over = true;
-                    answer.dispatch.note_outcome(Outcome::Unknown, None);
+                    answer.done = true;
+                    answer.dispatch.record_outcome(Outcome::Unknown, None);
                     Some((Err(err), None))
                 }
             }
@@ -241,7 +241,7 @@
 
 impl Drop for CallAnswer {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.done {
             self.dispatch.count_caller_gone();
         }
     }
--- a/crates/entry/src/front/cancel.rs
+++ b/crates/entry/src/front/cancel.rs
@@ -26,7 +26,7 @@
 ///
 /// The attempt went to the start `incarnation`: a later one can't know what that one ran, and
 /// must not take a request that it never saw for one that was not run.
-pub(crate) async fn ask_cancel(
+pub(crate) async fn send_cancel(
     client: &HttpClient,
     addr: SocketAddr,
     incarnation: Incarnation,
--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -81,7 +81,7 @@
     attempts: Attempts,
     admission: AdmissionTicket,
     claim: Option<ClaimTicket>,
-    numbered: u32,
+    next_attempt: u32,
     switch_wait: Duration,
 }
 
@@ -119,7 +119,7 @@
             attempts,
             admission,
             claim,
-            numbered: 0,
+            next_attempt: 0,
             switch_wait: Duration::ZERO,
         }
     }
@@ -147,7 +147,7 @@
             let next = match self.head.service.choose(&mut self.attempts) {
                 Ok(slot) => match self.send(slot).await {
                     Ok(opened) => {
-                        self.note_switch_wait();
+                        self.record_switch_wait();
                         self.admission.ran = true;
                         return Ok(opened);
                     }
@@ -156,7 +156,7 @@
                 Err(next) => next,
             };
             let began = Instant::now();
-            match self.settle(next) {
+            match self.next_step(next) {
                 Step::Again => {}
                 Step::Wait(until) => {
                     // A standing that changes wakes it; time alone does if only room is wanted.
@@ -173,7 +173,7 @@
                     }
                 }
                 Step::Done(denial) => {
-                    self.note_switch_wait();
+                    self.record_switch_wait();
                     return Err(denial);
                 }
             }
@@ -191,18 +191,18 @@
         next: u64,
         weights: Option<Digest>,
     ) -> Result<(), Denial> {
-        self.note_ended("cut");
+        self.count_attempt("cut");
         events::UPSTREAM_FAILED.emit(&[("vm", vm), ("request", &self.head.id)]);
         let ended = AttemptEnd::Cut { next, weights };
         let next = self.head.service.ended(&mut self.attempts, vm, ended);
-        match self.settle(next) {
+        match self.next_step(next) {
             Step::Again | Step::Wait(_) => Ok(()),
             Step::Done(denial) => Err(denial),
         }
     }
 
     /// Counts the final outcome.
-    pub(crate) fn note_outcome(&self, outcome: Outcome, reason: Option<NotRunReason>) {
+    pub(crate) fn record_outcome(&self, outcome: Outcome, reason: Option<NotRunReason>) {
         let service = self.head.service.name();
         let metrics = &self.cx.metrics;
         metrics.outcome(service, &self.head.customer, outcome, reason);
@@ -233,8 +233,8 @@
     async fn send(&mut self, slot: Slot) -> Result<Opened, Next> {
         let vm = slot.vm.clone();
         let addr = slot.addr;
-        let id = format!("{}-{}", self.head.id, self.numbered);
-        self.numbered += 1;
+        let id = format!("{}-{}", self.head.id, self.next_attempt);
+        self.next_attempt += 1;
         let Some(req) = self.request(addr, &id) else {
             return Err(self.ended(&vm, AttemptEnd::Refused(NotRunReason::Refused, None)));
         };
@@ -254,7 +254,7 @@
         let ended = match answer {
             Some(Ok(response)) => match self.refusal_of(&response) {
                 None => {
-                    self.note_ended("opened");
+                    self.count_attempt("opened");
                     return Ok(opened(response, attempt));
                 }
                 Some(ended) => ended,
@@ -264,9 +264,9 @@
         };
         if ended == AttemptEnd::Broken {
             events::UPSTREAM_FAILED.emit(&[("vm", &vm), ("request", &self.head.id)]);
-            return Err(self.find_out(attempt, &vm).await);
+            return Err(self.cancel_broken(attempt, &vm).await);
         }
-        attempt.set_over();
+        attempt.set_done();
         self.claim = attempt.take_claim();
         drop(attempt);
         Err(self.ended(&vm, ended))
@@ -297,9 +297,9 @@
     }
 
     /// Asks the agent whether the request was started, after its answer was lost.
-    async fn find_out(&mut self, mut attempt: Attempt, vm: &str) -> Next {
+    async fn cancel_broken(&mut self, mut attempt: Attempt, vm: &str) -> Next {
         let state = attempt.cancel().await;
-        attempt.set_over();
+        attempt.set_done();
         self.claim = attempt.take_claim();
         drop(attempt);
         let ended = state.map_or(AttemptEnd::CancelLost, AttemptEnd::Cancelled);
@@ -307,12 +307,12 @@
     }
 
     fn ended(&mut self, vm: &str, ended: AttemptEnd) -> Next {
-        self.note_ended(label_of(&ended));
+        self.count_attempt(label_of(&ended));
         self.head.service.ended(&mut self.attempts, vm, ended)
     }
 
     /// Turns what comes next into a step, and keeps or frees the claim by it.
-    fn settle(&mut self, next: Next) -> Step {
+    fn next_step(&mut self, next: Next) -> Step {
         let not_run = |claim: &mut Option<ClaimTicket>| {
             if let Some(claim) = claim {
                 claim.not_run();
@@ -397,7 +397,7 @@
         Some(headers)
     }
 
-    fn note_ended(&self, label: &str) {
+    fn count_attempt(&self, label: &str) {
         self.cx
             .metrics
             .attempts
@@ -405,7 +405,7 @@
             .inc();
     }
 
-    fn note_switch_wait(&mut self) {
+    fn record_switch_wait(&mut self) {
         let wait = std::mem::take(&mut self.switch_wait);
         if !wait.is_zero() && !self.attempts.is_started() {
             let service = self.head.service.name();
--- a/crates/entry/src/front/stream.rs
+++ b/crates/entry/src/front/stream.rs
@@ -97,7 +97,7 @@
                 },
             };
             let batch = self.relay.push(&data);
-            self.note_tokens(batch.tokens);
+            self.record_token_times(batch.tokens);
             match batch.finish {
                 Some(Finish::Whole) => return Some(self.end(batch.bytes)),
                 Some(Finish::Broken) => match self.resume().await {
@@ -141,16 +141,16 @@
                 // The agent did not keep to the pin: none of its tokens may follow these.
                 continue;
             }
-            self.note_resumed();
+            self.record_resume();
             return Ok(());
         }
     }
 
     fn end(&mut self, before: Bytes) -> Bytes {
         if let Some(mut source) = self.source.take() {
-            source.attempt.set_over();
+            source.attempt.set_done();
         }
-        self.dispatch.note_outcome(Outcome::Answered, None);
+        self.dispatch.record_outcome(Outcome::Answered, None);
         let end = EndData {
             outcome: Outcome::Answered,
             tokens: self.relay.next(),
@@ -167,7 +167,7 @@
             // A stream that began was started, so nothing else follows for it.
             Denial::Bad(..) | Denial::NotRun(..) => UnknownReason::Cut,
         };
-        self.dispatch.note_outcome(Outcome::Unknown, None);
+        self.dispatch.record_outcome(Outcome::Unknown, None);
         let error = ErrorData {
             outcome: Outcome::Unknown,
             reason: reason.to_string(),
@@ -175,7 +175,7 @@
         event("error", &error)
     }
 
-    fn note_tokens(&mut self, tokens: u64) {
+    fn record_token_times(&mut self, tokens: u64) {
         if tokens == 0 {
             return;
         }
@@ -193,7 +193,7 @@
         }
     }
 
-    fn note_resumed(&self) {
+    fn record_resume(&self) {
         let head = self.dispatch.head();
         let next = self.relay.next().to_string();
         events::STREAM_RESUMED.emit(&[("request", &head.id), ("from", &next)]);
