--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -25,9 +25,9 @@
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a request was not admitted, and when it may come back.
-pub(crate) type Turned = (NotRunReason, Duration);
+pub(crate) type Rejection = (NotRunReason, Duration);
 
-type Verdict = Result<AdmissionTicket, Turned>;
+type Verdict = Result<AdmissionTicket, Rejection>;
 
 /// One service: its upstreams, limits, admission and budget of retries.
 #[derive(Debug)]
@@ -129,7 +129,7 @@
                 inner.limits.set_document(document);
             }
         }
-        self.refresh();
+        self.update_capacity();
     }
 
     /// Takes the list of VMs.
@@ -139,7 +139,7 @@
             inner.membership.list(&self.name, vms);
             inner.membership.prune(Instant::now());
         }
-        self.refresh();
+        self.update_capacity();
         self.changed.send_replace(());
     }
 
@@ -155,7 +155,7 @@
                 standing |= effect == ReportEffect::Standing;
             }
         }
-        self.refresh();
+        self.update_capacity();
         if standing {
             self.changed.send_replace(());
         }
@@ -194,12 +194,12 @@
         self: &Arc<Self>,
         priority: Priority,
         deadline: Option<Instant>,
-    ) -> Result<AdmissionTicket, Turned> {
+    ) -> Result<AdmissionTicket, Rejection> {
         let arrived = Instant::now();
         let (id, mut rx) = match self.arrive(priority, deadline, arrived) {
             Ok(ticket) => return Ok(ticket),
             Err(Ok(waiting)) => waiting,
-            Err(Err(turned)) => return Err(turned),
+            Err(Err(rejection)) => return Err(rejection),
         };
         let guard = WaitGuard { service: self, id };
         let verdict = loop {
@@ -291,7 +291,7 @@
         priority: Priority,
         deadline: Option<Instant>,
         now: Instant,
-    ) -> Result<AdmissionTicket, Result<(WaiterId, oneshot::Receiver<Verdict>), Turned>> {
+    ) -> Result<AdmissionTicket, Result<(WaiterId, oneshot::Receiver<Verdict>), Rejection>> {
         let mut waiting = None;
         let (admission, event) = {
             let inner = &mut *self.lock();
@@ -305,7 +305,7 @@
             }
             (admission, event)
         };
-        self.settle(event.into_iter().collect());
+        self.apply_queue_events(event.into_iter().collect());
         match (admission, waiting) {
             (Admission::Admitted, _) => Ok(self.ticket()),
             (Admission::Refused(reason, retry_after), _) => Err(Err((reason, retry_after))),
@@ -323,7 +323,7 @@
     }
 
     /// Reckons the room anew and lets waiters in.
-    fn refresh(self: &Arc<Self>) {
+    fn update_capacity(self: &Arc<Self>) {
         let events = {
             let inner = &mut *self.lock();
             let document = inner.document.as_ref();
@@ -335,7 +335,7 @@
                     .capacity_and_load(&inner.membership, needs_open, now);
             inner.overload.set_capacity(capacity, others)
         };
-        self.settle(events);
+        self.apply_queue_events(events);
     }
 
     fn tick(self: &Arc<Self>) {
@@ -343,13 +343,13 @@
             let inner = &mut *self.lock();
             inner.overload.tick(Instant::now(), &mut inner.rng)
         };
-        self.settle(events);
+        self.apply_queue_events(events);
     }
 
     /// Tells waiters what became of them.
     ///
     /// Must be called without the lock: a ticket whose caller has gone takes it when dropped.
-    fn settle(self: &Arc<Self>, events: Vec<QueueEvent>) {
+    fn apply_queue_events(self: &Arc<Self>, events: Vec<QueueEvent>) {
         for event in events {
             let (id, verdict) = match event {
                 QueueEvent::Admit(id) => (id, Ok(self.ticket())),
@@ -388,7 +388,7 @@
     fn drop(&mut self) {
         let took = self.ran.then(|| self.since.elapsed());
         let events = self.service.lock().overload.finish(took);
-        self.service.settle(events);
+        self.service.apply_queue_events(events);
     }
 }
 
