--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -20,11 +20,11 @@
 use crate::metrics::Metrics;
 
 /// Claims in one record at most, so that it stays far below the longest record.
-const BATCH: usize = 500;
+const MAX_CLAIMS_PER_RECORD: usize = 500;
 
 /// Why an order was not claimed. In each case it was not run by this request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ClaimProblem {
+pub(crate) enum ClaimError {
     /// The key is not honoured.
     Key(KeyProblem),
     /// Another request holds the key.
@@ -33,21 +33,21 @@
     LogAway,
 }
 
-type Verdict = Result<ClaimTicket, ClaimProblem>;
+type Verdict = Result<ClaimTicket, ClaimError>;
 
 /// Where a claim is on its way into the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum AppendState {
     /// It was not handed to the log yet.
     Queued,
     /// It is or may be in the log.
-    MaybeThere,
+    MaybeAppended,
 }
 
 #[derive(Debug)]
 struct Pending {
     record: ClaimRecord,
-    way: Way,
+    append_state: AppendState,
     tx: oneshot::Sender<Verdict>,
 }
 
@@ -80,42 +80,42 @@
 pub(crate) struct ClaimTicket {
     claims: Arc<Claims>,
     request: RequestId,
-    used: bool,
+    sent: bool,
 }
 
 impl ClaimTicket {
     /// Takes that the order is about to be sent: from now on it may run.
-    pub(crate) fn sending(&mut self) {
-        self.used = true;
+    pub(crate) fn on_send(&mut self) {
+        self.sent = true;
     }
 
     /// Takes that what was sent is known not to have run.
     pub(crate) fn not_run(&mut self) {
-        self.used = false;
+        self.sent = false;
     }
 }
 
 impl Drop for ClaimTicket {
     fn drop(&mut self) {
-        if !self.used {
+        if !self.sent {
             self.claims.release(&self.request);
         }
     }
 }
 
 /// Withdraws a claim whose caller has gone or waits no longer.
-struct Withdraw<'a> {
+struct WithdrawGuard<'a> {
     claims: &'a Claims,
     request: &'a RequestId,
 }
 
-impl Drop for Withdraw<'_> {
+impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         let mut queue = self.claims.lock();
         let Some(pending) = queue.pending.remove(self.request) else {
             return;
         };
-        if pending.way == Way::MaybeThere {
+        if pending.append_state == AppendState::MaybeAppended {
             queue.releases.push(self.request.clone());
             drop(queue);
             self.claims.wake.notify_one();
@@ -158,9 +158,9 @@
         let verdict = self.claim_inner(service, key, request, until).await;
         let result = match &verdict {
             Ok(_) => "won",
-            Err(ClaimProblem::Claimed) => "lost",
-            Err(ClaimProblem::Key(_)) => "void",
-            Err(ClaimProblem::LogAway) => "log-away",
+            Err(ClaimError::Claimed) => "lost",
+            Err(ClaimError::Key(_)) => "void",
+            Err(ClaimError::LogAway) => "log-away",
         };
         self.metrics.claims.with_label_values(&[result]).inc();
         if verdict.is_ok() {
@@ -190,14 +190,14 @@
             let mut queue = self.lock();
             let pending = Pending {
                 record,
-                way: Way::Queued,
+                append_state: AppendState::Queued,
                 tx,
             };
             queue.pending.insert(request.clone(), pending);
             queue.claims.push(request.clone());
         }
         self.wake.notify_one();
-        let withdraw = Withdraw {
+        let withdraw = WithdrawGuard {
             claims: self,
             request,
         };
@@ -206,21 +206,21 @@
         match verdict {
             Ok(Ok(verdict)) => verdict,
             // Whoever removes a pending claim answers it, but for the withdrawal just above.
-            Ok(Err(_)) | Err(_) => Err(ClaimProblem::LogAway),
+            Ok(Err(_)) | Err(_) => Err(ClaimError::LogAway),
         }
     }
 
     /// Spares the log claims that can't be won.
-    fn check(&self, service: &str, key: &str) -> Result<(), ClaimProblem> {
+    fn check(&self, service: &str, key: &str) -> Result<(), ClaimError> {
         let fold = self.fold();
         fold.check_key(key, SystemTime::now())
-            .map_err(ClaimProblem::Key)?;
+            .map_err(ClaimError::Key)?;
         if fold.stop().is_some() || !self.reading.load(Ordering::Relaxed) {
-            return Err(ClaimProblem::LogAway);
+            return Err(ClaimError::LogAway);
         }
         let held = fold.holder_of(service, key);
         if held.is_some_and(|claim| !claim.released) {
-            return Err(ClaimProblem::Claimed);
+            return Err(ClaimError::Claimed);
         }
         Ok(())
     }
@@ -237,21 +237,21 @@
         queue.claims.is_empty() && queue.releases.is_empty()
     }
 
-    fn take(self: &Arc<Self>, applied: OrderApplied) {
+    fn apply(self: &Arc<Self>, applied: OrderApplied) {
         match applied {
             OrderApplied::Won {
                 service, claimant, ..
-            } if self.is_mine(&claimant) => self.won(&service, claimant.request),
-            OrderApplied::Lost { claimant, .. } if self.is_mine(&claimant) => {
-                self.answer(&claimant.request, Err(ClaimProblem::Claimed));
+            } if self.is_own(&claimant) => self.won(&service, claimant.request),
+            OrderApplied::Lost { claimant, .. } if self.is_own(&claimant) => {
+                self.answer(&claimant.request, Err(ClaimError::Claimed));
             }
             OrderApplied::Void {
                 claimant, problem, ..
-            } if self.is_mine(&claimant) => {
-                self.answer(&claimant.request, Err(ClaimProblem::Key(problem)));
+            } if self.is_own(&claimant) => {
+                self.answer(&claimant.request, Err(ClaimError::Key(problem)));
             }
-            OrderApplied::GivenUp { claimant, .. } if self.is_mine(&claimant) => {
-                self.answer(&claimant.request, Err(ClaimProblem::LogAway));
+            OrderApplied::GivenUp { claimant, .. } if self.is_own(&claimant) => {
+                self.answer(&claimant.request, Err(ClaimError::LogAway));
             }
             _ => {}
         }
@@ -261,7 +261,7 @@
         let ticket = ClaimTicket {
             claims: Arc::clone(self),
             request: request.clone(),
-            used: false,
+            sent: false,
         };
         if !self.answer(&request, Ok(ticket)) {
             // Nobody waits any more: the unused ticket gave the claim up when it was dropped.
@@ -276,7 +276,7 @@
         pending.is_some_and(|pending| pending.tx.send(verdict).is_ok())
     }
 
-    fn is_mine(&self, claimant: &Claimant) -> bool {
+    fn is_own(&self, claimant: &Claimant) -> bool {
         claimant.holder == self.holder && claimant.incarnation == self.incarnation
     }
 
@@ -360,13 +360,13 @@
 }
 
 fn take_batch(queue: &mut Queue) -> Vec<ClaimRecord> {
-    let most = queue.claims.len().min(BATCH);
+    let most = queue.claims.len().min(MAX_CLAIMS_PER_RECORD);
     let requests: Vec<RequestId> = queue.claims.drain(..most).collect();
     let mut batch = Vec::with_capacity(requests.len());
     for request in requests {
         // One that was withdrawn before it was handed to the log is not there any more.
         if let Some(pending) = queue.pending.get_mut(&request) {
-            pending.way = Way::MaybeThere;
+            pending.append_state = AppendState::MaybeAppended;
             batch.push(pending.record.clone());
         }
     }
@@ -376,7 +376,7 @@
 /// Answers claims that are certainly not in the log.
 fn refuse(claims: &Claims, requests: &[RequestId]) {
     for request in requests {
-        claims.answer(request, Err(ClaimProblem::LogAway));
+        claims.answer(request, Err(ClaimError::LogAway));
     }
 }
 
@@ -442,7 +442,7 @@
         for record in &page.records {
             let step = self.0.fold().apply(record.offset, record.at, &record.data);
             for applied in step? {
-                self.0.take(applied);
+                self.0.apply(applied);
             }
         }
         Ok(())
--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -239,7 +239,7 @@
             return Err(self.ended(&vm, AttemptEnd::Refused(NotRunReason::Refused, None)));
         };
         if let Some(claim) = &mut self.claim {
-            claim.sending();
+            claim.on_send();
         }
         let mut attempt = Attempt::new(
             &self.cx,
--- a/crates/entry/src/front/generate.rs
+++ b/crates/entry/src/front/generate.rs
@@ -11,7 +11,7 @@
 use wagtailreel_core::{NotRunReason, ServiceKind, headers};
 use wagtailreel_fold::KeyProblem;
 
-use crate::claims::{ClaimProblem, ClaimTicket};
+use crate::claims::{ClaimError, ClaimTicket};
 use crate::front::answer::Denial;
 use crate::front::dispatch::{Dispatch, Payload};
 use crate::front::head::{RequestHead, authenticate, read_body, read_head};
@@ -107,14 +107,14 @@
     }
 }
 
-fn deny_claim(problem: ClaimProblem) -> Denial {
+fn deny_claim(problem: ClaimError) -> Denial {
     match problem {
-        ClaimProblem::Claimed => Denial::NotRun(NotRunReason::Claimed, None),
-        ClaimProblem::LogAway | ClaimProblem::Key(KeyProblem::Unseen) => {
+        ClaimError::Claimed => Denial::NotRun(NotRunReason::Claimed, None),
+        ClaimError::LogAway | ClaimError::Key(KeyProblem::Unseen) => {
             Denial::NotRun(NotRunReason::LogAway, None)
         }
-        ClaimProblem::Key(KeyProblem::Expired) => Denial::NotRun(NotRunReason::Expired, None),
-        ClaimProblem::Key(problem) => Denial::Bad(StatusCode::BAD_REQUEST, problem.to_string()),
+        ClaimError::Key(KeyProblem::Expired) => Denial::NotRun(NotRunReason::Expired, None),
+        ClaimError::Key(problem) => Denial::Bad(StatusCode::BAD_REQUEST, problem.to_string()),
     }
 }
 
