--- a/crates/entry/src/live.rs
+++ b/crates/entry/src/live.rs
@@ -11,7 +11,7 @@
 
 /// An epoch that was accepted and is not live everywhere yet.
 #[derive(Clone, Debug)]
-struct Awaited {
+struct PendingEpoch {
     epoch: Epoch,
     since: Instant,
     document: Box<Document>,
@@ -22,11 +22,11 @@
 /// Each epoch is reported once: it is forgotten when it is live, when a newer one takes its place,
 /// and when the service is deleted.
 #[derive(Debug, Default)]
-struct AwaitedEpochs {
-    services: BTreeMap<ServiceName, Awaited>,
+struct PendingEpochs {
+    services: BTreeMap<ServiceName, PendingEpoch>,
 }
 
-impl AwaitedEpochs {
+impl PendingEpochs {
     /// Takes an accepted edit, which this entry folded at `now`.
     fn accepted(&mut self, state: &ServiceState, now: Instant) {
         let Some(document) = &state.document else {
@@ -35,8 +35,8 @@
         };
         // An edit that keeps the epoch moves the bounds of the one awaited, not its beginning.
         if state.epoch != state.revision {
-            if let Some(awaited) = self.services.get_mut(&state.service) {
-                awaited.document = document.clone();
+            if let Some(pending) = self.services.get_mut(&state.service) {
+                pending.document = document.clone();
             }
             return;
         }
@@ -44,12 +44,12 @@
             self.services.remove(&state.service);
             return;
         }
-        let awaited = Awaited {
+        let pending = PendingEpoch {
             epoch: state.epoch,
             since: now,
             document: document.clone(),
         };
-        self.services.insert(state.service.clone(), awaited);
+        self.services.insert(state.service.clone(), pending);
     }
 
     /// Takes the agents' reports as of `now`; returns the services whose epoch is live, and how
@@ -58,8 +58,8 @@
         let live: Vec<(ServiceName, Duration)> = self
             .services
             .iter()
-            .filter(|(name, awaited)| awaited.is_live(name, agents))
-            .map(|(name, awaited)| (name.clone(), now.saturating_duration_since(awaited.since)))
+            .filter(|(name, pending)| pending.is_live(name, agents))
+            .map(|(name, pending)| (name.clone(), now.saturating_duration_since(pending.since)))
             .collect();
         for (name, _) in &live {
             self.services.remove(name);
@@ -68,7 +68,7 @@
     }
 }
 
-impl Awaited {
+impl PendingEpoch {
     fn is_live(&self, service: &str, agents: &AgentViews) -> bool {
         let open = |place: &Place| {
             agents
@@ -96,7 +96,7 @@
 /// Measures the time until new weights are live.
 #[derive(Debug)]
 pub(crate) struct GoLiveTimer {
-    awaited: Mutex<AwaitedEpochs>,
+    pending: Mutex<PendingEpochs>,
     metrics: Metrics,
 }
 
@@ -104,7 +104,7 @@
     /// Makes a measure that awaits nothing.
     pub(crate) fn new(metrics: Metrics) -> Self {
         Self {
-            awaited: Mutex::default(),
+            pending: Mutex::default(),
             metrics,
         }
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, AwaitedEpochs> {
-        self.awaited.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PendingEpochs> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
