--- a/crates/entry/src/backoff.rs
+++ b/crates/entry/src/backoff.rs
@@ -5,10 +5,10 @@
 use rand::RngExt as _;
 
 /// First wait after a failure.
-const FIRST: Duration = Duration::from_millis(50);
+const INITIAL_WAIT: Duration = Duration::from_millis(50);
 
 /// Longest wait; it bounds how late a service that comes back is noticed.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// Doubles the wait with each failure and spreads it by half.
 #[derive(Debug)]
@@ -19,19 +19,19 @@
 impl Backoff {
     /// Makes a backoff that has seen no failure.
     pub(crate) fn new() -> Self {
-        Self { next: FIRST }
+        Self { next: INITIAL_WAIT }
     }
 
     /// Returns how long to wait after one more failure, but not less than `at_least`.
     pub(crate) fn failed(&mut self, at_least: Option<Duration>) -> Duration {
         let wait = self.next;
-        self.next = (self.next * 2).min(LONGEST);
+        self.next = (self.next * 2).min(MAX_WAIT);
         let spread = rand::rng().random_range(0.5..1.0);
         wait.mul_f64(spread).max(at_least.unwrap_or_default())
     }
 
     /// Takes that it worked.
     pub(crate) fn reset(&mut self) {
-        self.next = FIRST;
+        self.next = INITIAL_WAIT;
     }
 }
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -26,7 +26,7 @@
 
 /// Answers up to this length are passed on only once they are whole, so that one that breaks off
 /// is answered as unknown. A longer one that breaks off breaks the caller's connection.
-const BUFFER: usize = 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 /// Headers that belong to one connection.
 const HOP_BY_HOP: &[&str] = &[
@@ -80,7 +80,7 @@
         let call = Call {
             method,
             path: path_of(&uri),
-            headers: forwarded(&headers),
+            headers: forwarded_headers(&headers),
             body,
         };
         run(&cx, head, call).await
@@ -102,7 +102,7 @@
     let opened = dispatch.open().await?;
     let mut answer = CallAnswer::new(dispatch, opened, in_flight);
     let whole = answer.fill().await?;
-    let mut headers = forwarded(&answer.headers);
+    let mut headers = forwarded_headers(&answer.headers);
     if whole && !is_head {
         headers.remove(header::CONTENT_LENGTH);
     }
@@ -123,7 +123,7 @@
 /// The answer broke off after a part of it was passed on.
 #[derive(Debug, Snafu)]
 #[snafu(display("the answer of the plain service broke off"))]
-struct BrokenOff;
+struct Truncated;
 
 /// An answer of a plain service on its way to the caller.
 #[derive(Debug)]
@@ -157,14 +157,14 @@
 
     /// Reads until the answer is whole or the buffer is full; returns whether it is whole.
     async fn fill(&mut self) -> Result<bool, Denial> {
-        while self.buffered < BUFFER {
+        while self.buffered < MAX_BUFFERED_BYTES {
             match self.read().await {
                 Some(Ok(data)) => {
                     self.buffered += data.len();
                     self.chunks.push_back(data);
                 }
                 None => return Ok(true),
-                Some(Err(BrokenOff)) => {
+                Some(Err(Truncated)) => {
                     self.done = true;
                     let vm = self.attempt.vm().clone();
                     let Err(denial) = self.dispatch.cut(&vm, 0, None) else {
@@ -180,7 +180,7 @@
     }
 
     /// Reads the next data; none once the answer is whole.
-    async fn read(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn read(&mut self) -> Option<Result<Bytes, Truncated>> {
         loop {
             let frame = self.attempt.while_alive(self.body.frame()).await;
             match frame {
@@ -194,7 +194,7 @@
                     self.finish();
                     return None;
                 }
-                Some(Some(Err(_))) | None => return Some(Err(BrokenOff)),
+                Some(Some(Err(_))) | None => return Some(Err(Truncated)),
             }
         }
     }
@@ -258,7 +258,7 @@
 
 /// Returns the headers that are passed on: all but those of the connection, the system's own and
 /// the customer's key.
-fn forwarded(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = connection_options(headers)
         .map(str::to_ascii_lowercase)
         .collect();
--- a/crates/entry/src/front/relay.rs
+++ b/crates/entry/src/front/relay.rs
@@ -80,13 +80,13 @@
                     break;
                 }
             };
-            match self.take(&event) {
-                Taken::Token => {
+            match self.classify(&event) {
+                EventKind::Token => {
                     batch.tokens += 1;
                     write_event(&mut copied, &event);
                 }
-                Taken::Dropped => passed_on = false,
-                Taken::Finish(finish) => batch.finish = Some(finish),
+                EventKind::Dropped => passed_on = false,
+                EventKind::Finish(finish) => batch.finish = Some(finish),
             }
         }
         // The usual frame is one whole token, which goes on as it is.
@@ -101,29 +101,29 @@
         batch
     }
 
-    fn take(&mut self, event: &SseEvent) -> Taken {
+    fn classify(&mut self, event: &SseEvent) -> EventKind {
         match event.name.as_ref() {
-            b"token" => self.take_token(&event.data),
-            b"end" => Taken::Finish(self.take_end(&event.data)),
-            b"error" => Taken::Finish(Finish::Broken),
-            _ => Taken::Dropped,
+            b"token" => self.classify_token(&event.data),
+            b"end" => EventKind::Finish(self.classify_end(&event.data)),
+            b"error" => EventKind::Finish(Finish::Broken),
+            _ => EventKind::Dropped,
         }
     }
 
-    fn take_token(&mut self, data: &[u8]) -> Taken {
+    fn classify_token(&mut self, data: &[u8]) -> EventKind {
         match index_of(data) {
             Some(index) if index == self.next => {
                 self.next += 1;
-                Taken::Token
+                EventKind::Token
             }
             // The caller has it already.
-            Some(index) if index < self.next => Taken::Dropped,
+            Some(index) if index < self.next => EventKind::Dropped,
             // A token is missing, or it can't be told which this is.
-            _ => Taken::Finish(Finish::Broken),
+            _ => EventKind::Finish(Finish::Broken),
         }
     }
 
-    fn take_end(&self, data: &[u8]) -> Finish {
+    fn classify_end(&self, data: &[u8]) -> Finish {
         let Ok(end) = serde_json::from_slice::<EndData>(data) else {
             return Finish::Broken;
         };
@@ -140,7 +140,7 @@
     }
 }
 
-enum Taken {
+enum EventKind {
     Token,
     Dropped,
     Finish(Finish),
