--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends one request to upstreams until one takes it.
+//! Sends one request to upstreams until one accepts it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,17 +25,18 @@
 use crate::service::{AdmissionTicket, Slot};
 use crate::shared::Shared;
 
-/// Longest wait for the head of an answer, however alive the upstream is.
+/// Longest wait for the head of an answer, also while the upstream keeps sending reports.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How long the answer to what can't be repeated is waited for after the upstream fell silent.
+/// How long the entry still waits for the answer to a request that must not be repeated, after the
+/// upstream stopped sending reports.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest that a request of high priority waits for room after it was let in: as long as one that
-/// waits to be let in.
+/// Longest that an admitted request of high priority waits for an upstream with a free slot. Equal to
+/// the longest wait for admission.
 const HIGH_PRIORITY_CAPACITY_WAIT: Duration = Duration::from_secs(1);
 
-/// Longest wait between looks for an upstream with room.
+/// Longest wait between two checks for an upstream with a free slot.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 const SERVICE: HeaderName = HeaderName::from_static(headers::SERVICE);
@@ -44,7 +45,7 @@
 pub(crate) const INCARNATION: HeaderName = HeaderName::from_static(headers::INCARNATION);
 const RESUME_FROM: HeaderName = HeaderName::from_static(headers::RESUME_FROM);
 
-/// What is sent to an agent.
+/// Content of a request to an agent.
 #[derive(Debug)]
 pub(crate) enum Payload {
     /// A prompt, answered by a stream of tokens.
@@ -63,7 +64,7 @@
     pub(crate) body: Bytes,
 }
 
-/// An upstream took the request and began to answer.
+/// An accepted request whose answer has started.
 #[derive(Debug)]
 pub(crate) struct Opened {
     pub(crate) response: Response<Incoming>,
@@ -72,7 +73,7 @@
     pub(crate) epoch: Option<Epoch>,
 }
 
-/// One request on its way through upstreams.
+/// One request with its attempts at upstreams.
 #[derive(Debug)]
 pub(crate) struct Dispatch {
     cx: Arc<Shared>,
@@ -86,7 +87,7 @@
 }
 
 impl Dispatch {
-    /// Makes the dispatch of a request that was admitted and, if it is an order, claimed.
+    /// Creates the dispatch of a request that is admitted and, if it is an order, claimed.
     pub(crate) fn new(
         cx: &Arc<Shared>,
         head: RequestHead,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Sets the prompt by whose head an upstream with a warm cache is chosen.
+    /// Sets the prompt, whose prefix selects an upstream that is likely to have it cached.
     pub(crate) fn with_prompt(mut self, prompt: &str) -> Self {
         self.attempts.set_prefix(prefix_of(prompt));
         self
@@ -135,14 +136,14 @@
         &self.head
     }
 
-    /// Sends the request until an upstream takes it.
+    /// Sends the request to one upstream after another until one accepts it.
     ///
     /// # Errors
     ///
-    /// Returns the final answer if none does.
+    /// Returns the final answer if no upstream accepts it.
     pub(crate) async fn open(&mut self) -> Result<Opened, Denial> {
         loop {
-            // Subscribed before the choice, so that no change after it is missed.
+            // Subscribes before the choice, so that no later change is missed.
             let mut changed = self.head.service.changed();
             let next = match self.head.service.choose(&mut self.attempts) {
                 Ok(slot) => match self.send(slot).await {
@@ -159,7 +160,8 @@
             match self.next_step(next) {
                 Step::Again => {}
                 Step::Wait(until) => {
-                    // A standing that changes wakes it; time alone does if only room is wanted.
+                    // A change of a standing ends the wait. A slot that becomes free sends no such
+                    // signal, so the wait for capacity checks at an interval.
                     let for_capacity =
                         self.attempts.is_started() || self.attempts.awaits_capacity();
                     let until = if for_capacity {
@@ -180,11 +182,11 @@
         }
     }
 
-    /// Takes that a stream broke off before its end.
+    /// Records that a stream was cut before its end.
     ///
     /// # Errors
     ///
-    /// Returns the final answer if no replica may go on with it.
+    /// Returns the final answer if no replica may continue the stream.
     pub(crate) fn cut(
         &mut self,
         vm: &str,
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Counts the final outcome.
+    /// Counts the final outcome, and logs an event if it is unknown.
     pub(crate) fn record_outcome(&self, outcome: Outcome, reason: Option<NotRunReason>) {
         let service = self.head.service.name();
         let metrics = &self.cx.metrics;
@@ -211,19 +213,19 @@
         }
     }
 
-    /// Returns where the times of the answer's stream are counted.
+    /// Returns the histograms for the times of the answer's tokens.
     pub(crate) fn stream_times(&self) -> StreamTimes {
         let service = self.head.service.name();
         self.cx.metrics.stream_times(service, &self.head.customer)
     }
 
-    /// Counts a stream that goes on at a replica.
+    /// Counts a stream that continues at a replica.
     pub(crate) fn count_resume(&self) {
         let service = self.head.service.name();
         self.cx.metrics.resumes.with_label_values(&[service]).inc();
     }
 
-    /// Counts a request whose caller went away before its answer was whole.
+    /// Counts a request whose caller disconnected before its answer was complete.
     pub(crate) fn count_caller_gone(&self) {
         let service = self.head.service.name();
         let gone = &self.cx.metrics.callers_gone;
@@ -272,7 +274,8 @@
         Err(self.ended(&vm, ended))
     }
 
-    /// Returns how the attempt ended if the answer is the agent's own and not the upstream's.
+    /// Returns how the attempt ended if the answer comes from the agent itself and not from the
+    /// upstream; `None` if it is the upstream's answer.
     fn refusal_of(&self, response: &Response<Incoming>) -> Option<AttemptEnd> {
         let headers = response.headers();
         let text = |name| headers.get(name)?.to_str().ok();
@@ -284,10 +287,10 @@
             }
             Some(Outcome::Unknown) => Some(AttemptEnd::Cancelled(CancelState::Started)),
             Some(Outcome::Answered) => None,
-            // A stream begins with 200 and tells its outcome at its end.
+            // A stream starts with status 200 and carries its outcome at its end.
             None if self.is_generate() && response.status() == StatusCode::OK => None,
-            // Every other answer of an agent says its outcome: this one is not an agent's, so that
-            // nothing is known of the attempt.
+            // Every other answer of an agent has an outcome header. Without it the answer does not
+            // come from an agent, and the state of the attempt is unknown.
             None => Some(AttemptEnd::Broken),
         }
     }
@@ -296,7 +299,7 @@
         matches!(self.payload, Payload::Generate(_))
     }
 
-    /// Asks the agent whether the request was started, after its answer was lost.
+    /// Cancels an attempt whose answer was lost; the agent's reply says whether it was started.
     async fn cancel_broken(&mut self, mut attempt: Attempt, vm: &str) -> Next {
         let state = attempt.cancel().await;
         attempt.set_done();
@@ -311,7 +314,8 @@
         self.head.service.ended(&mut self.attempts, vm, ended)
     }
 
-    /// Turns what comes next into a step, and keeps or frees the claim by it.
+    /// Maps `next` to a step of the loop in [`Self::open`], and marks the claim as not run if the order
+    /// did not run.
     fn next_step(&mut self, next: Next) -> Step {
         let not_run = |claim: &mut Option<ClaimTicket>| {
             if let Some(claim) = claim {
@@ -319,7 +323,7 @@
             }
         };
         match next {
-            // For an order, going on at all means that nothing was run so far.
+            // An order is only sent again if no attempt has run so far.
             Next::Send => {
                 not_run(&mut self.claim);
                 Step::Again
@@ -333,14 +337,15 @@
                 Step::Done(Denial::NotRun(reason, retry_after))
             }
             Next::Unknown(reason) => Step::Done(Denial::Unknown(reason)),
-            // Neither follows from an end that gets here; unknown claims the least.
+            // Neither can occur here; `Unknown` is the answer that is true in every case.
             Next::Answered | Next::AskCancel => Step::Done(Denial::Unknown(
                 wagtailreel_route::UnknownReason::AnswerLost,
             )),
         }
     }
 
-    /// A stream is resumed elsewhere at once; what can't be repeated is worth a wait.
+    /// Returns how long to wait for an upstream that sends no reports: zero for a stream, which a replica
+    /// can resume at once, and [`SILENCE_TIMEOUT`] for a request that must not be repeated.
     fn silence_timeout(&self) -> Duration {
         match self.attempts.repeat() {
             Repeat::Resumable => Duration::ZERO,
@@ -414,7 +419,7 @@
     }
 }
 
-/// What follows for the loop over attempts.
+/// Next step of the loop over attempts.
 enum Step {
     Again,
     Wait(Instant),
@@ -438,7 +443,7 @@
 }
 
 fn failure(vm: &str, err: &PlatformError) -> AttemptEnd {
-    log::debug!("an attempt at {vm} failed: {err}");
+    log::debug!("attempt at VM {vm} failed: {err}");
     match err.took_effect() {
         Effect::No => AttemptEnd::NeverSent,
         Effect::Maybe => AttemptEnd::Broken,
