--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Orders that run at most once: claims on their keys in the stream `orders`.
+//! Claims on the keys of orders in the stream `orders`, so that each order runs at most once.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,28 +19,28 @@
 use crate::follower::StreamSink;
 use crate::metrics::Metrics;
 
-/// Claims in one record at most, so that it stays far below the longest record.
+/// Most claims in one record, so that the record stays far below the log's record limit.
 const MAX_CLAIMS_PER_RECORD: usize = 500;
 
-/// Why an order was not claimed. In each case it was not run by this request.
+/// Why an order was not claimed. In each case this request did not run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimError {
     /// The key is not honoured.
     Key(KeyProblem),
     /// Another request holds the key.
     Claimed,
-    /// The log is away, or did not show the claim in time.
+    /// The log is unreachable, or did not return the claim in time.
     LogAway,
 }
 
 type Verdict = Result<ClaimTicket, ClaimError>;
 
-/// Where a claim is on its way into the log.
+/// Progress of a claim into the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AppendState {
-    /// It was not handed to the log yet.
+    /// The claim was not sent to the log yet.
     Queued,
-    /// It is or may be in the log.
+    /// The claim was sent to the log and may be stored there.
     MaybeAppended,
 }
 
@@ -54,16 +54,17 @@
 #[derive(Debug, Default)]
 struct Queue {
     pending: BTreeMap<RequestId, Pending>,
-    /// Claims to append, in the order in which they came.
+    /// Claims to append, in order of arrival.
     claims: Vec<RequestId>,
-    /// Requests whose claims are given up.
+    /// Requests whose claims are to be released.
     releases: Vec<RequestId>,
 }
 
 /// The claims of this entry.
 ///
-/// Invariant: a [`ClaimTicket`] is handed out only for a claim that the fold says was won, once;
-/// a claim is released only if its ticket was never used for a dispatch, or nobody had the ticket.
+/// Invariant: a [`ClaimTicket`] is issued only for a claim that won according to the fold, and only once.
+/// A claim is released only if no ticket was issued for it, or if nothing sent under its ticket may have
+/// run.
 #[derive(Debug)]
 pub(crate) struct Claims {
     holder: VmId,
@@ -75,7 +76,7 @@
     metrics: Metrics,
 }
 
-/// The right to dispatch one order. Gives the claim up when dropped, unless it was used.
+/// The right to dispatch one order. Releases the claim on drop, unless the order was sent.
 #[derive(Debug)]
 pub(crate) struct ClaimTicket {
     claims: Arc<Claims>,
@@ -84,12 +85,12 @@
 }
 
 impl ClaimTicket {
-    /// Takes that the order is about to be sent: from now on it may run.
+    /// Records that the order is about to be sent: from now on it may run.
     pub(crate) fn on_send(&mut self) {
         self.sent = true;
     }
 
-    /// Takes that what was sent is known not to have run.
+    /// Records that no attempt sent so far has run the order.
     pub(crate) fn not_run(&mut self) {
         self.sent = false;
     }
@@ -103,7 +104,7 @@
     }
 }
 
-/// Withdraws a claim whose caller has gone or waits no longer.
+/// Withdraws a pending claim on drop, when the caller has disconnected or stopped waiting.
 struct WithdrawGuard<'a> {
     claims: &'a Claims,
     request: &'a RequestId,
@@ -124,7 +125,7 @@
 }
 
 impl Claims {
-    /// Makes the claims of an entry. `window` is how long keys are honoured.
+    /// Creates the claims of an entry. `window` is how long keys are honoured.
     pub(crate) fn new(
         holder: VmId,
         incarnation: Incarnation,
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Claims `key` for `request`; waits until the log shows who holds it, at most to `until`.
+    /// Claims `key` for `request`. Waits until the log shows which request holds the key, at most until
+    /// `until`.
     ///
     /// # Errors
     ///
@@ -205,12 +207,12 @@
         drop(withdraw);
         match verdict {
             Ok(Ok(verdict)) => verdict,
-            // Whoever removes a pending claim answers it, but for the withdrawal just above.
+            // Code that removes a pending claim also answers it, except for the withdrawal just above.
             Ok(Err(_)) | Err(_) => Err(ClaimError::LogAway),
         }
     }
 
-    /// Spares the log claims that can't be won.
+    /// Rejects claims that can't win before they are sent to the log.
     fn check(&self, service: &str, key: &str) -> Result<(), ClaimError> {
         let fold = self.fold();
         fold.check_key(key, SystemTime::now())
@@ -225,13 +227,13 @@
         Ok(())
     }
 
-    /// Gives up the claim of `request`.
+    /// Queues the release of the claim of `request`.
     fn release(&self, request: &RequestId) {
         self.lock().releases.push(request.clone());
         self.wake.notify_one();
     }
 
-    /// Says whether claims or releases wait to be appended.
+    /// Returns whether no claims or releases wait to be appended.
     pub(crate) fn is_flushed(&self) -> bool {
         let queue = self.lock();
         queue.claims.is_empty() && queue.releases.is_empty()
@@ -264,15 +266,15 @@
             sent: false,
         };
         if !self.answer(&request, Ok(ticket)) {
-            // Nobody waits any more: the unused ticket gave the claim up when it was dropped.
+            // The caller no longer waits: the unsent ticket was dropped and released the claim.
             events::ORDER_RELEASED.emit(&[("service", service), ("request", &request)]);
         }
     }
 
-    /// Answers a pending claim; returns whether somebody still waited.
+    /// Answers a pending claim; returns whether a caller still waited for the answer.
     fn answer(&self, request: &RequestId, verdict: Verdict) -> bool {
         let pending = self.lock().pending.remove(request);
-        // The lock is free again: an unused ticket takes it when dropped.
+        // The lock must be free here: an unsent ticket takes it when dropped.
         pending.is_some_and(|pending| pending.tx.send(verdict).is_ok())
     }
 
@@ -289,7 +291,8 @@
     }
 }
 
-/// Appends claims and releases until `cancel`; one append takes all that came since the last.
+/// Appends claims and releases until `cancel`. The claims and the releases that arrive during an append
+/// go into the next one together.
 pub(crate) async fn append_claims<L>(log: L, claims: Arc<Claims>, cancel: CancellationToken)
 where
     L: LogService,
@@ -326,7 +329,7 @@
     }
 }
 
-/// Appends what claims there are; returns whether there were any.
+/// Appends the queued claims; returns whether there were any.
 async fn append_batch<L>(log: &L, claims: &Claims) -> Result<bool, PlatformError>
 where
     L: LogService,
@@ -350,8 +353,8 @@
     };
     let is_rate = err.status() == Some(StatusCode::TOO_MANY_REQUESTS);
     if err.took_effect() == Effect::Maybe || is_rate {
-        // Appending the same claims again is harmless: the first copy decides. When the log is
-        // down they are refused at once instead, so that nobody waits for an outage to end.
+        // Appending the same claims again is harmless: the first copy decides. If the log is down
+        // they are refused at once instead, so that callers don't wait for the outage to end.
         requeue(claims, requests);
     } else {
         refuse(claims, &requests);
@@ -364,7 +367,7 @@
     let requests: Vec<RequestId> = queue.claims.drain(..most).collect();
     let mut batch = Vec::with_capacity(requests.len());
     for request in requests {
-        // One that was withdrawn before it was handed to the log is not there any more.
+        // A claim that was withdrawn before it was sent to the log is no longer pending.
         if let Some(pending) = queue.pending.get_mut(&request) {
             pending.append_state = AppendState::MaybeAppended;
             batch.push(pending.record.clone());
@@ -373,7 +376,7 @@
     batch
 }
 
-/// Answers claims that are certainly not in the log.
+/// Refuses claims that are certainly not in the log.
 fn refuse(claims: &Claims, requests: &[RequestId]) {
     for request in requests {
         claims.answer(request, Err(ClaimError::LogAway));
@@ -390,7 +393,7 @@
     queue.claims.extend(waiting);
 }
 
-/// Appends what releases there are; returns whether there were any.
+/// Appends the queued releases; returns whether there were any.
 async fn append_releases<L>(log: &L, claims: &Claims) -> Result<bool, PlatformError>
 where
     L: LogService,
@@ -417,7 +420,7 @@
     Ok(true)
 }
 
-/// The sink of the stream `orders`.
+/// Applies the records of the stream `orders` to the claims.
 #[derive(Clone, Debug)]
 pub(crate) struct OrderSink(pub(crate) Arc<Claims>);
 
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,4 +1,4 @@
-//! The state of one service on the request path, under its own lock.
+//! State of one service on the request path, with a lock for each service.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,20 +21,21 @@
 
 use crate::metrics::Metrics;
 
-/// An upstream without a report for this long is given up on, and streams from it are resumed.
+/// After this time without a report an upstream counts as unresponsive, and streams from it are resumed
+/// elsewhere.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a request was not admitted, and when it may come back.
+/// Why a request was not admitted, and after what time the caller may send it again.
 pub(crate) type Rejection = (NotRunReason, Duration);
 
 type Verdict = Result<AdmissionTicket, Rejection>;
 
-/// One service: its upstreams, limits, admission and budget of retries.
+/// One service: its upstreams, limits, admission queue and retry budget.
 #[derive(Debug)]
 pub(crate) struct Service {
     name: ServiceName,
     inner: Mutex<Inner>,
-    /// Changes whenever a choice that failed may work.
+    /// Changes whenever a choice that failed may succeed.
     changed: watch::Sender<()>,
     in_flight: IntGauge,
     waiting: IntGauge,
@@ -53,33 +54,33 @@
     waiters: BTreeMap<WaiterId, oneshot::Sender<Verdict>>,
 }
 
-/// Where one attempt goes. Counts as in flight at the upstream until it is dropped.
+/// The upstream of one attempt. The attempt counts as in flight there until the slot is dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     service: Arc<Service>,
     pub(crate) vm: VmId,
     pub(crate) addr: SocketAddr,
-    /// Start of the agent that the attempt goes to.
+    /// Incarnation of the agent that gets the attempt.
     pub(crate) incarnation: Incarnation,
 }
 
-/// A request that was admitted. Counts as in flight until it is dropped.
+/// An admitted request. Counts as in flight until the ticket is dropped.
 #[derive(Debug)]
 pub(crate) struct AdmissionTicket {
     service: Arc<Service>,
     since: Instant,
-    /// The request was run, so that its time counts for the mean.
+    /// Whether the request was run: only then does its duration count in the mean.
     pub(crate) ran: bool,
 }
 
-/// Takes a waiter out of the queue if its caller goes away.
+/// Removes a waiter from the queue on drop, so that a caller that disconnects leaves no entry.
 struct WaitGuard<'a> {
     service: &'a Service,
     id: WaiterId,
 }
 
 impl Service {
-    /// Makes a service without a document or upstreams.
+    /// Creates a service without a document or upstreams.
     pub(crate) fn new<R>(
         name: &str,
         data_centre: &DataCentre,
@@ -110,7 +111,6 @@
         }
     }
 
-    /// Returns the name.
     pub(crate) fn name(&self) -> &str {
         &self.name
     }
@@ -132,7 +132,7 @@
         self.update_capacity();
     }
 
-    /// Takes the list of VMs.
+    /// Sets the list of VMs.
     pub(crate) fn list(self: &Arc<Self>, vms: &[VmEntry]) {
         {
             let mut inner = self.lock();
@@ -143,7 +143,7 @@
         self.changed.send_replace(());
     }
 
-    /// Takes the reports of the service's agents.
+    /// Merges reports of the service's agents.
     pub(crate) fn reports(self: &Arc<Self>, views: &[&AgentView]) {
         let mut standing = false;
         {
@@ -161,18 +161,18 @@
         }
     }
 
-    /// Returns a receiver that hears when a choice that failed may work.
+    /// Returns a receiver that is notified when a choice that failed may succeed.
     pub(crate) fn changed(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// Counts a request of `customer` and says whether it is within the limit.
+    /// Counts a request of `customer` and returns whether it is within the customer's limit.
     pub(crate) fn limit(&self, customer: &str) -> LimitVerdict {
         let inner = &mut *self.lock();
         inner.limits.admit(customer, Instant::now(), &mut inner.rng)
     }
 
-    /// Returns what each customer asked lately, a second.
+    /// Returns the recent requests per second of each customer.
     pub(crate) fn demand(&self, now: Instant) -> BTreeMap<CustomerId, f64> {
         self.lock().limits.demand(now)
     }
@@ -185,11 +185,11 @@
         self.lock().limits.set_shares(fresh, now, share);
     }
 
-    /// Waits until the request is let in, or returns why it is not.
+    /// Waits until the request is admitted or rejected.
     ///
     /// # Errors
     ///
-    /// Returns the reason and when to come back, as soon as it is known.
+    /// Returns the reason of a rejection and the time after which to send the request again.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         priority: Priority,
@@ -212,7 +212,7 @@
         };
         drop(guard);
         self.admission_wait.observe(arrived.elapsed().as_secs_f64());
-        // The sender is kept in `waiters` until it sends, so it can't be gone without a verdict.
+        // The sender stays in `waiters` until it has sent a verdict, so `rx` can't fail here.
         verdict.unwrap_or(Err((NotRunReason::Full, Duration::from_secs(1))))
     }
 
@@ -220,7 +220,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what to do if there is none now.
+    /// Returns what to do next if no upstream can be chosen now.
     pub(crate) fn choose(self: &Arc<Self>, attempts: &mut Attempts) -> Result<Slot, Next> {
         let now = Instant::now();
         let inner = &mut *self.lock();
@@ -249,7 +249,7 @@
         })
     }
 
-    /// Takes how an attempt at `vm` ended and returns what to do next.
+    /// Records how an attempt at `vm` ended, and returns what to do next.
     pub(crate) fn ended(&self, attempts: &mut Attempts, vm: &str, ended: AttemptEnd) -> Next {
         let inner = &mut *self.lock();
         match &ended {
@@ -260,7 +260,7 @@
         attempts.ended(vm, ended, Instant::now(), &mut inner.budget)
     }
 
-    /// Says whether the upstream has been silent for so long that nothing is expected of it.
+    /// Returns whether the upstream has sent no report for [`REPORT_TIMEOUT`] and is not usable either.
     fn is_unresponsive(&self, vm: &str) -> bool {
         let now = Instant::now();
         let inner = self.lock();
@@ -322,7 +322,7 @@
         }
     }
 
-    /// Reckons the room anew and lets waiters in.
+    /// Recomputes the capacity and admits waiters that now fit.
     fn update_capacity(self: &Arc<Self>) {
         let events = {
             let inner = &mut *self.lock();
@@ -346,9 +346,10 @@
         self.apply_queue_events(events);
     }
 
-    /// Tells waiters what became of them.
+    /// Sends waiters their verdicts and updates the gauges.
     ///
-    /// Must be called without the lock: a ticket whose caller has gone takes it when dropped.
+    /// Must be called without the lock: a ticket whose caller has disconnected is dropped here, and its
+    /// `Drop` takes the lock.
     fn apply_queue_events(self: &Arc<Self>, events: Vec<QueueEvent>) {
         for event in events {
             let (id, verdict) = match event {
@@ -357,7 +358,8 @@
             };
             let tx = self.lock().waiters.remove(&id);
             if let Some(tx) = tx {
-                // A caller that has gone drops its ticket, which counts it out again.
+                // If the caller has disconnected, the ticket is dropped and the request no longer counts
+                // as in flight.
                 let _ = tx.send(verdict);
             }
         }
@@ -372,7 +374,7 @@
 }
 
 impl Slot {
-    /// Says whether the upstream has been silent for so long that nothing is expected of it.
+    /// Returns whether the upstream has sent no report for [`REPORT_TIMEOUT`] and is not usable either.
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.service.is_unresponsive(&self.vm)
     }
