--- a/crates/entry/src/front/answer.rs
+++ b/crates/entry/src/front/answer.rs
@@ -1,4 +1,4 @@
-//! Final answers that are not streams.
+//! Answers of the entry itself to requests that no upstream answers.
 
 use std::time::Duration;
 
@@ -9,28 +9,29 @@
 use wagtailreel_core::{NotRunReason, Outcome, headers};
 use wagtailreel_route::{RetryAfter, UnknownReason};
 
-/// Name of the header with the time to come back in milliseconds.
+/// Name of the header with the time after which to send the request again, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: HeaderName = HeaderName::from_static(headers::RETRY_AFTER_MS);
 
-/// Name of the header with the outcome.
+/// Name of the header with the request's outcome.
 pub(crate) const OUTCOME: HeaderName = HeaderName::from_static(headers::OUTCOME);
 
-/// Name of the header with the reason.
+/// Name of the header with the reason of the outcome.
 pub(crate) const REASON: HeaderName = HeaderName::from_static(headers::REASON);
 
-/// Why a request has no answer of an upstream.
+/// Why a request gets no answer from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Denial {
-    /// The request itself is wrong; it was not run.
+    /// The request is invalid and was not run.
     Bad(StatusCode, String),
-    /// The request was not run. With the time to come back, if that is known.
+    /// The request was not run. The duration is the time after which to send it again, if the upstream or
+    /// the entry gave one.
     NotRun(NotRunReason, Option<Duration>),
-    /// It is not known whether the request ran.
+    /// The request may have run: the entry has no proof for or against.
     Unknown(UnknownReason),
 }
 
 impl Denial {
-    /// Makes the denial of a malformed request.
+    /// Creates the denial of a malformed request.
     pub(crate) fn bad<M>(message: M) -> Self
     where
         M: Into<String>,
@@ -77,7 +78,7 @@
                 StatusCode::BAD_GATEWAY,
                 outcome,
                 Some(reason.to_string()),
-                "the request may have run: find out before it is sent again".to_owned(),
+                "the request may have run: check before you send it again".to_owned(),
                 None,
             ),
         }
@@ -154,12 +155,14 @@
         NotRunReason::Deadline => "the deadline passed before the request started",
         NotRunReason::NoUpstream => "no upstream can be reached: send the request again later",
         NotRunReason::Claimed => {
-            "another request holds the order's key: ask what became of it, do not send it again"
+            "another request holds the order's key: check its outcome, do not send the order again"
         }
         NotRunReason::Expired => {
             "the order's key is too old: make sure that the order did not run, then take a new key"
         }
         NotRunReason::LogAway => "orders can't be claimed now: send the order again later",
-        NotRunReason::Refused => "the upstream refused the request: mend it, or send it later",
+        NotRunReason::Refused => {
+            "the upstream refused the request: correct it, or send it again later"
+        }
     }
 }
--- a/crates/entry/src/front/generate.rs
+++ b/crates/entry/src/front/generate.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/services/{service}/generate`: a prompt, answered by a stream of tokens.
+//! `POST /v1/services/{service}/generate`: prompts, answered by a stream of tokens.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,10 +18,10 @@
 use crate::front::stream::AnswerStream;
 use crate::shared::Shared;
 
-/// How long an order may wait for its claim.
+/// Longest time that an order may wait for its claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Header that names the request for the caller.
+/// Header with the caller's name for the request.
 const REQUEST: HeaderName = HeaderName::from_static(headers::REQUEST);
 
 #[derive(Deserialize)]
@@ -80,9 +80,9 @@
     Ok(response)
 }
 
-/// Lets a request in and claims its order's key, if it has one.
+/// Admits a request and claims its order's key, if it has one.
 ///
-/// The claim comes last, so that a request that is not let in costs the log nothing.
+/// The claim comes last, so that a request that is not admitted causes no write to the log.
 pub(crate) async fn begin(
     cx: &Arc<Shared>,
     head: RequestHead,
@@ -126,7 +126,8 @@
     headers: &HeaderMap,
     denial: Denial,
 ) -> Response {
-    // A name that is not in the configuration must not become a label.
+    // A service name that is not in the configuration must not become a label: callers could create any
+    // number of time series.
     let known = cx.services.get(service).is_some();
     let service = if known { service } else { "unknown" };
     let (outcome, reason) = denial.outcome();
@@ -142,7 +143,7 @@
     response
 }
 
-/// Tells the caller the request's name.
+/// Adds the header with the request's name.
 pub(crate) fn set_name(headers: &mut HeaderMap, name: &str) {
     if let Ok(name) = HeaderValue::try_from(name) {
         headers.insert(REQUEST, name);
--- a/crates/entry/src/front/head.rs
+++ b/crates/entry/src/front/head.rs
@@ -1,4 +1,4 @@
-//! What a caller says before its body: who it is and how it wants the request handled.
+//! Reads the head of a request: the customer, and how the request is to be handled. Also reads the body.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,13 +15,13 @@
 use crate::service::Service;
 use crate::shared::Shared;
 
-/// Longest name that a caller may give its request.
+/// Longest name that a caller may give its request, in bytes.
 const MAX_REQUEST_NAME: usize = 128;
 
 /// Longest time that a caller may take to send its body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request whose caller is known and within its limit.
+/// Head of a request whose customer is known and within its limit.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub(crate) service: Arc<Service>,
@@ -30,7 +30,7 @@
     pub(crate) arrived: Instant,
     /// Id of the request within the system.
     pub(crate) id: RequestId,
-    /// Name of the request for the caller: its own, or the id.
+    /// Name of the request: the one that the caller gave, or else the id.
     pub(crate) name: String,
     pub(crate) priority: Priority,
     pub(crate) deadline: Option<Instant>,
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the request is not taken.
+/// Returns why the request is not accepted.
 pub(crate) fn read_head(
     cx: &Shared,
     customer: CustomerId,
@@ -116,7 +116,8 @@
 ///
 /// # Errors
 ///
-/// Returns a denial with status 413 if it is too long, 408 if it takes too long, 400 if it breaks.
+/// Returns a denial with status 413 if the body is too long, 408 if it takes too long, and 400 if it is
+/// truncated.
 pub(crate) async fn read_body(
     cx: &Shared,
     headers: &HeaderMap,
@@ -131,7 +132,7 @@
     }
     let read = tokio::time::timeout(BODY_TIMEOUT, to_bytes(body, limit)).await;
     let Ok(read) = read else {
-        let message = "the body did not come within 30 s: send it again";
+        let message = "the body did not arrive within 30 s: send it again";
         return Err(Denial::Bad(StatusCode::REQUEST_TIMEOUT, message.to_owned()));
     };
     read.map_err(|err| {
@@ -140,7 +141,7 @@
         if is_limit {
             too_long(limit)
         } else {
-            Denial::bad("the body broke off: send it again")
+            Denial::bad("the body ended early: send it again")
         }
     })
 }
@@ -176,10 +177,10 @@
     let Some(value) = text(headers, DEADLINE_MS)? else {
         return Ok(None);
     };
-    // A day bounds the arithmetic on instants.
+    // The limit of one day keeps the arithmetic on instants from overflowing.
     let millis = value.parse::<u64>().ok().filter(|ms| *ms <= 86_400_000);
     let millis = millis.ok_or_else(|| {
-        Denial::bad("`wagtailreel-deadline-ms` is no whole number up to 86400000: correct it")
+        Denial::bad("`wagtailreel-deadline-ms` is not a whole number up to 86400000: correct it")
     })?;
     Ok(Some(Duration::from_millis(millis)))
 }
--- a/crates/entry/src/front/mod.rs
+++ b/crates/entry/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' front.
+//! HTTP interface for callers.
 
 mod answer;
 mod attempt;
