--- a/crates/entry/src/front/attempt.rs
+++ b/crates/entry/src/front/attempt.rs
@@ -13,26 +13,27 @@
 use crate::service::Slot;
 use crate::shared::Shared;
 
-/// How often it is checked that a silent upstream is still there.
+/// How often the entry checks during an attempt whether the upstream still sends reports.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One attempt at one upstream. Cancelled there if it is dropped while it may run.
+/// One attempt at one upstream. If the attempt is dropped while it may run, the entry cancels it at the
+/// upstream.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     cx: Arc<Shared>,
     slot: Slot,
     id: RequestId,
     done: bool,
-    /// Given up if the cancel shows that the order was not run.
+    /// Released if the answer to the cancel shows that the order was not run.
     claim: Option<ClaimTicket>,
     liveness_check: Interval,
-    /// How long an answer is waited for after the upstream fell silent.
+    /// How long the entry waits for an answer after the upstream became unresponsive.
     silence_timeout: Duration,
     silent_since: Option<Instant>,
 }
 
 impl Attempt {
-    /// Makes the attempt `id` at the upstream of `slot`.
+    /// Creates the attempt `id` at the upstream of `slot`.
     pub(crate) fn new(
         cx: &Arc<Shared>,
         slot: Slot,
@@ -54,28 +55,28 @@
         }
     }
 
-    /// Returns the VM that the attempt is at.
+    /// Returns the VM of the attempt's upstream.
     pub(crate) fn vm(&self) -> &VmId {
         &self.slot.vm
     }
 
-    /// Returns the claim that the attempt holds, which is no longer given up with it.
+    /// Takes the claim out of the attempt, so that the end of the attempt no longer drops it.
     pub(crate) fn take_claim(&mut self) -> Option<ClaimTicket> {
         self.claim.take()
     }
 
-    /// Asks the upstream's agent to cancel the attempt; none if it does not answer.
+    /// Asks the upstream's agent to cancel the attempt; returns `None` if the agent does not answer.
     pub(crate) async fn cancel(&self) -> Option<CancelState> {
         let (addr, incarnation) = (self.slot.addr, self.slot.incarnation);
         send_cancel(&self.cx.client, addr, incarnation, &self.id).await
     }
 
-    /// Takes that the attempt is over at the upstream, so that there is nothing to cancel.
+    /// Records that the attempt has ended at the upstream, so that there is nothing to cancel.
     pub(crate) fn set_done(&mut self) {
         self.done = true;
     }
 
-    /// Awaits `f`; returns none if the upstream is gone meanwhile.
+    /// Awaits `f`; returns `None` once the upstream has been unresponsive for the silence time-out.
     pub(crate) async fn while_alive<F>(&mut self, f: F) -> Option<F::Output>
     where
         F: Future,
@@ -113,7 +114,7 @@
         let (addr, incarnation) = (self.slot.addr, self.slot.incarnation);
         let id = std::mem::take(&mut self.id);
         let claim = self.claim.take();
-        // Without a runtime the process ends, and the agent sees the connection close.
+        // Without a runtime the process is ending, and the agent sees the connection close.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             let cleanup = self.cx.cleanups.token();
             runtime.spawn(async move {
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -1,4 +1,4 @@
-//! `ANY /v1/services/{service}/call/{path}`: a call of a plain service.
+//! `ANY /v1/services/{service}/call/{path}`: calls of plain services.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,11 +24,11 @@
 use crate::front::head::{RequestHead, authenticate, read_body, read_head};
 use crate::shared::Shared;
 
-/// Answers up to this length are passed on only once they are whole, so that one that breaks off
-/// is answered as unknown. A longer one that breaks off breaks the caller's connection.
+/// Answers shorter than this are passed on only once they are complete, so that a truncated one is answered
+/// with the outcome `unknown`. If a longer one is truncated, the entry closes the caller's connection.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// Headers that belong to one connection.
+/// Headers that apply to one connection only and are not passed on.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -120,12 +120,12 @@
     Ok(response)
 }
 
-/// The answer broke off after a part of it was passed on.
+/// The answer was truncated after a part of it was passed on.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer of the plain service broke off"))]
+#[snafu(display("the answer of the plain service was truncated"))]
 struct Truncated;
 
-/// An answer of a plain service on its way to the caller.
+/// An answer of a plain service that is being passed on to the caller.
 #[derive(Debug)]
 struct CallAnswer {
     status: http::StatusCode,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Reads until the answer is whole or the buffer is full; returns whether it is whole.
+    /// Reads until the answer is complete or the buffer is full; returns whether it is complete.
     async fn fill(&mut self) -> Result<bool, Denial> {
         while self.buffered < MAX_BUFFERED_BYTES {
             match self.read().await {
@@ -168,7 +168,7 @@
                     self.done = true;
                     let vm = self.attempt.vm().clone();
                     let Err(denial) = self.dispatch.cut(&vm, 0, None) else {
-                        // A call is never repeated, so it can't go on.
+                        // A call is never repeated, so no replica can continue it.
                         let reason = wagtailreel_route::UnknownReason::Cut;
                         return Err(Denial::Unknown(reason));
                     };
@@ -179,7 +179,7 @@
         Ok(false)
     }
 
-    /// Reads the next data; none once the answer is whole.
+    /// Reads the next data; returns `None` once the answer is complete.
     async fn read(&mut self) -> Option<Result<Bytes, Truncated>> {
         loop {
             let frame = self.attempt.while_alive(self.body.frame()).await;
@@ -256,7 +256,7 @@
     }
 }
 
-/// Returns the headers that are passed on: all but those of the connection, the system's own and
+/// Returns the headers that are passed on: all except those of the connection, those of the system and
 /// the customer's key.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = connection_options(headers)
--- a/crates/entry/src/front/cancel.rs
+++ b/crates/entry/src/front/cancel.rs
@@ -1,4 +1,4 @@
-//! Asking an agent to cancel an attempt.
+//! Requests to agents to cancel an attempt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::front::dispatch::INCARNATION;
 
-/// How long an agent may take to answer a cancel.
+/// Longest time that an agent may take to answer a cancel.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest answer to a cancel, in bytes.
@@ -22,10 +22,10 @@
     state: String,
 }
 
-/// Asks the agent at `addr` to cancel the attempt `id`; none if it does not answer.
+/// Asks the agent at `addr` to cancel the attempt `id`; returns `None` if the agent gives no valid answer.
 ///
-/// The attempt went to the start `incarnation`: a later one can't know what that one ran, and
-/// must not take a request that it never saw for one that was not run.
+/// The cancel names the `incarnation` that got the attempt. A later incarnation does not know what the
+/// earlier one ran, and must not answer `not-run` for a request that it never received.
 pub(crate) async fn send_cancel(
     client: &HttpClient,
     addr: SocketAddr,
--- a/crates/entry/src/front/relay.rs
+++ b/crates/entry/src/front/relay.rs
@@ -1,34 +1,34 @@
-//! Checks the events of a stream on their way to the caller.
+//! Checks the events of an agent's stream before the caller gets them.
 
 use bytes::{BufMut as _, Bytes, BytesMut};
 use serde::Deserialize;
 use wagtailreel_adapters::{SseDecoder, SseEvent};
 use wagtailreel_core::Outcome;
 
-/// How the events of an agent's stream come to an end.
+/// How the events of an agent's stream end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Finish {
-    /// The end mark came, and no token is missing.
+    /// The end event arrived, and no token is missing.
     Whole,
-    /// The agent or the stream itself says that tokens are missing.
+    /// The stream failed, or tokens are missing from it.
     Broken,
 }
 
-/// What a frame brought.
+/// Content of one frame.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
-    /// Whole token events for the caller, in order and each once.
+    /// Complete token events for the caller, in order and each once.
     pub(crate) bytes: Bytes,
-    /// How many they are.
+    /// Number of token events in `bytes`.
     pub(crate) tokens: u64,
-    /// The stream is over.
+    /// How the stream ended, if it did.
     pub(crate) finish: Option<Finish>,
 }
 
-/// Follows the tokens of one answer over all the streams that give it.
+/// Passes on the tokens of one answer across all the streams that carry it.
 ///
-/// Invariant: what it lets through are whole events with indexes 0, 1, 2 and so on, whatever the
-/// network cuts and whichever agent a stream comes from.
+/// Invariant: the relay passes on complete events with indexes 0, 1, 2 and so on, wherever the network
+/// splits frames and whichever agent a stream comes from.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
     decoder: SseDecoder,
@@ -48,23 +48,23 @@
 }
 
 impl Relay {
-    /// Makes a relay that has seen no token.
+    /// Creates a relay that has seen no token.
     pub(crate) fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the index of the token that comes next.
+    /// Returns the index of the next token.
     pub(crate) fn next(&self) -> u64 {
         self.next
     }
 
-    /// Forgets the half event of a stream that broke off; another one goes on.
+    /// Discards the partial event of a stream that was cut; another stream continues the answer.
     pub(crate) fn restart(&mut self) {
         self.decoder = SseDecoder::new();
         self.from = self.next;
     }
 
-    /// Takes the next frame of the stream.
+    /// Processes the next frame of the stream.
     pub(crate) fn push(&mut self, frame: &Bytes) -> Batch {
         let starts_whole = !self.decoder.is_mid_event();
         self.decoder.push(frame);
@@ -89,7 +89,7 @@
                 EventKind::Finish(finish) => batch.finish = Some(finish),
             }
         }
-        // The usual frame is one whole token, which goes on as it is.
+        // A frame usually holds one complete token event, which is passed on without a copy.
         let as_it_is = passed_on && batch.finish.is_none() && !self.decoder.is_mid_event();
         batch.bytes = if batch.tokens == 0 {
             Bytes::new()
@@ -118,7 +118,7 @@
             }
             // The caller has it already.
             Some(index) if index < self.next => EventKind::Dropped,
-            // A token is missing, or it can't be told which this is.
+            // A token is missing, or the index can't be read.
             _ => EventKind::Finish(Finish::Broken),
         }
     }
@@ -146,7 +146,7 @@
     Finish(Finish),
 }
 
-/// Reads the index of a token. The usual form is read without a JSON parser.
+/// Reads the index of a token. Data that starts with `{"index":` is read without a JSON parser.
 fn index_of(data: &[u8]) -> Option<u64> {
     let Some(rest) = data.strip_prefix(b"{\"index\":") else {
         let token: TokenData = serde_json::from_slice(data).ok()?;
--- a/crates/entry/src/front/stream.rs
+++ b/crates/entry/src/front/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of tokens to a caller, continued on a replica if it breaks off.
+//! The stream of tokens to a caller, continued at a replica if the upstream's stream is cut.
 
 use std::convert::Infallible;
 use std::time::Instant;
@@ -20,11 +20,11 @@
 use crate::front::relay::{Finish, Relay};
 use crate::metrics::StreamTimes;
 
-/// An answer on its way to the caller.
+/// An answer that is being streamed to the caller.
 #[derive(Debug)]
 pub(crate) struct AnswerStream {
     dispatch: Dispatch,
-    /// What comes from the upstream; none once the last event is out.
+    /// The upstream's stream; `None` once the last event is sent.
     source: Option<Source>,
     relay: Relay,
     weights: Option<Digest>,
@@ -56,7 +56,7 @@
 }
 
 impl AnswerStream {
-    /// Makes the stream of an answer that an upstream began.
+    /// Creates the stream of an answer that an upstream has started.
     pub(crate) fn new(dispatch: Dispatch, opened: Opened, in_flight: TaskTrackerToken) -> Self {
         Self {
             times: dispatch.stream_times(),
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Turns it into the body of a response. The caller's pace is the upstream's pace: the next
-    /// frame is read only when the caller took the last.
+    /// Converts the stream into the body of a response. Backpressure reaches the upstream: the next frame
+    /// is read only when the caller has taken the last one.
     pub(crate) fn into_body(self) -> Body {
         Body::from_stream(unfold(self, |mut answer| async move {
             let bytes = answer.next().await?;
@@ -82,7 +82,7 @@
         }))
     }
 
-    /// Returns the next events for the caller; none after the last.
+    /// Returns the next events for the caller; `None` after the last.
     async fn next(&mut self) -> Option<Bytes> {
         loop {
             let source = self.source.as_mut()?;
@@ -90,7 +90,7 @@
             let data = match frame {
                 // Trailers carry nothing for the caller.
                 Some(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
-                // Without its end mark the stream was cut, however orderly it was closed.
+                // A stream without its end event was cut, even if the connection closed cleanly.
                 Some(None | Some(Err(_))) | None => match self.resume().await {
                     Ok(()) => continue,
                     Err(last) => return Some(last),
@@ -111,18 +111,19 @@
         }
     }
 
-    /// Goes on at a replica of the same weights.
+    /// Continues the stream at a replica with the same weights.
     ///
     /// # Errors
     ///
-    /// Returns the last event for the caller if there is none.
+    /// Returns the last event for the caller if no replica can continue.
     async fn resume(&mut self) -> Result<(), Bytes> {
         loop {
             let Some(source) = self.source.take() else {
                 return Err(self.fail(&Denial::Unknown(UnknownReason::Cut)));
             };
             let vm = source.attempt.vm().clone();
-            // Dropped first: it is cancelled there, and no longer counts as in flight.
+            // Dropped before the next attempt: the drop cancels the old one at its upstream, where it
+            // then no longer counts as in flight.
             drop(source);
             let cut = self.dispatch.cut(&vm, self.relay.next(), self.weights);
             cut.map_err(|denial| self.fail(&denial))?;
@@ -138,7 +139,7 @@
                 self.weights = opened.weights;
                 self.epoch = opened.epoch;
             } else if !same {
-                // The agent did not keep to the pin: none of its tokens may follow these.
+                // The agent did not keep to the pinned weights: its tokens must not follow the earlier ones.
                 continue;
             }
             self.record_resume();
@@ -164,7 +165,7 @@
         self.source = None;
         let reason = match denial {
             Denial::Unknown(reason) => *reason,
-            // A stream that began was started, so nothing else follows for it.
+            // The stream has started, so its request can't count as not run.
             Denial::Bad(..) | Denial::NotRun(..) => UnknownReason::Cut,
         };
         self.dispatch.record_outcome(Outcome::Unknown, None);
