--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -291,8 +291,8 @@
     }
 }
 
-/// Appends claims and releases until `cancel`. The claims and the releases that arrive during an append
-/// go into the next one together.
+/// Appends claims and releases until `cancel`. Those that arrive during an append share the next record
+/// of their kind, up to [`MAX_CLAIMS_PER_RECORD`] claims.
 pub(crate) async fn append_claims<L>(log: L, claims: Arc<Claims>, cancel: CancellationToken)
 where
     L: LogService,
--- a/crates/entry/src/live.rs
+++ b/crates/entry/src/live.rs
@@ -1,4 +1,5 @@
-//! When new weights are live: open at as many VMs as the document wants, in every data centre.
+//! Measures the time until new weights are live: open at as many VMs as the document wants, in every data
+//! centre.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -17,23 +18,23 @@
     document: Box<Document>,
 }
 
-/// The epochs that are awaited, the newest of each service.
+/// The pending epochs: the newest of each service.
 ///
-/// Each epoch is reported once: it is forgotten when it is live, when a newer one takes its place,
-/// and when the service is deleted.
+/// Each epoch is reported at most once. It is removed when it is live, when a newer one replaces it, and when
+/// the service is deleted.
 #[derive(Debug, Default)]
 struct PendingEpochs {
     services: BTreeMap<ServiceName, PendingEpoch>,
 }
 
 impl PendingEpochs {
-    /// Takes an accepted edit, which this entry folded at `now`.
+    /// Records an accepted edit, which this entry folded at `now`.
     fn accepted(&mut self, state: &ServiceState, now: Instant) {
         let Some(document) = &state.document else {
             self.services.remove(&state.service);
             return;
         };
-        // An edit that keeps the epoch moves the bounds of the one awaited, not its beginning.
+        // An edit that keeps the epoch may change which VMs the pending one needs, not its start time.
         if state.epoch != state.revision {
             if let Some(pending) = self.services.get_mut(&state.service) {
                 pending.document = document.clone();
@@ -52,8 +53,8 @@
         self.services.insert(state.service.clone(), pending);
     }
 
-    /// Takes the agents' reports as of `now`; returns the services whose epoch is live, and how
-    /// long that took.
+    /// Applies the agents' reports as of `now`; returns the services whose epoch is now live, and how long
+    /// that took.
     fn reports(&mut self, agents: &AgentViews, now: Instant) -> Vec<(ServiceName, Duration)> {
         let live: Vec<(ServiceName, Duration)> = self
             .services
@@ -82,7 +83,7 @@
             .all(|place| open(place) >= usize::try_from(place.ready).unwrap_or(usize::MAX))
     }
 
-    /// Says whether the agent is one of `place` that takes work with the awaited epoch.
+    /// Returns whether the agent is one of `place` that accepts requests with the pending epoch.
     fn is_open(&self, service: &str, place: &Place, view: &AgentView) -> bool {
         let report = &view.report;
         report.service == service
@@ -101,7 +102,7 @@
 }
 
 impl GoLiveTimer {
-    /// Makes a measure that awaits nothing.
+    /// Creates a timer without pending epochs.
     pub(crate) fn new(metrics: Metrics) -> Self {
         Self {
             pending: Mutex::default(),
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Takes the state of a service after an edit that was accepted just now.
+    /// Records the state of a service after an edit that was accepted just now.
     pub(crate) fn accepted(&self, state: &ServiceState) {
         self.lock().accepted(state, Instant::now());
     }
 
-    /// Takes the agents' latest reports, those from other data centres included.
+    /// Applies the agents' latest reports, including those from remote data centres.
     pub(crate) fn reports(&self, agents: &AgentViews) {
         let live = self.lock().reports(agents, Instant::now());
         for (service, took) in live {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -260,7 +260,8 @@
         attempts.ended(vm, ended, Instant::now(), &mut inner.budget)
     }
 
-    /// Returns whether the upstream has sent no report for [`REPORT_TIMEOUT`] and is not usable either.
+    /// Returns whether the upstream is unknown, or is not usable and has sent no report for
+    /// [`REPORT_TIMEOUT`].
     fn is_unresponsive(&self, vm: &str) -> bool {
         let now = Instant::now();
         let inner = self.lock();
@@ -374,7 +375,8 @@
 }
 
 impl Slot {
-    /// Returns whether the upstream has sent no report for [`REPORT_TIMEOUT`] and is not usable either.
+    /// Returns whether the upstream is unknown, or is not usable and has sent no report for
+    /// [`REPORT_TIMEOUT`].
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.service.is_unresponsive(&self.vm)
     }
