--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -156,7 +156,7 @@
         request: &RequestId,
         until: Instant,
     ) -> Verdict {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let verdict = self.claim_inner(service, key, request, until).await;
         let result = match &verdict {
             Ok(_) => "won",
@@ -168,7 +168,7 @@
         if verdict.is_ok() {
             self.metrics
                 .claim_wait
-                .observe(began.elapsed().as_secs_f64());
+                .observe(started_at.elapsed().as_secs_f64());
         }
         verdict
     }
--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -156,7 +156,7 @@
                 },
                 Err(next) => next,
             };
-            let began = Instant::now();
+            let started_at = Instant::now();
             match self.next_step(next) {
                 Step::Again => {}
                 Step::Wait(until) => {
@@ -165,13 +165,13 @@
                     let for_capacity =
                         self.attempts.is_started() || self.attempts.awaits_capacity();
                     let until = if for_capacity {
-                        until.min(began + CAPACITY_CHECK_INTERVAL)
+                        until.min(started_at + CAPACITY_CHECK_INTERVAL)
                     } else {
                         until
                     };
                     let _ = tokio::time::timeout_at(until.into(), changed.changed()).await;
                     if self.attempts.is_at_switch() {
-                        self.switch_wait += began.elapsed();
+                        self.switch_wait += started_at.elapsed();
                     }
                 }
                 Step::Done(denial) => {
