--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -239,7 +239,7 @@
         queue.claims.is_empty() && queue.releases.is_empty()
     }
 
-    fn apply(self: &Arc<Self>, applied: OrderApplied) {
+    fn on_applied(self: &Arc<Self>, applied: OrderApplied) {
         match applied {
             OrderApplied::Won {
                 service, claimant, ..
@@ -445,7 +445,7 @@
         for record in &page.records {
             let step = self.0.fold().apply(record.offset, record.at, &record.data);
             for applied in step? {
-                self.0.apply(applied);
+                self.0.on_applied(applied);
             }
         }
         Ok(())
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -330,11 +330,11 @@
             let document = inner.document.as_ref();
             let needs_open = document.is_some_and(|document| document.kind == ServiceKind::Engine);
             let now = Instant::now();
-            let (capacity, others) =
+            let (capacity, other_load) =
                 inner
                     .chooser
                     .capacity_and_load(&inner.membership, needs_open, now);
-            inner.overload.set_capacity(capacity, others)
+            inner.overload.set_capacity(capacity, other_load)
         };
         self.apply_queue_events(events);
     }
