--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Orders that run at most once: claims on their keys in the stream `orders`.
+//! Claims on the keys of orders in the stream `orders`, so that each order runs at most once.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,51 +19,52 @@
 use crate::follower::StreamSink;
 use crate::metrics::Metrics;
 
-/// Claims in one record at most, so that it stays far below the longest record.
-const BATCH: usize = 500;
+/// Most claims in one record, so that the record stays far below the log's record limit.
+const MAX_CLAIMS_PER_RECORD: usize = 500;
 
-/// Why an order was not claimed. In each case it was not run by this request.
+/// Why an order was not claimed. In each case this request did not run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ClaimProblem {
+pub(crate) enum ClaimError {
     /// The key is not honoured.
     Key(KeyProblem),
     /// Another request holds the key.
     Claimed,
-    /// The log is away, or did not show the claim in time.
+    /// The log is unreachable, or did not return the claim in time.
     LogAway,
 }
 
-type Verdict = Result<ClaimTicket, ClaimProblem>;
+type Verdict = Result<ClaimTicket, ClaimError>;
 
-/// Where a claim is on its way into the log.
+/// Progress of a claim into the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// It was not handed to the log yet.
+enum AppendState {
+    /// The claim was not sent to the log yet.
     Queued,
-    /// It is or may be in the log.
-    MaybeThere,
+    /// The claim was sent to the log and may be stored there.
+    MaybeAppended,
 }
 
 #[derive(Debug)]
 struct Pending {
     record: ClaimRecord,
-    way: Way,
+    append_state: AppendState,
     tx: oneshot::Sender<Verdict>,
 }
 
 #[derive(Debug, Default)]
 struct Queue {
     pending: BTreeMap<RequestId, Pending>,
-    /// Claims to append, in the order in which they came.
+    /// Claims to append, in order of arrival.
     claims: Vec<RequestId>,
-    /// Requests whose claims are given up.
+    /// Requests whose claims are to be released.
     releases: Vec<RequestId>,
 }
 
 /// The claims of this entry.
 ///
-/// Invariant: a [`ClaimTicket`] is handed out only for a claim that the fold says was won, once;
-/// a claim is released only if its ticket was never used for a dispatch, or nobody had the ticket.
+/// Invariant: a [`ClaimTicket`] is issued only for a claim that won according to the fold, and only once.
+/// A claim is released only if no ticket was issued for it, or if nothing sent under its ticket may have
+/// run.
 #[derive(Debug)]
 pub(crate) struct Claims {
     holder: VmId,
@@ -75,47 +76,47 @@
     metrics: Metrics,
 }
 
-/// The right to dispatch one order. Gives the claim up when dropped, unless it was used.
+/// The right to dispatch one order. Releases the claim on drop, unless the order was sent.
 #[derive(Debug)]
 pub(crate) struct ClaimTicket {
     claims: Arc<Claims>,
     request: RequestId,
-    used: bool,
+    sent: bool,
 }
 
 impl ClaimTicket {
-    /// Takes that the order is about to be sent: from now on it may run.
-    pub(crate) fn sending(&mut self) {
-        self.used = true;
+    /// Records that the order is about to be sent: from now on it may run.
+    pub(crate) fn on_send(&mut self) {
+        self.sent = true;
     }
 
-    /// Takes that what was sent is known not to have run.
+    /// Records that no attempt sent so far has run the order.
     pub(crate) fn not_run(&mut self) {
-        self.used = false;
+        self.sent = false;
     }
 }
 
 impl Drop for ClaimTicket {
     fn drop(&mut self) {
-        if !self.used {
+        if !self.sent {
             self.claims.release(&self.request);
         }
     }
 }
 
-/// Withdraws a claim whose caller has gone or waits no longer.
-struct Withdraw<'a> {
+/// Withdraws a pending claim on drop, when the caller has disconnected or stopped waiting.
+struct WithdrawGuard<'a> {
     claims: &'a Claims,
     request: &'a RequestId,
 }
 
-impl Drop for Withdraw<'_> {
+impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         let mut queue = self.claims.lock();
         let Some(pending) = queue.pending.remove(self.request) else {
             return;
         };
-        if pending.way == Way::MaybeThere {
+        if pending.append_state == AppendState::MaybeAppended {
             queue.releases.push(self.request.clone());
             drop(queue);
             self.claims.wake.notify_one();
@@ -124,7 +125,7 @@
 }
 
 impl Claims {
-    /// Makes the claims of an entry. `window` is how long keys are honoured.
+    /// Creates the claims of an entry. `window` is how long keys are honoured.
     pub(crate) fn new(
         holder: VmId,
         incarnation: Incarnation,
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Claims `key` for `request`; waits until the log shows who holds it, at most to `until`.
+    /// Claims `key` for `request`. Waits until the log shows which request holds the key, at most until
+    /// `until`.
     ///
     /// # Errors
     ///
@@ -154,19 +156,19 @@
         request: &RequestId,
         until: Instant,
     ) -> Verdict {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let verdict = self.claim_inner(service, key, request, until).await;
         let result = match &verdict {
             Ok(_) => "won",
-            Err(ClaimProblem::Claimed) => "lost",
-            Err(ClaimProblem::Key(_)) => "void",
-            Err(ClaimProblem::LogAway) => "log-away",
+            Err(ClaimError::Claimed) => "lost",
+            Err(ClaimError::Key(_)) => "void",
+            Err(ClaimError::LogAway) => "log-away",
         };
         self.metrics.claims.with_label_values(&[result]).inc();
         if verdict.is_ok() {
             self.metrics
                 .claim_wait
-                .observe(began.elapsed().as_secs_f64());
+                .observe(started_at.elapsed().as_secs_f64());
         }
         verdict
     }
@@ -190,14 +192,14 @@
             let mut queue = self.lock();
             let pending = Pending {
                 record,
-                way: Way::Queued,
+                append_state: AppendState::Queued,
                 tx,
             };
             queue.pending.insert(request.clone(), pending);
             queue.claims.push(request.clone());
         }
         self.wake.notify_one();
-        let withdraw = Withdraw {
+        let withdraw = WithdrawGuard {
             claims: self,
             request,
         };
@@ -205,53 +207,53 @@
         drop(withdraw);
         match verdict {
             Ok(Ok(verdict)) => verdict,
-            // Whoever removes a pending claim answers it, but for the withdrawal just above.
-            Ok(Err(_)) | Err(_) => Err(ClaimProblem::LogAway),
+            // Code that removes a pending claim also answers it, except for the withdrawal just above.
+            Ok(Err(_)) | Err(_) => Err(ClaimError::LogAway),
         }
     }
 
-    /// Spares the log claims that can't be won.
-    fn check(&self, service: &str, key: &str) -> Result<(), ClaimProblem> {
+    /// Rejects claims that can't win before they are sent to the log.
+    fn check(&self, service: &str, key: &str) -> Result<(), ClaimError> {
         let fold = self.fold();
         fold.check_key(key, SystemTime::now())
-            .map_err(ClaimProblem::Key)?;
+            .map_err(ClaimError::Key)?;
         if fold.stop().is_some() || !self.reading.load(Ordering::Relaxed) {
-            return Err(ClaimProblem::LogAway);
+            return Err(ClaimError::LogAway);
         }
         let held = fold.holder_of(service, key);
         if held.is_some_and(|claim| !claim.released) {
-            return Err(ClaimProblem::Claimed);
+            return Err(ClaimError::Claimed);
         }
         Ok(())
     }
 
-    /// Gives up the claim of `request`.
+    /// Queues the release of the claim of `request`.
     fn release(&self, request: &RequestId) {
         self.lock().releases.push(request.clone());
         self.wake.notify_one();
     }
 
-    /// Says whether claims or releases wait to be appended.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Returns whether no claims or releases wait to be appended.
+    pub(crate) fn is_flushed(&self) -> bool {
         let queue = self.lock();
         queue.claims.is_empty() && queue.releases.is_empty()
     }
 
-    fn take(self: &Arc<Self>, applied: OrderApplied) {
+    fn on_applied(self: &Arc<Self>, applied: OrderApplied) {
         match applied {
             OrderApplied::Won {
                 service, claimant, ..
-            } if self.is_mine(&claimant) => self.won(&service, claimant.request),
-            OrderApplied::Lost { claimant, .. } if self.is_mine(&claimant) => {
-                self.answer(&claimant.request, Err(ClaimProblem::Claimed));
+            } if self.is_own(&claimant) => self.won(&service, claimant.request),
+            OrderApplied::Lost { claimant, .. } if self.is_own(&claimant) => {
+                self.answer(&claimant.request, Err(ClaimError::Claimed));
             }
             OrderApplied::Void {
                 claimant, problem, ..
-            } if self.is_mine(&claimant) => {
-                self.answer(&claimant.request, Err(ClaimProblem::Key(problem)));
+            } if self.is_own(&claimant) => {
+                self.answer(&claimant.request, Err(ClaimError::Key(problem)));
             }
-            OrderApplied::GivenUp { claimant, .. } if self.is_mine(&claimant) => {
-                self.answer(&claimant.request, Err(ClaimProblem::LogAway));
+            OrderApplied::GivenUp { claimant, .. } if self.is_own(&claimant) => {
+                self.answer(&claimant.request, Err(ClaimError::LogAway));
             }
             _ => {}
         }
@@ -261,22 +263,22 @@
         let ticket = ClaimTicket {
             claims: Arc::clone(self),
             request: request.clone(),
-            used: false,
+            sent: false,
         };
         if !self.answer(&request, Ok(ticket)) {
-            // Nobody waits any more: the unused ticket gave the claim up when it was dropped.
+            // The caller no longer waits: the unsent ticket was dropped and released the claim.
             events::ORDER_RELEASED.emit(&[("service", service), ("request", &request)]);
         }
     }
 
-    /// Answers a pending claim; returns whether somebody still waited.
+    /// Answers a pending claim; returns whether a caller still waited for the answer.
     fn answer(&self, request: &RequestId, verdict: Verdict) -> bool {
         let pending = self.lock().pending.remove(request);
-        // The lock is free again: an unused ticket takes it when dropped.
+        // The lock must be free here: an unsent ticket takes it when dropped.
         pending.is_some_and(|pending| pending.tx.send(verdict).is_ok())
     }
 
-    fn is_mine(&self, claimant: &Claimant) -> bool {
+    fn is_own(&self, claimant: &Claimant) -> bool {
         claimant.holder == self.holder && claimant.incarnation == self.incarnation
     }
 
@@ -289,7 +291,8 @@
     }
 }
 
-/// Appends claims and releases until `cancel`; one append takes all that came since the last.
+/// Appends claims and releases until `cancel`. Those that arrive during an append share the next record
+/// of their kind, up to [`MAX_CLAIMS_PER_RECORD`] claims.
 pub(crate) async fn append_claims<L>(log: L, claims: Arc<Claims>, cancel: CancellationToken)
 where
     L: LogService,
@@ -301,7 +304,7 @@
         let wait = match released.and(claimed) {
             Ok(true) => continue,
             Ok(false) => {
-                backoff.worked();
+                backoff.reset();
                 let woken = cancel.run_until_cancelled(claims.wake.notified()).await;
                 if woken.is_none() {
                     return;
@@ -326,7 +329,7 @@
     }
 }
 
-/// Appends what claims there are; returns whether there were any.
+/// Appends the queued claims; returns whether there were any.
 async fn append_batch<L>(log: &L, claims: &Claims) -> Result<bool, PlatformError>
 where
     L: LogService,
@@ -350,8 +353,8 @@
     };
     let is_rate = err.status() == Some(StatusCode::TOO_MANY_REQUESTS);
     if err.took_effect() == Effect::Maybe || is_rate {
-        // Appending the same claims again is harmless: the first copy decides. When the log is
-        // down they are refused at once instead, so that nobody waits for an outage to end.
+        // Appending the same claims again is harmless: the first copy decides. If the log is down
+        // they are refused at once instead, so that callers don't wait for the outage to end.
         requeue(claims, requests);
     } else {
         refuse(claims, &requests);
@@ -360,23 +363,23 @@
 }
 
 fn take_batch(queue: &mut Queue) -> Vec<ClaimRecord> {
-    let most = queue.claims.len().min(BATCH);
+    let most = queue.claims.len().min(MAX_CLAIMS_PER_RECORD);
     let requests: Vec<RequestId> = queue.claims.drain(..most).collect();
     let mut batch = Vec::with_capacity(requests.len());
     for request in requests {
-        // One that was withdrawn before it was handed to the log is not there any more.
+        // A claim that was withdrawn before it was sent to the log is no longer pending.
         if let Some(pending) = queue.pending.get_mut(&request) {
-            pending.way = Way::MaybeThere;
+            pending.append_state = AppendState::MaybeAppended;
             batch.push(pending.record.clone());
         }
     }
     batch
 }
 
-/// Answers claims that are certainly not in the log.
+/// Refuses claims that are certainly not in the log.
 fn refuse(claims: &Claims, requests: &[RequestId]) {
     for request in requests {
-        claims.answer(request, Err(ClaimProblem::LogAway));
+        claims.answer(request, Err(ClaimError::LogAway));
     }
 }
 
@@ -390,7 +393,7 @@
     queue.claims.extend(waiting);
 }
 
-/// Appends what releases there are; returns whether there were any.
+/// Appends the queued releases; returns whether there were any.
 async fn append_releases<L>(log: &L, claims: &Claims) -> Result<bool, PlatformError>
 where
     L: LogService,
@@ -417,7 +420,7 @@
     Ok(true)
 }
 
-/// The sink of the stream `orders`.
+/// Applies the records of the stream `orders` to the claims.
 #[derive(Clone, Debug)]
 pub(crate) struct OrderSink(pub(crate) Arc<Claims>);
 
@@ -442,7 +445,7 @@
         for record in &page.records {
             let step = self.0.fold().apply(record.offset, record.at, &record.data);
             for applied in step? {
-                self.0.take(applied);
+                self.0.on_applied(applied);
             }
         }
         Ok(())
--- a/crates/entry/src/front/call.rs
+++ b/crates/entry/src/front/call.rs
@@ -1,4 +1,4 @@
-//! `ANY /v1/services/{service}/call/{path}`: a call of a plain service.
+//! `ANY /v1/services/{service}/call/{path}`: calls of plain services.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,11 +24,11 @@
 use crate::front::head::{RequestHead, authenticate, read_body, read_head};
 use crate::shared::Shared;
 
-/// Answers up to this length are passed on only once they are whole, so that one that breaks off
-/// is answered as unknown. A longer one that breaks off breaks the caller's connection.
-const BUFFER: usize = 1024 * 1024;
+/// Answers shorter than this are passed on only once they are complete, so that a truncated one is answered
+/// with the outcome `unknown`. If a longer one is truncated, the entry closes the caller's connection.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// Headers that belong to one connection.
+/// Headers that apply to one connection only and are not passed on.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -80,7 +80,7 @@
         let call = Call {
             method,
             path: path_of(&uri),
-            headers: forwarded(&headers),
+            headers: forwarded_headers(&headers),
             body,
         };
         run(&cx, head, call).await
@@ -102,7 +102,7 @@
     let opened = dispatch.open().await?;
     let mut answer = CallAnswer::new(dispatch, opened, in_flight);
     let whole = answer.fill().await?;
-    let mut headers = forwarded(&answer.headers);
+    let mut headers = forwarded_headers(&answer.headers);
     if whole && !is_head {
         headers.remove(header::CONTENT_LENGTH);
     }
@@ -120,12 +120,12 @@
     Ok(response)
 }
 
-/// The answer broke off after a part of it was passed on.
+/// The answer was truncated after a part of it was passed on.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer of the plain service broke off"))]
-struct BrokenOff;
+#[snafu(display("the answer of the plain service was truncated"))]
+struct Truncated;
 
-/// An answer of a plain service on its way to the caller.
+/// An answer of a plain service that is being passed on to the caller.
 #[derive(Debug)]
 struct CallAnswer {
     status: http::StatusCode,
@@ -135,7 +135,7 @@
     body: Incoming,
     attempt: Attempt,
     dispatch: Dispatch,
-    over: bool,
+    done: bool,
     _in_flight: TaskTrackerToken,
 }
 
@@ -150,25 +150,25 @@
             body,
             attempt: opened.attempt,
             dispatch,
-            over: false,
+            done: false,
             _in_flight: in_flight,
         }
     }
 
-    /// Reads until the answer is whole or the buffer is full; returns whether it is whole.
+    /// Reads until the answer is complete or the buffer is full; returns whether it is complete.
     async fn fill(&mut self) -> Result<bool, Denial> {
-        while self.buffered < BUFFER {
+        while self.buffered < MAX_BUFFERED_BYTES {
             match self.read().await {
                 Some(Ok(data)) => {
                     self.buffered += data.len();
                     self.chunks.push_back(data);
                 }
                 None => return Ok(true),
-                Some(Err(BrokenOff)) => {
-                    self.over = true;
+                Some(Err(Truncated)) => {
+                    self.done = true;
                     let vm = self.attempt.vm().clone();
                     let Err(denial) = self.dispatch.cut(&vm, 0, None) else {
-                        // A call is never repeated, so it can't go on.
+                        // A call is never repeated, so no replica can continue it.
                         let reason = wagtailreel_route::UnknownReason::Cut;
                         return Err(Denial::Unknown(reason));
                     };
@@ -179,8 +179,8 @@
         Ok(false)
     }
 
-    /// Reads the next data; none once the answer is whole.
-    async fn read(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    /// Reads the next data; returns `None` once the answer is complete.
+    async fn read(&mut self) -> Option<Result<Bytes, Truncated>> {
         loop {
             let frame = self.attempt.while_alive(self.body.frame()).await;
             match frame {
@@ -194,15 +194,15 @@
                     self.finish();
                     return None;
                 }
-                Some(Some(Err(_))) | None => return Some(Err(BrokenOff)),
+                Some(Some(Err(_))) | None => return Some(Err(Truncated)),
             }
         }
     }
 
     fn finish(&mut self) {
-        self.over = true;
-        self.attempt.set_over();
-        self.dispatch.note_outcome(Outcome::Answered, None);
+        self.done = true;
+        self.attempt.set_done();
+        self.dispatch.record_outcome(Outcome::Answered, None);
     }
 
     fn into_whole(mut self) -> Body {
@@ -230,8 +230,8 @@
             match answer.read().await? {
                 Ok(data) => Some((Ok(data), Some(answer))),
                 Err(err) => {
-                    answer.over = true;
-                    answer.dispatch.note_outcome(Outcome::Unknown, None);
+                    answer.done = true;
+                    answer.dispatch.record_outcome(Outcome::Unknown, None);
                     Some((Err(err), None))
                 }
             }
@@ -241,7 +241,7 @@
 
 impl Drop for CallAnswer {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.done {
             self.dispatch.count_caller_gone();
         }
     }
@@ -256,9 +256,9 @@
     }
 }
 
-/// Returns the headers that are passed on: all but those of the connection, the system's own and
+/// Returns the headers that are passed on: all except those of the connection, those of the system and
 /// the customer's key.
-fn forwarded(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = connection_options(headers)
         .map(str::to_ascii_lowercase)
         .collect();
--- a/crates/entry/src/front/dispatch.rs
+++ b/crates/entry/src/front/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends one request to upstreams until one takes it.
+//! Sends one request to upstreams until one accepts it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,18 +25,19 @@
 use crate::service::{AdmissionTicket, Slot};
 use crate::shared::Shared;
 
-/// Longest wait for the head of an answer, however alive the upstream is.
+/// Longest wait for the head of an answer, also while the upstream keeps sending reports.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How long the answer to what can't be repeated is waited for after the upstream fell silent.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long the entry still waits for the answer to a request that must not be repeated, after the
+/// upstream stopped sending reports.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest that a request of high priority waits for room after it was let in: as long as one that
-/// waits to be let in.
-const ROOM_WAIT: Duration = Duration::from_secs(1);
+/// Longest that an admitted request of high priority waits for an upstream with a free slot. Equal to
+/// the longest wait for admission.
+const HIGH_PRIORITY_CAPACITY_WAIT: Duration = Duration::from_secs(1);
 
-/// Longest wait between looks for an upstream with room.
-const ROOM_EVERY: Duration = Duration::from_millis(50);
+/// Longest wait between two checks for an upstream with a free slot.
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 const SERVICE: HeaderName = HeaderName::from_static(headers::SERVICE);
 const CUSTOMER: HeaderName = HeaderName::from_static(headers::CUSTOMER);
@@ -44,7 +45,7 @@
 pub(crate) const INCARNATION: HeaderName = HeaderName::from_static(headers::INCARNATION);
 const RESUME_FROM: HeaderName = HeaderName::from_static(headers::RESUME_FROM);
 
-/// What is sent to an agent.
+/// Content of a request to an agent.
 #[derive(Debug)]
 pub(crate) enum Payload {
     /// A prompt, answered by a stream of tokens.
@@ -63,7 +64,7 @@
     pub(crate) body: Bytes,
 }
 
-/// An upstream took the request and began to answer.
+/// An accepted request whose answer has started.
 #[derive(Debug)]
 pub(crate) struct Opened {
     pub(crate) response: Response<Incoming>,
@@ -72,7 +73,7 @@
     pub(crate) epoch: Option<Epoch>,
 }
 
-/// One request on its way through upstreams.
+/// One request with its attempts at upstreams.
 #[derive(Debug)]
 pub(crate) struct Dispatch {
     cx: Arc<Shared>,
@@ -81,12 +82,12 @@
     attempts: Attempts,
     admission: AdmissionTicket,
     claim: Option<ClaimTicket>,
-    numbered: u32,
+    next_attempt: u32,
     switch_wait: Duration,
 }
 
 impl Dispatch {
-    /// Makes the dispatch of a request that was admitted and, if it is an order, claimed.
+    /// Creates the dispatch of a request that is admitted and, if it is an order, claimed.
     pub(crate) fn new(
         cx: &Arc<Shared>,
         head: RequestHead,
@@ -103,7 +104,7 @@
             ..Requirements::default()
         };
         let capacity_wait = match head.priority {
-            Priority::High => ROOM_WAIT,
+            Priority::High => HIGH_PRIORITY_CAPACITY_WAIT,
             Priority::Normal | Priority::Low => Duration::ZERO,
         };
         let cfg = AttemptsConfig {
@@ -119,12 +120,12 @@
             attempts,
             admission,
             claim,
-            numbered: 0,
+            next_attempt: 0,
             switch_wait: Duration::ZERO,
         }
     }
 
-    /// Sets the prompt by whose head an upstream with a warm cache is chosen.
+    /// Sets the prompt, whose prefix selects an upstream that is likely to have it cached.
     pub(crate) fn with_prompt(mut self, prompt: &str) -> Self {
         self.attempts.set_prefix(prefix_of(prompt));
         self
@@ -135,19 +136,19 @@
         &self.head
     }
 
-    /// Sends the request until an upstream takes it.
+    /// Sends the request to one upstream after another until one accepts it.
     ///
     /// # Errors
     ///
-    /// Returns the final answer if none does.
+    /// Returns the final answer if no upstream accepts it.
     pub(crate) async fn open(&mut self) -> Result<Opened, Denial> {
         loop {
-            // Subscribed before the choice, so that no change after it is missed.
+            // Subscribes before the choice, so that no later change is missed.
             let mut changed = self.head.service.changed();
             let next = match self.head.service.choose(&mut self.attempts) {
                 Ok(slot) => match self.send(slot).await {
                     Ok(opened) => {
-                        self.note_switch_wait();
+                        self.record_switch_wait();
                         self.admission.ran = true;
                         return Ok(opened);
                     }
@@ -155,53 +156,55 @@
                 },
                 Err(next) => next,
             };
-            let began = Instant::now();
-            match self.settle(next) {
+            let started_at = Instant::now();
+            match self.next_step(next) {
                 Step::Again => {}
                 Step::Wait(until) => {
-                    // A standing that changes wakes it; time alone does if only room is wanted.
-                    let for_room = self.attempts.is_started() || self.attempts.awaits_capacity();
-                    let until = if for_room {
-                        until.min(began + ROOM_EVERY)
+                    // A change of a standing ends the wait. A slot that becomes free sends no such
+                    // signal, so the wait for capacity checks at an interval.
+                    let for_capacity =
+                        self.attempts.is_started() || self.attempts.awaits_capacity();
+                    let until = if for_capacity {
+                        until.min(started_at + CAPACITY_CHECK_INTERVAL)
                     } else {
                         until
                     };
                     let _ = tokio::time::timeout_at(until.into(), changed.changed()).await;
                     if self.attempts.is_at_switch() {
-                        self.switch_wait += began.elapsed();
+                        self.switch_wait += started_at.elapsed();
                     }
                 }
                 Step::Done(denial) => {
-                    self.note_switch_wait();
+                    self.record_switch_wait();
                     return Err(denial);
                 }
             }
         }
     }
 
-    /// Takes that a stream broke off before its end.
+    /// Records that a stream was cut before its end.
     ///
     /// # Errors
     ///
-    /// Returns the final answer if no replica may go on with it.
+    /// Returns the final answer if no replica may continue the stream.
     pub(crate) fn cut(
         &mut self,
         vm: &str,
         next: u64,
         weights: Option<Digest>,
     ) -> Result<(), Denial> {
-        self.note_ended("cut");
+        self.count_attempt("cut");
         events::UPSTREAM_FAILED.emit(&[("vm", vm), ("request", &self.head.id)]);
         let ended = AttemptEnd::Cut { next, weights };
         let next = self.head.service.ended(&mut self.attempts, vm, ended);
-        match self.settle(next) {
+        match self.next_step(next) {
             Step::Again | Step::Wait(_) => Ok(()),
             Step::Done(denial) => Err(denial),
         }
     }
 
-    /// Counts the final outcome.
-    pub(crate) fn note_outcome(&self, outcome: Outcome, reason: Option<NotRunReason>) {
+    /// Counts the final outcome, and logs an event if it is unknown.
+    pub(crate) fn record_outcome(&self, outcome: Outcome, reason: Option<NotRunReason>) {
         let service = self.head.service.name();
         let metrics = &self.cx.metrics;
         metrics.outcome(service, &self.head.customer, outcome, reason);
@@ -210,19 +213,19 @@
         }
     }
 
-    /// Returns where the times of the answer's stream are counted.
+    /// Returns the histograms for the times of the answer's tokens.
     pub(crate) fn stream_times(&self) -> StreamTimes {
         let service = self.head.service.name();
         self.cx.metrics.stream_times(service, &self.head.customer)
     }
 
-    /// Counts a stream that goes on at a replica.
+    /// Counts a stream that continues at a replica.
     pub(crate) fn count_resume(&self) {
         let service = self.head.service.name();
         self.cx.metrics.resumes.with_label_values(&[service]).inc();
     }
 
-    /// Counts a request whose caller went away before its answer was whole.
+    /// Counts a request whose caller disconnected before its answer was complete.
     pub(crate) fn count_caller_gone(&self) {
         let service = self.head.service.name();
         let gone = &self.cx.metrics.callers_gone;
@@ -232,22 +235,28 @@
     async fn send(&mut self, slot: Slot) -> Result<Opened, Next> {
         let vm = slot.vm.clone();
         let addr = slot.addr;
-        let id = format!("{}-{}", self.head.id, self.numbered);
-        self.numbered += 1;
+        let id = format!("{}-{}", self.head.id, self.next_attempt);
+        self.next_attempt += 1;
         let Some(req) = self.request(addr, &id) else {
             return Err(self.ended(&vm, AttemptEnd::Refused(NotRunReason::Refused, None)));
         };
         if let Some(claim) = &mut self.claim {
-            claim.sending();
+            claim.on_send();
         }
-        let mut attempt = Attempt::new(&self.cx, slot, id, self.claim.take(), self.patience());
+        let mut attempt = Attempt::new(
+            &self.cx,
+            slot,
+            id,
+            self.claim.take(),
+            self.silence_timeout(),
+        );
         let client = self.cx.client.clone();
         let sent = client.request_within(req, HEAD_TIMEOUT);
         let answer = attempt.while_alive(sent).await;
         let ended = match answer {
             Some(Ok(response)) => match self.refusal_of(&response) {
                 None => {
-                    self.note_ended("opened");
+                    self.count_attempt("opened");
                     return Ok(opened(response, attempt));
                 }
                 Some(ended) => ended,
@@ -257,15 +266,16 @@
         };
         if ended == AttemptEnd::Broken {
             events::UPSTREAM_FAILED.emit(&[("vm", &vm), ("request", &self.head.id)]);
-            return Err(self.find_out(attempt, &vm).await);
+            return Err(self.cancel_broken(attempt, &vm).await);
         }
-        attempt.set_over();
+        attempt.set_done();
         self.claim = attempt.take_claim();
         drop(attempt);
         Err(self.ended(&vm, ended))
     }
 
-    /// Returns how the attempt ended if the answer is the agent's own and not the upstream's.
+    /// Returns how the attempt ended if the answer comes from the agent itself and not from the
+    /// upstream; `None` if it is the upstream's answer.
     fn refusal_of(&self, response: &Response<Incoming>) -> Option<AttemptEnd> {
         let headers = response.headers();
         let text = |name| headers.get(name)?.to_str().ok();
@@ -277,10 +287,10 @@
             }
             Some(Outcome::Unknown) => Some(AttemptEnd::Cancelled(CancelState::Started)),
             Some(Outcome::Answered) => None,
-            // A stream begins with 200 and tells its outcome at its end.
+            // A stream starts with status 200 and carries its outcome at its end.
             None if self.is_generate() && response.status() == StatusCode::OK => None,
-            // Every other answer of an agent says its outcome: this one is not an agent's, so that
-            // nothing is known of the attempt.
+            // Every other answer of an agent has an outcome header. Without it the answer does not
+            // come from an agent, and the state of the attempt is unknown.
             None => Some(AttemptEnd::Broken),
         }
     }
@@ -289,10 +299,10 @@
         matches!(self.payload, Payload::Generate(_))
     }
 
-    /// Asks the agent whether the request was started, after its answer was lost.
-    async fn find_out(&mut self, mut attempt: Attempt, vm: &str) -> Next {
+    /// Cancels an attempt whose answer was lost; the agent's reply says whether it was started.
+    async fn cancel_broken(&mut self, mut attempt: Attempt, vm: &str) -> Next {
         let state = attempt.cancel().await;
-        attempt.set_over();
+        attempt.set_done();
         self.claim = attempt.take_claim();
         drop(attempt);
         let ended = state.map_or(AttemptEnd::CancelLost, AttemptEnd::Cancelled);
@@ -300,19 +310,20 @@
     }
 
     fn ended(&mut self, vm: &str, ended: AttemptEnd) -> Next {
-        self.note_ended(label_of(&ended));
+        self.count_attempt(label_of(&ended));
         self.head.service.ended(&mut self.attempts, vm, ended)
     }
 
-    /// Turns what comes next into a step, and keeps or frees the claim by it.
-    fn settle(&mut self, next: Next) -> Step {
+    /// Maps `next` to a step of the loop in [`Self::open`], and marks the claim as not run if the order
+    /// did not run.
+    fn next_step(&mut self, next: Next) -> Step {
         let not_run = |claim: &mut Option<ClaimTicket>| {
             if let Some(claim) = claim {
                 claim.not_run();
             }
         };
         match next {
-            // For an order, going on at all means that nothing was run so far.
+            // An order is only sent again if no attempt has run so far.
             Next::Send => {
                 not_run(&mut self.claim);
                 Step::Again
@@ -326,18 +337,19 @@
                 Step::Done(Denial::NotRun(reason, retry_after))
             }
             Next::Unknown(reason) => Step::Done(Denial::Unknown(reason)),
-            // Neither follows from an end that gets here; unknown claims the least.
+            // Neither can occur here; `Unknown` is the answer that is true in every case.
             Next::Answered | Next::AskCancel => Step::Done(Denial::Unknown(
                 wagtailreel_route::UnknownReason::AnswerLost,
             )),
         }
     }
 
-    /// A stream is resumed elsewhere at once; what can't be repeated is worth a wait.
-    fn patience(&self) -> Duration {
+    /// Returns how long to wait for an upstream that sends no reports: zero for a stream, which a replica
+    /// can resume at once, and [`SILENCE_TIMEOUT`] for a request that must not be repeated.
+    fn silence_timeout(&self) -> Duration {
         match self.attempts.repeat() {
             Repeat::Resumable => Duration::ZERO,
-            Repeat::Never => PATIENCE,
+            Repeat::Never => SILENCE_TIMEOUT,
         }
     }
 
@@ -390,7 +402,7 @@
         Some(headers)
     }
 
-    fn note_ended(&self, label: &str) {
+    fn count_attempt(&self, label: &str) {
         self.cx
             .metrics
             .attempts
@@ -398,7 +410,7 @@
             .inc();
     }
 
-    fn note_switch_wait(&mut self) {
+    fn record_switch_wait(&mut self) {
         let wait = std::mem::take(&mut self.switch_wait);
         if !wait.is_zero() && !self.attempts.is_started() {
             let service = self.head.service.name();
@@ -407,7 +419,7 @@
     }
 }
 
-/// What follows for the loop over attempts.
+/// Next step of the loop over attempts.
 enum Step {
     Again,
     Wait(Instant),
@@ -431,7 +443,7 @@
 }
 
 fn failure(vm: &str, err: &PlatformError) -> AttemptEnd {
-    log::debug!("an attempt at {vm} failed: {err}");
+    log::debug!("attempt at VM {vm} failed: {err}");
     match err.took_effect() {
         Effect::No => AttemptEnd::NeverSent,
         Effect::Maybe => AttemptEnd::Broken,
--- a/crates/entry/src/live.rs
+++ b/crates/entry/src/live.rs
@@ -1,4 +1,5 @@
-//! When new weights are live: open at as many VMs as the document wants, in every data centre.
+//! Measures the time until new weights are live: open at as many VMs as the document wants, in every data
+//! centre.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,32 +12,32 @@
 
 /// An epoch that was accepted and is not live everywhere yet.
 #[derive(Clone, Debug)]
-struct Awaited {
+struct PendingEpoch {
     epoch: Epoch,
     since: Instant,
     document: Box<Document>,
 }
 
-/// The epochs that are awaited, the newest of each service.
+/// The pending epochs: the newest of each service.
 ///
-/// Each epoch is reported once: it is forgotten when it is live, when a newer one takes its place,
-/// and when the service is deleted.
+/// Each epoch is reported at most once. It is removed when it is live, when a newer one replaces it, and when
+/// the service is deleted.
 #[derive(Debug, Default)]
-struct AwaitedEpochs {
-    services: BTreeMap<ServiceName, Awaited>,
+struct PendingEpochs {
+    services: BTreeMap<ServiceName, PendingEpoch>,
 }
 
-impl AwaitedEpochs {
-    /// Takes an accepted edit, which this entry folded at `now`.
+impl PendingEpochs {
+    /// Records an accepted edit, which this entry folded at `now`.
     fn accepted(&mut self, state: &ServiceState, now: Instant) {
         let Some(document) = &state.document else {
             self.services.remove(&state.service);
             return;
         };
-        // An edit that keeps the epoch moves the bounds of the one awaited, not its beginning.
+        // An edit that keeps the epoch may change which VMs the pending one needs, not its start time.
         if state.epoch != state.revision {
-            if let Some(awaited) = self.services.get_mut(&state.service) {
-                awaited.document = document.clone();
+            if let Some(pending) = self.services.get_mut(&state.service) {
+                pending.document = document.clone();
             }
             return;
         }
@@ -44,22 +45,22 @@
             self.services.remove(&state.service);
             return;
         }
-        let awaited = Awaited {
+        let pending = PendingEpoch {
             epoch: state.epoch,
             since: now,
             document: document.clone(),
         };
-        self.services.insert(state.service.clone(), awaited);
+        self.services.insert(state.service.clone(), pending);
     }
 
-    /// Takes the agents' reports as of `now`; returns the services whose epoch is live, and how
-    /// long that took.
+    /// Applies the agents' reports as of `now`; returns the services whose epoch is now live, and how long
+    /// that took.
     fn reports(&mut self, agents: &AgentViews, now: Instant) -> Vec<(ServiceName, Duration)> {
         let live: Vec<(ServiceName, Duration)> = self
             .services
             .iter()
-            .filter(|(name, awaited)| awaited.is_live(name, agents))
-            .map(|(name, awaited)| (name.clone(), now.saturating_duration_since(awaited.since)))
+            .filter(|(name, pending)| pending.is_live(name, agents))
+            .map(|(name, pending)| (name.clone(), now.saturating_duration_since(pending.since)))
             .collect();
         for (name, _) in &live {
             self.services.remove(name);
@@ -68,7 +69,7 @@
     }
 }
 
-impl Awaited {
+impl PendingEpoch {
     fn is_live(&self, service: &str, agents: &AgentViews) -> bool {
         let open = |place: &Place| {
             agents
@@ -82,7 +83,7 @@
             .all(|place| open(place) >= usize::try_from(place.ready).unwrap_or(usize::MAX))
     }
 
-    /// Says whether the agent is one of `place` that takes work with the awaited epoch.
+    /// Returns whether the agent is one of `place` that accepts requests with the pending epoch.
     fn is_open(&self, service: &str, place: &Place, view: &AgentView) -> bool {
         let report = &view.report;
         report.service == service
@@ -95,26 +96,26 @@
 
 /// Measures the time until new weights are live.
 #[derive(Debug)]
-pub(crate) struct TimeToLive {
-    awaited: Mutex<AwaitedEpochs>,
+pub(crate) struct GoLiveTimer {
+    pending: Mutex<PendingEpochs>,
     metrics: Metrics,
 }
 
-impl TimeToLive {
-    /// Makes a measure that awaits nothing.
+impl GoLiveTimer {
+    /// Creates a timer without pending epochs.
     pub(crate) fn new(metrics: Metrics) -> Self {
         Self {
-            awaited: Mutex::default(),
+            pending: Mutex::default(),
             metrics,
         }
     }
 
-    /// Takes the state of a service after an edit that was accepted just now.
+    /// Records the state of a service after an edit that was accepted just now.
     pub(crate) fn accepted(&self, state: &ServiceState) {
         self.lock().accepted(state, Instant::now());
     }
 
-    /// Takes the agents' latest reports, those from other data centres included.
+    /// Applies the agents' latest reports, including those from remote data centres.
     pub(crate) fn reports(&self, agents: &AgentViews) {
         let live = self.lock().reports(agents, Instant::now());
         for (service, took) in live {
@@ -125,7 +126,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, AwaitedEpochs> {
-        self.awaited.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PendingEpochs> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
