--- a/crates/entry/src/admin/submit.rs
+++ b/crates/entry/src/admin/submit.rs
@@ -22,20 +22,20 @@
 use crate::front::OUTCOME;
 use crate::in_force::wait_in_force;
 
-/// How long an accepted append is waited for to be read back.
+/// How long to wait until an appended edit is read back from the log.
 const READ_BACK: Duration = Duration::from_secs(5);
 
-/// How long this entry may take to read a revision that the operator saw at another.
+/// How long to wait until this entry has read a revision that the operator saw at another entry.
 const CATCH_UP: Duration = Duration::from_secs(2);
 
-/// How an edit is named and what it is based on.
+/// Id of an edit and the revision that it is based on.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EditQuery {
     base: Offset,
     edit: EditId,
 }
 
-/// What became of a submission.
+/// Result of a submission.
 enum Submitted {
     Decided(EditResult),
     Problems(Value),
@@ -45,7 +45,7 @@
     Failed(Outcome, String),
 }
 
-/// Takes an edit and answers once it is read back.
+/// Handles an edit: appends it to the log and answers once it is read back.
 pub(crate) async fn submit<L>(
     State(admin): State<Admin<L>>,
     Path(service): Path<String>,
@@ -70,8 +70,8 @@
     Ok(with_outcome(status, body))
 }
 
-/// Makes the response, with the outcome that the body names as a header too: the tool that
-/// submits tells by it whether sending again is safe.
+/// Builds the response and copies the outcome in the body to a header. The submitting tool
+/// uses the header to decide whether sending again is safe.
 fn with_outcome(status: StatusCode, body: Value) -> Response {
     let outcome = body["outcome"].as_str().unwrap_or_default();
     let outcome = HeaderValue::from_str(outcome).ok();
@@ -119,8 +119,8 @@
     append(admin, service, &query.edit, &record).await
 }
 
-/// Checks an edit's base. This entry may not have read yet what the operator saw at another, so
-/// a base that is ahead is waited for.
+/// Checks an edit's base. This entry may not have read yet a revision that the operator saw at
+/// another entry, so the check waits for a base that is ahead.
 async fn check_edit(
     book: &ConfigBook,
     service: &str,
@@ -135,9 +135,9 @@
     fits.unwrap_or_else(check)
 }
 
-/// Answers an edit that was sent again from what the fold remembers.
+/// Returns the recorded result of an edit that was sent again, or `None` if the edit is new.
 ///
-/// The same id with another document is another edit: it goes on and is judged by its base.
+/// The same id with another document is another edit, and is checked by its base.
 fn decided_before(
     book: &ConfigBook,
     service: &str,
@@ -153,8 +153,8 @@
     };
     let view = book.view();
     let state = view.services.get(service)?;
-    // Once another edit followed, the document of this one is not there to compare with; its
-    // base is stale by then, and so the edit can't be taken twice.
+    // After a later edit, the document of this one is no longer there to compare with. Its
+    // base is stale by then, so the edit can't be accepted twice.
     let same = state.revision != *revision || state.document.as_deref() == Some(document);
     same.then_some(Submitted::Decided(result))
 }
@@ -181,7 +181,7 @@
             if err.took_effect() == Effect::No {
                 return Submitted::Failed(Outcome::NotRun, reason);
             }
-            // It may stand in the log all the same; reading tells.
+            // The record may be in the log nevertheless; reading the log shows whether it is.
             None
         }
     };
@@ -207,7 +207,7 @@
     }
 }
 
-/// Looks for what the fold decided about the edit, once what it has read is in force.
+/// Returns the fold's result of the edit, once the records that the fold has applied are in force.
 fn look_for(
     book: &ConfigBook,
     service: &str,
@@ -215,21 +215,22 @@
     appended: Option<Offset>,
     in_force: Offset,
 ) -> Option<Submitted> {
-    // Under one lock: between two the fold may take the record, and the edit would be there by
-    // the second look only.
+    // Reads all three under one lock: between two locks the fold could apply the record, and the
+    // result would be missing although the offset says that the record is applied.
     let (found, applied, state) = book.with_fold(|fold| {
         let found = fold.edit_result(service, edit).cloned();
         let state = fold.state().services.get(service).cloned();
         (found, fold.offset(), state)
     });
-    // What the operator hears is in force here already: the fold is ahead for a moment.
+    // The fold is briefly ahead of the state in force. The answer waits until the edit is in
+    // force at this entry.
     if in_force < applied {
         return None;
     }
     if let Some(result) = found.filter(|result| is_of(result, appended)) {
         return Some(Submitted::Decided(result));
     }
-    // A state from a peer leaves out how its edits were decided, but not what is in force.
+    // A state from a peer has no results of edits, but it has the revision in force.
     let appended = appended.filter(|appended| *appended <= applied)?;
     if let Some(state) = state.filter(|state| state.revision == appended) {
         return Some(accepted(state.revision, state.epoch, edit, &state.team));
@@ -238,7 +239,7 @@
     Some(Submitted::Failed(Outcome::Unknown, reason.to_owned()))
 }
 
-/// Tells how far the entry has read, for who looks for what held it up.
+/// Logs how far the entry has read, so that an operator can find the cause of the delay.
 fn tell_unread(book: &ConfigBook, service: &str, edit: &EditId, appended: Option<Offset>) {
     let applied = book.with_fold(|fold| fold.offset());
     let in_force = *book.offset().borrow();
@@ -256,7 +257,7 @@
     ]);
 }
 
-/// Says whether `result` is of the edit that was appended at `appended`, or of an earlier copy.
+/// Returns whether `result` is of the edit that was appended at `appended`, or of an earlier copy.
 fn is_of(result: &EditResult, appended: Option<Offset>) -> bool {
     appended.is_none_or(|appended| result.offset <= appended)
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: the fold of the stream `config`, and what is in force.
+//! The configuration: the fold of the stream `config`, and the state in force.
 
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::time::SystemTime;
@@ -17,7 +17,7 @@
 
 /// The configuration at this entry.
 ///
-/// Invariant: what is in force is always a state of the fold, so it never reverts.
+/// Invariant: the state in force is always a state of the fold, so it never reverts.
 #[derive(Debug)]
 pub(crate) struct ConfigBook {
     fold: Mutex<ConfigFold>,
@@ -34,7 +34,7 @@
 }
 
 impl ConfigBook {
-    /// Makes a book that has read nothing.
+    /// Returns a book that has read nothing yet.
     pub(crate) fn new(
         services: Arc<Services>,
         control: EntryControl,
@@ -74,30 +74,30 @@
         self.offset.subscribe()
     }
 
-    /// Returns a receiver of the ends of the log, as they were last read.
+    /// Returns a receiver of the first and next offset of the log, as last read.
     pub(crate) fn head(&self) -> watch::Receiver<Option<LogHead>> {
         self.head.subscribe()
     }
 
-    /// Says whether the configuration is known: from the log, or from a peer.
+    /// Returns whether the configuration is known, from the log or from a peer.
     pub(crate) fn is_known(&self) -> bool {
         let (offset, ready) = self.with_fold(|fold| (fold.offset(), fold.is_ready()));
         (self.head.borrow().is_some() && ready) || offset > 0
     }
 
-    /// Says whether anything can be served: what an agent reports of its service is enough.
+    /// Returns whether any service can be served. An agent's report of its service is enough.
     pub(crate) fn can_serve(&self) -> bool {
         self.is_known() || !self.view().services.is_empty()
     }
 
-    /// Returns a receiver of whether the log can be read. It counts as read once the fold has
-    /// stopped for good, because a stopped fold takes nothing from peers either.
+    /// Returns a receiver of whether the log can be read. The value is also true once the fold has
+    /// stopped for good, because a stopped fold accepts no state from peers either.
     pub(crate) fn reading(&self) -> watch::Receiver<bool> {
         self.reading.subscribe()
     }
 
-    /// Takes a peer's state, of which an agent's has one service and no offset. Returns whether
-    /// any of it was news.
+    /// Merges a peer's state. The state of an agent has one service and no offset. Returns whether
+    /// the configuration in force changed.
     pub(crate) fn take_state(&self, view: &StateView) -> bool {
         let applied = self.with_fold(|fold| {
             let applied = fold.restore(view);
@@ -110,7 +110,7 @@
         self.publish()
     }
 
-    /// Puts the fold's state in force, if it is news; returns whether it was.
+    /// Puts the fold's state in force. Returns whether it differs from the one before.
     pub(crate) fn publish(&self) -> bool {
         let read = || self.with_fold(|fold| fold.state().clone());
         self.publication
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Notes how late a document came into force; not for those that are older than the process.
+    /// Observes the time from a document's record until it is in force. Records older than the
+    /// process are left out.
     fn note_lag(&self, service: &str, at: Option<SystemTime>) {
         let Some(at) = at.filter(|at| *at >= self.started) else {
             return;
@@ -184,8 +185,9 @@
             .observe(lag.as_secs_f64());
     }
 
-    /// Starts to await that an accepted edit's weights are live; what is older than the process
-    /// was awaited by others, and its beginning is not known here.
+    /// Starts to measure the time until an accepted edit's weights are live. Edits older than the
+    /// process are left out: other entries measure them, and this one does not know when they
+    /// came into force.
     fn await_live(&self, service: &str, at: Option<SystemTime>) {
         if at.is_none_or(|at| at < self.started) {
             return;
@@ -227,7 +229,7 @@
                 }
             }
         }
-        // What was applied before a stop is in force all the same.
+        // Records that were applied before a stop are put in force as well.
         self.publish();
         self.head.send_replace(Some(LogHead {
             first: page.first,
--- a/crates/entry/src/follower.rs
+++ b/crates/entry/src/follower.rs
@@ -11,41 +11,42 @@
 use crate::events;
 use crate::metrics::Metrics;
 
-/// Records asked for at once.
+/// Maximum number of records in one page.
 const PAGE: usize = 200;
 
-/// How long the log may hold a poll; it bounds how late housekeeping comes.
+/// How long the log may hold a poll. Periodic work of the sink is delayed by at most this time.
 const POLL: Duration = Duration::from_secs(1);
 
-/// What takes in the records of a stream.
+/// Consumer of the records of a stream.
 pub(crate) trait StreamSink: Sync {
     /// Name of the stream.
     const STREAM: &'static str;
 
-    /// Returns the offset to read next; after a failure one that checks the log is the same.
+    /// Returns the offset to read next. After a failure, this is one from which the sink can check
+    /// that the log is still the same.
     fn next(&self, after_failure: bool) -> Offset;
 
     /// Returns the offset of the last record applied.
     fn applied(&self) -> Offset;
 
-    /// Takes a page. `applied` is what [`StreamSink::applied`] said before it was asked for.
+    /// Applies a page. `applied` is the value of [`StreamSink::applied`] before the page was read.
     ///
     /// # Errors
     ///
-    /// Returns why nothing more is applied.
+    /// Returns why the sink applies no more records.
     fn take_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop>;
 
-    /// Takes that the log keeps only `first` to `next`; returns whether anything was missed.
+    /// Records that the log keeps only `first` to `next`. Returns whether unread records were lost.
     ///
     /// # Errors
     ///
-    /// Returns why nothing more is applied.
+    /// Returns why the sink applies no more records.
     fn lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop>;
 
-    /// Takes whether the stream can be read.
+    /// Records whether the stream can be read.
     fn set_reading(&self, reading: bool);
 
-    /// Takes that nothing more is applied.
+    /// Records that the sink applies no more records.
     fn stopped(&self, stop: &FoldStop);
 }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! What comes from peers: configuration, reports of agents, and demand for limits.
+//! Data from peers: configuration, reports of agents, and demand for limits.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,25 +16,25 @@
 use crate::services::Services;
 use crate::vms::KnownVms;
 
-/// How long a peer may take to answer when it is asked for its configuration.
+/// Time-out of a request for a peer's configuration.
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause between rounds of asking peers while nothing is known.
+/// Interval of pulls from peers while the configuration is unknown.
 const PULL_EVERY: Duration = Duration::from_millis(500);
 
-/// The same once something is known.
+/// Interval of pulls from peers once a configuration is known.
 const PULL_ON: Duration = Duration::from_secs(2);
 
-/// Peers asked in one round.
+/// Maximum number of peers that are asked in one round.
 const PULL_MOST: usize = 8;
 
-/// How often shares of limits are dealt.
+/// Interval at which the shares of limits are computed.
 const SHARES_EVERY: Duration = Duration::from_millis(200);
 
-/// Asks peers for the configuration as long as the log can't be read.
+/// Pulls the configuration from peers while the log can't be read.
 ///
-/// The higher revision wins, whichever comes first. One answer is not enough: the peer that gave
-/// it may have missed the last edits, which another entry or an agent has.
+/// The highest revision wins, in whatever order the answers arrive. One answer is not enough: that
+/// peer may lack the last edits, which another entry or an agent has.
 pub(crate) async fn pull_without_log(
     book: Arc<ConfigBook>,
     seeds: Vec<SocketAddr>,
@@ -52,7 +52,7 @@
         }
         let mut addrs = vms.control_addrs(&data_centre);
         addrs.extend(&seeds);
-        // With the list of VMs away too, agents are known by their reports alone.
+        // If the list of VMs can't be read either, agents are known only from their reports.
         let views = Arc::clone(&agents.borrow());
         addrs.extend(views.values().map(|view| view.report.control));
         addrs.sort();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Takes configuration that peer entries have and this one lacks, until `cancel`.
+/// Merges configuration that peer entries have and this one lacks, until `cancel`.
 pub(crate) async fn follow_learned(
     book: Arc<ConfigBook>,
     control: EntryControl,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Takes the agents' reports to the request path, until `cancel`.
+/// Passes the agents' reports to the request path, until `cancel`.
 pub(crate) async fn follow_agents(
     services: Arc<Services>,
     live: Arc<TimeToLive>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Tells peers this entry's demand and deals the shares of limits anew, until `cancel`.
+/// Sends this entry's demand to peers and updates its shares of limits, until `cancel`.
 pub(crate) async fn deal_shares(
     services: Arc<Services>,
     control: EntryControl,
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -31,25 +31,25 @@
 use crate::vms::{KnownVms, VmConsumers, follow_vms};
 use crate::{events, front, peers, snapshots};
 
-/// How long new requests are still answered, with `leaving`, before the listener closes. Callers
-/// that race the shutdown on a kept connection hear that they were not run.
+/// How long the entry still answers new requests, with `leaving`, before the listener may close.
+/// Callers that send on a kept connection during the shutdown learn that their request was not run.
 const LAME_DUCK: Duration = Duration::from_millis(300);
 
-/// How much longer the listener stays open while callers come; connections that callers keep unused are closed
-/// by then.
+/// How much longer the listener stays open at most while callers still send requests. Unused connections of
+/// callers are closed by then.
 const LAST_CALLERS: Duration = LONGEST_UNUSED;
 
-/// How long claims and releases may take to reach the log at the end.
+/// Time-out of each clean-up step at shutdown, such as appending the last claims and releases to the log.
 const SETTLE: Duration = Duration::from_secs(2);
 
 /// Where an entry listens, with the ports that the system chose for port 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryAddrs {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For administration.
+    /// Address of the administration API.
     pub admin: SocketAddr,
-    /// For the system's other processes.
+    /// Address for the system's other processes.
     pub control: SocketAddr,
 }
 
@@ -59,7 +59,7 @@
     cx: Arc<Shared>,
     addrs: EntryAddrs,
     callers: Server,
-    /// Ends last, so that a shutdown can be watched.
+    /// Closes last, so that operators can observe a shutdown.
     admin: Server,
     tasks: TaskTracker,
 }
@@ -67,7 +67,7 @@
 impl EntryProcess {
     /// Starts an entry on the current runtime.
     ///
-    /// It answers callers at once; until it knows a configuration it answers `not-run`.
+    /// The entry answers callers at once, with `not-run` until it knows a configuration.
     ///
     /// # Errors
     ///
@@ -110,14 +110,14 @@
         self.addrs
     }
 
-    /// Takes no new requests, says so, finishes those in flight, and ends.
+    /// Shuts down: refuses new requests with `leaving`, finishes those in flight, and ends.
     pub async fn shutdown(mut self) {
         self.cx.leaving.store(true, Ordering::Relaxed);
         events::LEAVING.emit(&[("vm", &self.cx.settings.vm)]);
         self.callers.enter(Phase::Leaving);
         tokio::time::sleep(LAME_DUCK).await;
         let unused_closed = Instant::now() + LAST_CALLERS;
-        // Callers that come meanwhile hear that they were not run, and who keeps a connection hears of the end.
+        // New requests are still answered with `leaving`, and callers that keep a connection are told to close it.
         let _ = timeout_at(unused_closed.into(), self.callers.quiet()).await;
         self.callers.enter(Phase::Closing);
         self.cx.requests.close();
@@ -136,7 +136,7 @@
         events::STOPPED.emit(&[("vm", &self.cx.settings.vm)]);
     }
 
-    /// Waits until cancels are answered and what claims were given up is in the log.
+    /// Waits until cancels are answered and all released claims are in the log.
     async fn settle(&self) {
         self.cx.cleanups.wait().await;
         while !self.cx.claims.is_settled() {
@@ -215,7 +215,7 @@
     })
 }
 
-/// Returns the milliseconds since 1970: a later start of the same VM has a higher number.
+/// Returns the milliseconds since 1970, so that a later start of the same VM has a higher number.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
--- a/crates/entry/src/services.rs
+++ b/crates/entry/src/services.rs
@@ -1,4 +1,4 @@
-//! All services of the entry, one shard each.
+//! All services of the entry, each with a lock of its own.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -11,14 +11,14 @@
 
 /// The services by name.
 ///
-/// The map's lock is held for a look-up only; each service has its own.
+/// The map's lock is held only for a look-up; each service has its own lock.
 #[derive(Debug)]
 pub(crate) struct Services {
     data_centre: DataCentre,
     region: Region,
     metrics: Metrics,
     services: RwLock<BTreeMap<ServiceName, Arc<Service>>>,
-    /// What came last, for services that are made later.
+    /// The latest reports and VMs, for services that are created later.
     last: Mutex<Last>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Services {
-    /// Makes an empty map for an entry of `data_centre`.
+    /// Returns an empty map for an entry of `data_centre`.
     pub(crate) fn new(data_centre: DataCentre, region: Region, metrics: Metrics) -> Self {
         Self {
             data_centre,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the service `name`, if the configuration ever had it.
+    /// Returns the service `name`, or `None` if no configuration so far had it.
     pub(crate) fn get(&self, name: &str) -> Option<Arc<Service>> {
         let services = self.services.read().unwrap_or_else(PoisonError::into_inner);
         services.get(name).cloned()
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes the agents' latest reports.
+    /// Applies the agents' latest reports.
     pub(crate) fn reports(&self, agents: &AgentViews) {
         self.last().agents = Arc::clone(agents);
         let mut by_service: BTreeMap<&str, Vec<&AgentView>> = BTreeMap::new();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes the list of VMs.
+    /// Applies the list of VMs.
     pub(crate) fn list(&self, vms: &[VmEntry]) {
         self.last().vms = vms.to_vec();
         for service in self.all() {
