--- a/crates/entry/src/admin/submit.rs
+++ b/crates/entry/src/admin/submit.rs
@@ -23,10 +23,10 @@
 use crate::in_force::wait_in_force;
 
 /// How long to wait until an appended edit is read back from the log.
-const READ_BACK: Duration = Duration::from_secs(5);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long to wait until this entry has read a revision that the operator saw at another entry.
-const CATCH_UP: Duration = Duration::from_secs(2);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Id of an edit and the revision that it is based on.
 #[derive(Debug, Deserialize)]
@@ -129,9 +129,9 @@
 ) -> Result<(), Refusal> {
     let check = || book.with_fold(|fold| fold.check_edit(service, team, base));
     let is_ahead = |refusal: &Refusal| refusal.reason == RefusalReason::BaseAhead;
-    let look = |_| Some(check()).filter(|fits| !fits.as_ref().is_err_and(is_ahead));
-    let until = Instant::now() + CATCH_UP;
-    let fits = wait_in_force(book.offset(), until, look).await;
+    let decided = |_| Some(check()).filter(|fits| !fits.as_ref().is_err_and(is_ahead));
+    let until = Instant::now() + CATCH_UP_TIMEOUT;
+    let fits = wait_in_force(book.offset(), until, decided).await;
     fits.unwrap_or_else(check)
 }
 
@@ -195,12 +195,12 @@
     edit: &EditId,
     appended: Option<Offset>,
 ) -> Submitted {
-    let until = Instant::now() + READ_BACK;
-    let look = |in_force| look_for(book, service, edit, appended, in_force);
-    match wait_in_force(book.offset(), until, look).await {
+    let until = Instant::now() + READ_BACK_TIMEOUT;
+    let find = |in_force| find_result(book, service, edit, appended, in_force);
+    match wait_in_force(book.offset(), until, find).await {
         Some(submitted) => submitted,
         None => {
-            tell_unread(book, service, edit, appended);
+            report_unread(book, service, edit, appended);
             let reason = "the edit was not read back: send it again with the same id";
             Submitted::Failed(Outcome::Unknown, reason.to_owned())
         }
@@ -208,7 +208,7 @@
 }
 
 /// Returns the fold's result of the edit, once the records that the fold has applied are in force.
-fn look_for(
+fn find_result(
     book: &ConfigBook,
     service: &str,
     edit: &EditId,
@@ -227,7 +227,7 @@
     if in_force < applied {
         return None;
     }
-    if let Some(result) = found.filter(|result| is_of(result, appended)) {
+    if let Some(result) = found.filter(|result| is_same_or_earlier(result, appended)) {
         return Some(Submitted::Decided(result));
     }
     // A state from a peer has no results of edits, but it has the revision in force.
@@ -240,25 +240,25 @@
 }
 
 /// Logs how far the entry has read, so that an operator can find the cause of the delay.
-fn tell_unread(book: &ConfigBook, service: &str, edit: &EditId, appended: Option<Offset>) {
+fn report_unread(book: &ConfigBook, service: &str, edit: &EditId, appended: Option<Offset>) {
     let applied = book.with_fold(|fold| fold.offset());
     let in_force = *book.offset().borrow();
     let log_end = (*book.head().borrow()).map(|head| head.next);
     let reading = *book.reading().borrow();
-    let place = |place: Option<Offset>| place.map_or("unknown".to_owned(), |it| it.to_string());
+    let text = |offset: Option<Offset>| offset.map_or("unknown".to_owned(), |it| it.to_string());
     events::EDIT_UNREAD.emit(&[
         ("service", service),
         ("edit", edit),
-        ("appended", &place(appended)),
+        ("appended", &text(appended)),
         ("applied", &applied.to_string()),
         ("in_force", &in_force.to_string()),
-        ("log_end", &place(log_end)),
+        ("log_end", &text(log_end)),
         ("reading", &reading.to_string()),
     ]);
 }
 
 /// Returns whether `result` is of the edit that was appended at `appended`, or of an earlier copy.
-fn is_of(result: &EditResult, appended: Option<Offset>) -> bool {
+fn is_same_or_earlier(result: &EditResult, appended: Option<Offset>) -> bool {
     appended.is_none_or(|appended| result.offset <= appended)
 }
 
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -437,7 +437,7 @@
         self.0.fold().offset()
     }
 
-    fn take_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop> {
+    fn apply_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop> {
         self.0.fold().check_head(applied, page.next)?;
         for record in &page.records {
             let step = self.0.fold().apply(record.offset, record.at, &record.data);
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -98,7 +98,7 @@
 
     /// Merges a peer's state. The state of an agent has one service and no offset. Returns whether
     /// the configuration in force changed.
-    pub(crate) fn take_state(&self, view: &StateView) -> bool {
+    pub(crate) fn merge_state(&self, view: &StateView) -> bool {
         let applied = self.with_fold(|fold| {
             let applied = fold.restore(view);
             for state in view.services.values() {
@@ -106,7 +106,7 @@
             }
             applied
         });
-        self.note(&applied, None);
+        self.report_applied(&applied, None);
         self.publish()
     }
 
@@ -132,7 +132,7 @@
         true
     }
 
-    fn note(&self, applied: &[Applied], at: Option<SystemTime>) {
+    fn report_applied(&self, applied: &[Applied], at: Option<SystemTime>) {
         for applied in applied {
             match applied {
                 Applied::Accepted {
@@ -147,8 +147,8 @@
                         ("edit", edit_id),
                         ("revision", &revision),
                     ]);
-                    self.note_lag(service, at);
-                    self.await_live(service, at);
+                    self.observe_lag(service, at);
+                    self.track_live(service, at);
                 }
                 Applied::Refused {
                     service,
@@ -174,7 +174,7 @@
 
     /// Observes the time from a document's record until it is in force. Records older than the
     /// process are left out.
-    fn note_lag(&self, service: &str, at: Option<SystemTime>) {
+    fn observe_lag(&self, service: &str, at: Option<SystemTime>) {
         let Some(at) = at.filter(|at| *at >= self.started) else {
             return;
         };
@@ -188,7 +188,7 @@
     /// Starts to measure the time until an accepted edit's weights are live. Edits older than the
     /// process are left out: other entries measure them, and this one does not know when they
     /// came into force.
-    fn await_live(&self, service: &str, at: Option<SystemTime>) {
+    fn track_live(&self, service: &str, at: Option<SystemTime>) {
         if at.is_none_or(|at| at < self.started) {
             return;
         }
@@ -216,13 +216,13 @@
         self.with_fold(|fold| fold.offset())
     }
 
-    fn take_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop> {
+    fn apply_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop> {
         self.with_fold(|fold| fold.check_head(applied, page.next))?;
         let mut result = Ok(());
         for record in &page.records {
             let step = self.with_fold(|fold| fold.apply(record.offset, record.at, &record.data));
             match step {
-                Ok(applied) => self.note(&applied, Some(record.at)),
+                Ok(applied) => self.report_applied(&applied, Some(record.at)),
                 Err(stop) => {
                     result = Err(stop);
                     break;
--- a/crates/entry/src/follower.rs
+++ b/crates/entry/src/follower.rs
@@ -12,10 +12,10 @@
 use crate::metrics::Metrics;
 
 /// Maximum number of records in one page.
-const PAGE: usize = 200;
+const MAX_PAGE_RECORDS: usize = 200;
 
 /// How long the log may hold a poll. Periodic work of the sink is delayed by at most this time.
-const POLL: Duration = Duration::from_secs(1);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Consumer of the records of a stream.
 pub(crate) trait StreamSink: Sync {
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// Returns why the sink applies no more records.
-    fn take_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop>;
+    fn apply_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop>;
 
     /// Records that the log keeps only `first` to `next`. Returns whether unread records were lost.
     ///
@@ -57,23 +57,23 @@
     S: StreamSink,
 {
     let mut backoff = Backoff::new();
-    let mut away = false;
+    let mut unreachable = false;
     let mut check_again = false;
     loop {
         let applied = sink.applied();
         let from = sink.next(check_again);
-        let read = log.read(S::STREAM, from, PAGE, POLL);
+        let read = log.read(S::STREAM, from, MAX_PAGE_RECORDS, POLL_TIMEOUT);
         let Some(result) = cancel.run_until_cancelled(read).await else {
             return;
         };
         let result = match result {
-            Ok(page) => sink.take_page(&page, applied),
+            Ok(page) => sink.apply_page(&page, applied),
             Err(PlatformError::Gone { first, next }) => lapsed(sink, first, next, applied),
             Err(err) => {
-                if !away {
-                    report_away(S::STREAM, &err);
+                if !unreachable {
+                    report_unreachable(S::STREAM, &err);
                 }
-                away = true;
+                unreachable = true;
                 check_again = true;
                 sink.set_reading(false);
                 metrics
@@ -95,10 +95,10 @@
             sink.stopped(&stop);
             return;
         }
-        if away {
+        if unreachable {
             events::LOG_BACK.emit(&[("stream", S::STREAM)]);
         }
-        away = false;
+        unreachable = false;
         check_again = false;
         backoff.worked();
         sink.set_reading(true);
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-fn report_away(stream: &str, err: &PlatformError) {
+fn report_unreachable(stream: &str, err: &PlatformError) {
     let reason = err.to_string();
     events::LOG_AWAY.emit(&[("stream", stream), ("reason", &reason)]);
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -20,16 +20,16 @@
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Interval of pulls from peers while the configuration is unknown.
-const PULL_EVERY: Duration = Duration::from_millis(500);
+const INITIAL_PULL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval of pulls from peers once a configuration is known.
-const PULL_ON: Duration = Duration::from_secs(2);
+const PULL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Maximum number of peers that are asked in one round.
-const PULL_MOST: usize = 8;
+const MAX_PULLS_PER_ROUND: usize = 8;
 
 /// Interval at which the shares of limits are computed.
-const SHARES_EVERY: Duration = Duration::from_millis(200);
+const SHARES_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pulls the configuration from peers while the log can't be read.
 ///
@@ -46,8 +46,8 @@
     let agents = control.agents();
     let mut reading = book.reading();
     loop {
-        let away = reading.wait_for(|reading| !reading);
-        if !matches!(cancel.run_until_cancelled(away).await, Some(Ok(_))) {
+        let unreadable = reading.wait_for(|reading| !reading);
+        if !matches!(cancel.run_until_cancelled(unreadable).await, Some(Ok(_))) {
             return;
         }
         let mut addrs = vms.control_addrs(&data_centre);
@@ -58,19 +58,25 @@
         addrs.sort();
         addrs.dedup();
         rand::seq::SliceRandom::shuffle(addrs.as_mut_slice(), &mut rand::rng());
-        addrs.truncate(PULL_MOST);
+        addrs.truncate(MAX_PULLS_PER_ROUND);
         let pulls = addrs.iter().map(|addr| pull_state(*addr, PULL_TIMEOUT));
         let Some(answers) = cancel.run_until_cancelled(join_all(pulls)).await else {
             return;
         };
         for view in answers.into_iter().flatten() {
-            if book.take_state(&view) {
+            if book.merge_state(&view) {
                 let offset = view.offset.to_string();
                 events::STATE_PULLED.emit(&[("offset", &offset)]);
             }
         }
-        let pause = if book.is_known() { PULL_ON } else { PULL_EVERY };
-        let slept = cancel.run_until_cancelled(tokio::time::sleep(pause)).await;
+        let pull_interval = if book.is_known() {
+            PULL_INTERVAL
+        } else {
+            INITIAL_PULL_INTERVAL
+        };
+        let slept = cancel
+            .run_until_cancelled(tokio::time::sleep(pull_interval))
+            .await;
         if slept.is_none() {
             return;
         }
@@ -78,7 +84,7 @@
 }
 
 /// Merges configuration that peer entries have and this one lacks, until `cancel`.
-pub(crate) async fn follow_learned(
+pub(crate) async fn follow_peer_state(
     book: Arc<ConfigBook>,
     control: EntryControl,
     cancel: CancellationToken,
@@ -86,7 +92,7 @@
     let mut learned = control.learned();
     while let Some(Ok(())) = cancel.run_until_cancelled(learned.changed()).await {
         let view = learned.borrow_and_update().clone();
-        book.take_state(&view);
+        book.merge_state(&view);
     }
 }
 
@@ -112,7 +118,7 @@
 }
 
 /// Sends this entry's demand to peers and updates its shares of limits, until `cancel`.
-pub(crate) async fn deal_shares(
+pub(crate) async fn update_shares(
     services: Arc<Services>,
     control: EntryControl,
     vms: Arc<KnownVms>,
@@ -120,7 +126,7 @@
     cancel: CancellationToken,
 ) {
     let demands = control.demands();
-    let mut interval = tokio::time::interval(SHARES_EVERY);
+    let mut interval = tokio::time::interval(SHARES_INTERVAL);
     loop {
         if cancel.run_until_cancelled(interval.tick()).await.is_none() {
             return;
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -33,14 +33,14 @@
 
 /// How long the entry still answers new requests, with `leaving`, before the listener may close.
 /// Callers that send on a kept connection during the shutdown learn that their request was not run.
-const LAME_DUCK: Duration = Duration::from_millis(300);
+const MIN_LEAVING_TIME: Duration = Duration::from_millis(300);
 
 /// How much longer the listener stays open at most while callers still send requests. Unused connections of
 /// callers are closed by then.
-const LAST_CALLERS: Duration = LONGEST_UNUSED;
+const MAX_IDLE_WAIT: Duration = LONGEST_UNUSED;
 
 /// Time-out of each clean-up step at shutdown, such as appending the last claims and releases to the log.
-const SETTLE: Duration = Duration::from_secs(2);
+const CLEANUP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Where an entry listens, with the ports that the system chose for port 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
         let (callers, callers_addr) = listen(settings.listen.callers, "listen.callers").await?;
         let (admin, admin_addr) = listen(settings.listen.admin, "listen.admin").await?;
         let registry = Registry::new();
-        let cx = Arc::new(share(settings, registry)?);
+        let cx = Arc::new(new_shared(settings, registry)?);
         let addrs = EntryAddrs {
             callers: callers_addr,
             admin: admin_addr,
@@ -115,8 +115,8 @@
         self.cx.leaving.store(true, Ordering::Relaxed);
         events::LEAVING.emit(&[("vm", &self.cx.settings.vm)]);
         self.callers.enter(Phase::Leaving);
-        tokio::time::sleep(LAME_DUCK).await;
-        let unused_closed = Instant::now() + LAST_CALLERS;
+        tokio::time::sleep(MIN_LEAVING_TIME).await;
+        let unused_closed = Instant::now() + MAX_IDLE_WAIT;
         // New requests are still answered with `leaving`, and callers that keep a connection are told to close it.
         let _ = timeout_at(unused_closed.into(), self.callers.quiet()).await;
         self.callers.enter(Phase::Closing);
@@ -124,20 +124,20 @@
         self.cx.requests.wait().await;
         let _ = timeout_at(unused_closed.into(), self.callers.ended()).await;
         self.callers.enter(Phase::Ending);
-        let _ = tokio::time::timeout(SETTLE, self.callers.ended()).await;
+        let _ = tokio::time::timeout(CLEANUP_TIMEOUT, self.callers.ended()).await;
         self.cx.cleanups.close();
-        let _ = tokio::time::timeout(SETTLE, self.settle()).await;
+        let _ = tokio::time::timeout(CLEANUP_TIMEOUT, self.flush_claims()).await;
         self.cx.cancel.cancel();
         self.tasks.close();
         self.tasks.wait().await;
         self.admin.enter(Phase::Closing);
-        let _ = tokio::time::timeout(SETTLE, self.admin.ended()).await;
+        let _ = tokio::time::timeout(CLEANUP_TIMEOUT, self.admin.ended()).await;
         self.cx.control.stop();
         events::STOPPED.emit(&[("vm", &self.cx.settings.vm)]);
     }
 
     /// Waits until cancels are answered and all released claims are in the log.
-    async fn settle(&self) {
+    async fn flush_claims(&self) {
         self.cx.cleanups.wait().await;
         while !self.cx.claims.is_settled() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -156,7 +156,7 @@
     bind(addr).await.context(ListenSnafu { addr, setting })
 }
 
-fn share(settings: EntrySettings, registry: Registry) -> Result<Shared, EntryError> {
+fn new_shared(settings: EntrySettings, registry: Registry) -> Result<Shared, EntryError> {
     let metrics = Metrics::register(&registry).context(MetricsSnafu)?;
     let incarnation = incarnation();
     let control_cfg = EntryControlConfig {
@@ -240,7 +240,7 @@
         every: cx.settings.config.snapshot_every,
         max_age: cx.settings.config.snapshot_max_age,
     };
-    tasks.spawn(snapshots::keep_snapshots(
+    tasks.spawn(snapshots::append_due_snapshots(
         log.clone(),
         Arc::clone(&cx.book),
         Arc::clone(&known),
@@ -256,7 +256,7 @@
         cx.settings.data_centre.clone(),
         cancel(),
     ));
-    tasks.spawn(peers::follow_learned(
+    tasks.spawn(peers::follow_peer_state(
         Arc::clone(&cx.book),
         cx.control.clone(),
         cancel(),
@@ -267,7 +267,7 @@
         cx.control.clone(),
         cancel(),
     ));
-    tasks.spawn(peers::deal_shares(
+    tasks.spawn(peers::update_shares(
         Arc::clone(&cx.services),
         cx.control.clone(),
         known,
--- a/crates/entry/src/services.rs
+++ b/crates/entry/src/services.rs
@@ -19,11 +19,11 @@
     metrics: Metrics,
     services: RwLock<BTreeMap<ServiceName, Arc<Service>>>,
     /// The latest reports and VMs, for services that are created later.
-    last: Mutex<Last>,
+    latest: Mutex<LatestInputs>,
 }
 
 #[derive(Debug, Default)]
-struct Last {
+struct LatestInputs {
     agents: AgentViews,
     vms: Vec<VmEntry>,
 }
@@ -36,7 +36,7 @@
             region,
             metrics,
             services: RwLock::default(),
-            last: Mutex::default(),
+            latest: Mutex::default(),
         }
     }
 
@@ -55,14 +55,14 @@
     /// Puts a configuration in force.
     pub(crate) fn apply(&self, view: &StateView) {
         for (name, state) in &view.services {
-            let service = self.get_or_make(name);
+            let service = self.get_or_create(name);
             service.set_document(state.document.as_deref());
         }
     }
 
     /// Applies the agents' latest reports.
     pub(crate) fn reports(&self, agents: &AgentViews) {
-        self.last().agents = Arc::clone(agents);
+        self.latest().agents = Arc::clone(agents);
         let mut by_service: BTreeMap<&str, Vec<&AgentView>> = BTreeMap::new();
         for view in agents.values() {
             by_service
@@ -79,13 +79,13 @@
 
     /// Applies the list of VMs.
     pub(crate) fn list(&self, vms: &[VmEntry]) {
-        self.last().vms = vms.to_vec();
+        self.latest().vms = vms.to_vec();
         for service in self.all() {
             service.list(vms);
         }
     }
 
-    fn get_or_make(&self, name: &str) -> Arc<Service> {
+    fn get_or_create(&self, name: &str) -> Arc<Service> {
         if let Some(service) = self.get(name) {
             return service;
         }
@@ -104,9 +104,9 @@
             .unwrap_or_else(PoisonError::into_inner);
         services.insert(name.to_owned(), Arc::clone(&service));
         drop(services);
-        let last = self.last();
-        service.list(&last.vms);
-        let views: Vec<&AgentView> = last
+        let latest = self.latest();
+        service.list(&latest.vms);
+        let views: Vec<&AgentView> = latest
             .agents
             .values()
             .filter(|view| view.report.service == name)
@@ -115,7 +115,7 @@
         service
     }
 
-    fn last(&self) -> std::sync::MutexGuard<'_, Last> {
-        self.last.lock().unwrap_or_else(PoisonError::into_inner)
+    fn latest(&self) -> std::sync::MutexGuard<'_, LatestInputs> {
+        self.latest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/snapshots.rs
+++ b/crates/entry/src/snapshots.rs
@@ -14,10 +14,10 @@
 use crate::vms::KnownVms;
 
 /// How much longer each rank waits; the snapshot of the rank before is read by then.
-const STEP: Duration = Duration::from_secs(3);
+const RANK_DELAY: Duration = Duration::from_secs(3);
 
 /// Appends snapshots when they are due, until `cancel`.
-pub(crate) async fn keep_snapshots<L>(
+pub(crate) async fn append_due_snapshots<L>(
     log: L,
     book: Arc<ConfigBook>,
     vms: Arc<KnownVms>,
@@ -41,7 +41,7 @@
         }
         let names = vms.entry_names();
         let at = book.applied();
-        let wait = snapshot_wait(names.iter().map(String::as_str), &me, at, STEP);
+        let wait = snapshot_wait(names.iter().map(String::as_str), &me, at, RANK_DELAY);
         let waited = cancel.run_until_cancelled(tokio::time::sleep(wait)).await;
         if waited.is_none() {
             return;
--- a/crates/entry/src/vms.rs
+++ b/crates/entry/src/vms.rs
@@ -16,7 +16,7 @@
 use crate::services::Services;
 
 /// How long the list may hold a poll.
-const POLL: Duration = Duration::from_secs(1);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The last known list of VMs.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
 }
 
 impl VmConsumers {
-    fn take(&self, page: VmListPage) {
+    fn apply(&self, page: VmListPage) {
         let (entries, upstreams): (Vec<VmEntry>, Vec<VmEntry>) = page
             .vms
             .iter()
@@ -86,30 +86,33 @@
     V: VmList,
 {
     let mut backoff = Backoff::new();
-    let mut away = false;
+    let mut unreachable = false;
     let mut since = None;
     loop {
-        let Some(result) = cancel.run_until_cancelled(list.list(since, POLL)).await else {
+        let Some(result) = cancel
+            .run_until_cancelled(list.list(since, POLL_TIMEOUT))
+            .await
+        else {
             return;
         };
         match result {
             Ok(page) => {
-                if away {
+                if unreachable {
                     events::VM_LIST_BACK.emit(&[]);
                 }
-                away = false;
+                unreachable = false;
                 backoff.worked();
                 if let Some(page) = page {
                     since = Some(page.version);
-                    consumers.take(page);
+                    consumers.apply(page);
                 }
             }
             Err(err) => {
-                if !away {
+                if !unreachable {
                     let reason = err.to_string();
                     events::VM_LIST_AWAY.emit(&[("reason", &reason)]);
                 }
-                away = true;
+                unreachable = true;
                 // The list may start over with lower versions when it comes back.
                 since = None;
                 let wait = backoff.failed(err.retry_after());
