--- a/crates/entry/src/admin/auth.rs
+++ b/crates/entry/src/admin/auth.rs
@@ -1,4 +1,4 @@
-//! Who may administer a service.
+//! Authorization of teams to administer a service.
 
 use axum::Json;
 use axum::response::{IntoResponse, Response};
@@ -10,12 +10,12 @@
 use crate::front::bearer;
 use crate::shared::Shared;
 
-/// A request that is refused before it is looked at.
+/// Why a request is refused before it is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Forbidden {
-    /// No known token.
+    /// The request has no known token.
     Unknown,
-    /// Another team's service.
+    /// The service belongs to another team.
     NotOwner,
 }
 
@@ -28,7 +28,7 @@
             ),
             Self::NotOwner => (
                 StatusCode::FORBIDDEN,
-                "the service is not among the team's: check its name and the settings",
+                "the service does not belong to the team: check the name and the settings",
             ),
         };
         (status, Json(json!({ "error": error }))).into_response()
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// Returns why it may not.
+/// Returns a [`Forbidden`] if the token is unknown or the service is another team's.
 pub(crate) fn authorize(
     cx: &Shared,
     headers: &HeaderMap,
--- a/crates/entry/src/admin/documents.rs
+++ b/crates/entry/src/admin/documents.rs
@@ -1,4 +1,4 @@
-//! Reading and checking documents, and how a rollout goes.
+//! Reading and checking documents, and the progress of a rollout.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     document: Option<&'a Document>,
 }
 
-/// How far one service is at each VM.
+/// Progress of one service's rollout at each VM.
 #[derive(Serialize)]
 struct Rollout {
     service: ServiceName,
@@ -51,15 +51,15 @@
 #[derive(Serialize)]
 struct RolloutVm {
     vm: VmId,
-    /// Whether this entry sends it requests.
+    /// Whether this entry sends requests to the VM.
     standing: String,
-    /// Time since its last report, in milliseconds.
+    /// Time since the VM's last report, in milliseconds.
     age_ms: u64,
-    /// Revision that the agent has taken.
+    /// Configuration offset that the agent has applied.
     config: Offset,
-    /// Phase of the service's epoch; none if the agent does not hold or fetch it.
+    /// Phase of the service's epoch, or `None` if the agent neither holds nor fetches it.
     phase: Option<WeightsPhase>,
-    /// Chunks that are there, and how many there are in all.
+    /// Number of chunks present, and of all chunks.
     chunks: (u32, u32),
     open: Option<Epoch>,
     open_weights: Option<Digest>,
@@ -111,7 +111,7 @@
     })
 }
 
-/// Answers with the latest edits and what became of them, newest first.
+/// Answers with the latest edits and their results, newest first.
 pub(crate) async fn history<L>(
     State(admin): State<Admin<L>>,
     Path(service): Path<String>,
@@ -125,7 +125,7 @@
     Ok(Json(json!({ "service": service, "edits": history })).into_response())
 }
 
-/// Answers with how far the service is at each VM, as this entry knows it.
+/// Answers with the rollout's progress at each VM, as known to this entry.
 pub(crate) async fn rollout<L>(
     State(admin): State<Admin<L>>,
     Path(service): Path<String>,
--- a/crates/entry/src/admin/health.rs
+++ b/crates/entry/src/admin/health.rs
@@ -22,12 +22,12 @@
     }
 }
 
-/// Answers while the process lives.
+/// Answers as long as the process runs.
 pub(crate) async fn healthz() -> &'static str {
     "ok"
 }
 
-/// Says whether the balancer should send requests here.
+/// Answers whether the load balancer should send requests to this entry.
 pub(crate) async fn readyz<L>(State(admin): State<Admin<L>>) -> Response
 where
     L: LogService,
--- a/crates/entry/src/admin/mod.rs
+++ b/crates/entry/src/admin/mod.rs
@@ -17,7 +17,7 @@
 use crate::leftover::read_rest;
 use crate::shared::Shared;
 
-/// What the handlers share.
+/// State that the handlers share.
 #[derive(Clone, Debug)]
 pub(crate) struct Admin<L> {
     pub(crate) cx: Arc<Shared>,
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -14,31 +14,31 @@
     /// A listener can't be opened.
     #[snafu(display("can't listen on {addr}: {source}; set a free address for `{setting}`"))]
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         addr: SocketAddr,
-        /// The setting that names it.
+        /// The setting that gives the address.
         setting: &'static str,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// An address of the platform is no URL.
+    /// An address of the platform is not a URL.
     #[snafu(display("{source} in `{setting}`"))]
     Url {
-        /// The setting.
+        /// The setting that gives the address.
         setting: &'static str,
-        /// What is wrong.
+        /// The fault of the URL.
         source: BaseUrlError,
     },
     /// The control protocol can't be started.
     #[snafu(display("{source}"))]
     Control {
-        /// What is wrong.
+        /// The error of the control protocol.
         source: ControlError,
     },
     /// A metric is registered twice.
     #[snafu(display("can't register metrics: {source}; give each process one registry"))]
     Metrics {
-        /// What the registry says.
+        /// The registry's error.
         source: prometheus::Error,
     },
 }
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -2,7 +2,7 @@
 
 use wagtailreel_telemetry::{Event, Level};
 
-/// The entry answers callers.
+/// The entry has started to answer callers.
 pub const STARTED: Event = Event {
     id: 1001,
     name: "entry-started",
@@ -17,7 +17,7 @@
     name: "entry-leaving",
     level: Level::Info,
     meaning: "The entry takes no new requests and finishes those in flight.",
-    remedy: "Nothing; wait for `entry-stopped` before the VM is taken away.",
+    remedy: "Nothing; wait for `entry-stopped` before the VM is removed.",
 };
 
 /// The entry has ended.
@@ -34,8 +34,8 @@
     id: 1010,
     name: "log-away",
     level: Level::Warn,
-    meaning: "A stream of the platform's log can't be read; the entry serves what it knows.",
-    remedy: "Look at the log service. Documents and marked orders are refused until it is back.",
+    meaning: "A stream of the platform's log can't be read; the entry serves its last known state.",
+    remedy: "Check the log service. Documents and marked orders are refused until it is back.",
 };
 
 /// A stream of the log can be read again.
@@ -52,18 +52,18 @@
     id: 1012,
     name: "log-lapsed",
     level: Level::Warn,
-    meaning: "Records lapsed before the entry had read them; it goes on from a snapshot or peer.",
-    remedy: "Nothing, unless it lasts: then see whether entries append snapshots.",
+    meaning: "Records lapsed before the entry read them; it continues from a snapshot or peer.",
+    remedy: "Nothing, unless it lasts: then check whether entries append snapshots.",
 };
 
-/// A fold stopped.
+/// A fold stopped for good.
 pub const LOG_STOPPED: Event = Event {
     id: 1013,
     name: "log-stopped",
     level: Level::Error,
-    meaning: "The log is not the one that was applied, or has a record that can't be read. The \
-              entry serves what it has and applies nothing more.",
-    remedy: "Do as the reason says.",
+    meaning: "The log differs from the one that was applied, or has a record that can't be read. \
+              The entry serves its last known state and applies no more records.",
+    remedy: "Follow the advice in the reason.",
 };
 
 /// A new configuration is in force at this entry.
@@ -80,8 +80,8 @@
     id: 1015,
     name: "edit-refused",
     level: Level::Info,
-    meaning: "An edit lost against another or did not fit its base.",
-    remedy: "Read the document again and edit that.",
+    meaning: "An edit lost against another edit or did not match its base.",
+    remedy: "Read the document again and edit the new version.",
 };
 
 /// A snapshot was appended.
@@ -93,12 +93,12 @@
     remedy: "Nothing.",
 };
 
-/// A snapshot says something else than the fold.
+/// A snapshot contradicts the fold.
 pub const SNAPSHOT_CONTRADICTS: Event = Event {
     id: 1017,
     name: "snapshot-contradicts",
     level: Level::Error,
-    meaning: "A snapshot in the log says something else than this entry read. It was passed over.",
+    meaning: "A snapshot in the log contradicts what this entry has read. It was ignored.",
     remedy: "Compare the service's document at several entries; replace the one that differs.",
 };
 
@@ -107,7 +107,7 @@
     id: 1018,
     name: "state-pulled",
     level: Level::Info,
-    meaning: "The entry took its configuration from a peer.",
+    meaning: "The entry merged configuration from a peer.",
     remedy: "Nothing.",
 };
 
@@ -116,8 +116,8 @@
     id: 1019,
     name: "append-failed",
     level: Level::Warn,
-    meaning: "The log did not take a record, or its answer was lost.",
-    remedy: "Look at the log service.",
+    meaning: "The log did not accept a record, or its answer was lost.",
+    remedy: "Check the log service.",
 };
 
 /// The list of VMs can't be read.
@@ -126,7 +126,7 @@
     name: "vm-list-away",
     level: Level::Warn,
     meaning: "The platform's list of VMs can't be read; the last known one is used.",
-    remedy: "Look at the list of VMs.",
+    remedy: "Check the platform's list of VMs.",
 };
 
 /// The list of VMs can be read again.
@@ -165,21 +165,21 @@
     remedy: "Check `services` of the team in the settings.",
 };
 
-/// An upstream changed its standing.
+/// An attempt at an upstream failed.
 pub const UPSTREAM_FAILED: Event = Event {
     id: 1040,
     name: "upstream-failed",
     level: Level::Warn,
-    meaning: "A request did not reach an upstream, or its answer broke off.",
-    remedy: "Look at the agent on that VM and at the link to it.",
+    meaning: "A request did not reach an upstream, or its answer was cut off.",
+    remedy: "Check the agent on that VM and the link to it.",
 };
 
-/// A stream is continued elsewhere.
+/// A stream is resumed at a replica.
 pub const STREAM_RESUMED: Event = Event {
     id: 1041,
     name: "stream-resumed",
     level: Level::Info,
-    meaning: "A stream that broke off goes on at a replica of the same weights.",
+    meaning: "A stream that was cut off is resumed at a replica of the same weights.",
     remedy: "Nothing.",
 };
 
@@ -188,16 +188,16 @@
     id: 1042,
     name: "outcome-unknown",
     level: Level::Warn,
-    meaning: "A caller was told that it is not known whether the request ran to its end.",
-    remedy: "Look at the upstream that had the request.",
+    meaning: "The entry does not know whether a request ran to its end, and told the caller so.",
+    remedy: "Check the upstream that had the request.",
 };
 
-/// An order was given up.
+/// Claims on orders were released.
 pub const ORDER_RELEASED: Event = Event {
     id: 1050,
     name: "order-released",
     level: Level::Info,
-    meaning: "The entry gives up claims on orders that it never dispatched.",
+    meaning: "The entry releases claims on orders that it never dispatched.",
     remedy: "Nothing.",
 };
 
@@ -206,19 +206,19 @@
     id: 1060,
     name: "document-submitted",
     level: Level::Info,
-    meaning: "A team submitted a document; the event says what became of it.",
+    meaning: "A team submitted a document; the event gives the result.",
     remedy: "Nothing.",
 };
 
-/// An edit was appended, and not read back in time.
+/// An appended edit was not read back in time.
 pub const EDIT_UNREAD: Event = Event {
     id: 1061,
     name: "edit-unread",
     level: Level::Warn,
-    meaning: "An edit was not read back in time: `appended` is its place if the log said it, `applied` \
-              the last place that the fold took, `in_force` the last one put in force, `log_end` and \
-              `reading` what the last read of the log said.",
-    remedy: "Where `applied` is behind `appended`, look at the entry's link to the log.",
+    meaning: "An edit was not read back in time: `appended` is its offset if the log returned it, \
+              `applied` the last offset that the fold applied, `in_force` the last one put in force, \
+              `log_end` the end of the log at the last read, `reading` whether the log can be read.",
+    remedy: "If `applied` is behind `appended`, check the entry's link to the log.",
 };
 
 /// All events of the entry.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The entry process: the callers' front, the administration API, and the log's follower.
+//! The entry process: the listener for callers, the administration API, and the follower of the log.
 //!
-//! The decisions are in `wagtailreel-route` and `wagtailreel-fold`; this is the shell that carries
-//! them out. [`EntryProcess`] starts and stops it.
+//! `wagtailreel-route` and `wagtailreel-fold` make the decisions; this crate does the input and output
+//! for them. [`EntryProcess`] starts and stops an entry.
 
 mod admin;
 mod backoff;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -7,14 +7,14 @@
 };
 use wagtailreel_core::{NotRunReason, Outcome};
 
-/// Bounds in seconds, from a millisecond to ten seconds. The usual objectives (0.066 between
-/// tokens, 0.32 to the first) are bounds, so that the burn report need not interpolate there.
+/// Bucket bounds in seconds, from a millisecond to ten seconds. The usual objectives (0.066 between
+/// tokens, 0.32 to the first token) are bounds, so that the burn report need not interpolate there.
 const BUCKETS: &[f64] = &[
     0.001, 0.002, 0.004, 0.008, 0.016, 0.033, 0.066, 0.1, 0.16, 0.32, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// Bounds in seconds of the time to live: a bring-up takes seconds to minutes. The usual objective
-/// (300) is a bound.
+/// Bucket bounds in seconds of the time until new weights are live, which takes seconds to minutes.
+/// The usual objective (300) is a bound.
 const LIVE_BUCKETS: &[f64] = &[
     0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 30.0, 60.0, 120.0, 180.0, 240.0, 300.0, 450.0, 600.0, 900.0,
 ];
@@ -42,7 +42,7 @@
     pub(crate) log_errors: IntCounterVec,
 }
 
-/// The times of one customer's streams of one service, looked up once a stream.
+/// Histograms of one customer's streams of one service, looked up once per stream.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamTimes {
     pub(crate) first_token: Histogram,
@@ -50,7 +50,7 @@
 }
 
 impl Metrics {
-    /// Returns where the times of a stream are counted.
+    /// Returns the histograms for the times of a stream.
     pub(crate) fn stream_times(&self, service: &str, customer: &str) -> StreamTimes {
         let labels = [service, customer];
         StreamTimes {
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Makes the metrics and registers them.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// Returns what `prometheus` says if a name is taken.
+    /// Returns the error of `prometheus` if a name is already registered.
     pub(crate) fn register(registry: &Registry) -> Result<Self, prometheus::Error> {
         Ok(Self {
             requests: counters(
@@ -96,37 +96,37 @@
             admission_wait: histograms(
                 registry,
                 "wagtailreel_admission_wait_seconds",
-                "Time that admitted requests waited for room.",
+                "Time that admitted requests waited for capacity.",
                 BUCKETS,
                 &["service"],
             )?,
             attempts: counters(
                 registry,
                 "wagtailreel_attempts_total",
-                "Attempts by how they ended.",
+                "Attempts by their result.",
                 &["service", "ended"],
             )?,
             resumes: counters(
                 registry,
                 "wagtailreel_resumes_total",
-                "Streams that went on at a replica.",
+                "Streams that were resumed at a replica.",
                 &["service"],
             )?,
             callers_gone: counters(
                 registry,
                 "wagtailreel_callers_gone_total",
-                "Requests whose callers went away before the answer was whole.",
+                "Requests whose callers disconnected before the answer was complete.",
                 &["service"],
             )?,
             in_flight: gauges(
                 registry,
                 "wagtailreel_requests_in_flight",
-                "Admitted requests that are not over.",
+                "Admitted requests that have not ended.",
             )?,
             waiting: gauges(
                 registry,
                 "wagtailreel_requests_waiting",
-                "Requests that wait for room.",
+                "Requests that wait for capacity.",
             )?,
             claims: counters(
                 registry,
@@ -137,7 +137,7 @@
             claim_wait: histogram(
                 registry,
                 "wagtailreel_claim_seconds",
-                "Time from a claim to its reading back.",
+                "Time until a claim is read back from the log.",
             )?,
             config_offset: gauge(
                 registry,
@@ -157,15 +157,15 @@
             in_force_lag: histograms(
                 registry,
                 "wagtailreel_config_in_force_seconds",
-                "Time from a document's record to its being in force at this entry.",
+                "Time from a document's record until the document is in force at this entry.",
                 BUCKETS,
                 &["service"],
             )?,
             time_to_live: histograms(
                 registry,
                 "wagtailreel_time_to_live_seconds",
-                "Time from a new epoch's being in force at this entry to its being open at the \
-                 wanted VMs of every data centre.",
+                "Time from when a new epoch is in force at this entry until it is open at the \
+                 required VMs of every data centre.",
                 LIVE_BUCKETS,
                 &["service"],
             )?,
@@ -193,7 +193,7 @@
             .inc();
     }
 
-    /// Notes how long a request waited at a switch.
+    /// Observes how long a request waited for a switch.
     pub(crate) fn switch_waited(&self, service: &str, wait: Duration) {
         self.switch_wait
             .with_label_values(&[service])
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State that all requests of an entry share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,7 +18,7 @@
 use crate::metrics::Metrics;
 use crate::services::Services;
 
-/// What all requests share.
+/// State that all requests share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
@@ -33,7 +33,7 @@
     pub(crate) services: Arc<Services>,
     pub(crate) live: Arc<TimeToLive>,
     pub(crate) claims: Arc<Claims>,
-    /// Requests in flight, streams to callers included.
+    /// Requests in flight, including streams to callers.
     pub(crate) requests: TaskTracker,
     /// Cancels and releases that outlive their request.
     pub(crate) cleanups: TaskTracker,
@@ -43,18 +43,18 @@
 }
 
 impl Shared {
-    /// Returns an id that no other request of any entry has.
+    /// Returns an id that is unique among the requests of all entries.
     pub(crate) fn new_request_id(&self) -> RequestId {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.settings.vm, self.incarnation)
     }
 
-    /// Says whether the entry takes no new requests.
+    /// Returns whether the entry refuses new requests because it shuts down.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Returns the longest wait at a switch: twice the lease.
+    /// Returns the longest time that a request waits for a switch: twice the lease.
     pub(crate) fn switch_wait(&self) -> Duration {
         self.settings.lease * 2
     }
--- a/crates/entry/src/snapshots.rs
+++ b/crates/entry/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Appends the state to the log before the records that it stands for lapse.
+//! Appends snapshots of the state to the log before the records that they replace lapse.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -13,7 +13,7 @@
 use crate::follower::StreamSink as _;
 use crate::vms::KnownVms;
 
-/// How much longer each rank waits; the snapshot of the rank before is read by then.
+/// How much longer each rank waits than the one before, whose snapshot is read by then.
 const RANK_DELAY: Duration = Duration::from_secs(3);
 
 /// Appends snapshots when they are due, until `cancel`.
@@ -75,7 +75,7 @@
             let offset = offset.to_string();
             events::SNAPSHOT_APPENDED.emit(&[("offset", &offset)]);
         }
-        // It may be in the log all the same; a second one does no harm.
+        // The snapshot may be in the log nevertheless; a second one does no harm.
         Err(err) => report_failed(&err.to_string()),
     }
 }
--- a/crates/entry/src/vms.rs
+++ b/crates/entry/src/vms.rs
@@ -25,7 +25,7 @@
 }
 
 impl KnownVms {
-    /// Returns the names of the entries that stay.
+    /// Returns the names of the entries that are not leaving.
     pub(crate) fn entry_names(&self) -> BTreeSet<VmId> {
         self.lock()
             .iter()
@@ -48,7 +48,7 @@
     }
 }
 
-/// The parts of the entry that are handed each new list.
+/// The parts of the entry that receive each new list.
 #[derive(Clone, Debug)]
 pub(crate) struct VmConsumers {
     pub(crate) me: VmId,
@@ -113,7 +113,7 @@
                     events::VM_LIST_AWAY.emit(&[("reason", &reason)]);
                 }
                 unreachable = true;
-                // The list may start over with lower versions when it comes back.
+                // The list may restart with lower versions once it can be read again.
                 since = None;
                 let wait = backoff.failed(err.retry_after());
                 let slept = cancel.run_until_cancelled(tokio::time::sleep(wait)).await;
