--- a/crates/entry/src/admin/submit.rs
+++ b/crates/entry/src/admin/submit.rs
@@ -201,7 +201,8 @@
         Some(submitted) => submitted,
         None => {
             report_unread(book, service, edit, appended);
-            let reason = "the edit was not read back from the log in time: send it again with the same id";
+            let reason =
+                "the edit was not read back from the log in time: send it again with the same id";
             Submitted::Failed(Outcome::Unknown, reason.to_owned())
         }
     }
@@ -235,7 +236,8 @@
     if let Some(state) = state.filter(|state| state.revision == appended) {
         return Some(accepted(state.revision, state.epoch, edit, &state.team));
     }
-    let reason = "a peer's state includes the edit, but not its result: send it again with the same id";
+    let reason =
+        "a peer's state includes the edit, but not its result: send it again with the same id";
     Some(Submitted::Failed(Outcome::Unknown, reason.to_owned()))
 }
 
--- a/crates/entry/tests/administration.rs
+++ b/crates/entry/tests/administration.rs
@@ -1,4 +1,4 @@
-//! Documents are submitted, refused, and seen.
+//! Submitting, refusing and reading documents.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -44,7 +44,7 @@
     bench.stop().await;
 }
 
-/// An entry that has not read the base yet waits for it rather than refuse the edit.
+/// An entry that has not read the base yet waits for it instead of refusing the edit.
 #[tokio::test(flavor = "multi_thread")]
 async fn base_ahead() {
     let bench = Bench::start(SERVICE, 1, &[]).await;
@@ -106,7 +106,7 @@
     bench.stop().await;
 }
 
-/// A log that comes back shorter is not applied on top of what is in force.
+/// A log that is shorter after an outage is not applied on top of the configuration in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn shorter_log() {
     let bench = Bench::start(SERVICE, 1, &["u1"]).await;
@@ -139,7 +139,7 @@
 #[case::other_service(Some(TOKEN), "order-desk", 403)]
 #[case::own_service(Some(TOKEN), SERVICE, 422)]
 #[tokio::test(flavor = "multi_thread")]
-async fn who_may(#[case] token: Option<&str>, #[case] service: &str, #[case] status: u16) {
+async fn authorization(#[case] token: Option<&str>, #[case] service: &str, #[case] status: u16) {
     let mut bench = Bench::empty();
     bench.add_entry().await;
     for rest in ["/check", "/document?base=0&edit=first"] {
--- a/crates/entry/tests/answers.rs
+++ b/crates/entry/tests/answers.rs
@@ -1,9 +1,9 @@
-//! Each caller gets the whole answer to its own request, or is told so.
+//! Each caller gets the whole answer to its own request, or an error.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
-use common::agent::{Act, weights};
+use common::agent::{Action, weights};
 use common::caller::{Answer, Request};
 use common::{Bench, PLAIN, SERVICE, until};
 use insta::assert_snapshot;
@@ -34,14 +34,15 @@
     bench.stop().await;
 }
 
-/// However a stream breaks off, the caller sees each token once and the end only when it is whole.
+/// A stream that is cut off in any way is resumed: the caller gets each token once, and the end only
+/// after all tokens.
 #[rstest]
-#[case::connection_cut(Act::Cut(3), "3")]
-#[case::before_token(Act::Cut(0), "")]
-#[case::end_missing(Act::EndEarly(5), "5")]
-#[case::token_missing(Act::Skip(2), "2")]
+#[case::connection_cut(Action::Cut(3), "3")]
+#[case::before_token(Action::Cut(0), "")]
+#[case::end_missing(Action::EndEarly(5), "5")]
+#[case::token_missing(Action::Skip(2), "2")]
 #[tokio::test(flavor = "multi_thread")]
-async fn resumed_whole(#[case] first: Act, #[case] from: &str) {
+async fn resumed_whole(#[case] first: Action, #[case] from: &str) {
     let bench = two_agents().await;
     bench.script([first]);
     let answer = Request::generate(bench.callers(0), 5).send().await;
@@ -55,22 +56,25 @@
     bench.stop().await;
 }
 
-/// An agent that falls silent in mid-stream is given up on, and the stream goes on elsewhere.
+/// If the reports of an agent stop during a stream, the entry resumes the stream at another agent.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_agent() {
     let bench = two_agents().await;
-    bench.script([Act::Hold]);
-    let asked = tokio::spawn(Request::generate(bench.callers(0), 5).send());
-    until("the request is in", || async { bench.runs().len() == 1 }).await;
+    bench.script([Action::Hold]);
+    let sent = tokio::spawn(Request::generate(bench.callers(0), 5).send());
+    until("the request has arrived", || async {
+        bench.runs().len() == 1
+    })
+    .await;
     let vm = bench.runs()[0].vm.clone();
     let silent = bench.agents.iter().find(|agent| agent.listed().vm == vm);
     silent.unwrap().control.stop();
-    assert_snapshot!("resumed_whole", asked.await.unwrap().session());
+    assert_snapshot!("resumed_whole", sent.await.unwrap().session());
     assert_eq!(bench.runs().len(), 2);
     bench.stop().await;
 }
 
-/// Whoever says first that an upstream leaves, it gets nothing new.
+/// An upstream gets no new requests once the list of VMs or its own report says that it is leaving.
 #[rstest]
 #[case::listed(|bench: &Bench| bench.vms.leave("u1"))]
 #[case::reported(|bench: &Bench| bench.agents[0].set_report(|report| report.leaving = true))]
@@ -78,7 +82,7 @@
 async fn leaving_upstream(#[case] leave: fn(&Bench)) {
     let bench = two_agents().await;
     leave(&bench);
-    until("the entry knows", || async {
+    until("the entry knows that the upstream is leaving", || async {
         let rollout = bench.rollout(0, SERVICE).await;
         rollout["data_centres"]["quito-hall"]["vms"][0]["standing"] == "leaving"
     })
@@ -93,22 +97,23 @@
     bench.stop().await;
 }
 
-/// What is over the capacity waits within bounds, and the rest hears so at once.
+/// Requests over the capacity wait in a bounded queue, and requests over its bound are refused at once.
+/// A request of high priority displaces one of low priority.
 #[tokio::test(flavor = "multi_thread")]
 async fn full_service() {
     let bench = Bench::start(SERVICE, 1, &["u1"]).await;
-    bench.script(vec![Act::Hold; 8]);
-    let ask = |priority: &str| {
+    bench.script(vec![Action::Hold; 8]);
+    let with_priority = |priority: &str| {
         Request::generate(bench.callers(0), 2)
             .with("wagtailreel-priority", priority)
             .with("wagtailreel-deadline-ms", "20000")
     };
     let mut held = Vec::new();
     for _ in 0..8 {
-        held.push(ask("high").open().await);
+        held.push(with_priority("high").open().await);
     }
-    let low = tokio::spawn(ask("low").send());
-    let waits = |count: u32| {
+    let low = tokio::spawn(with_priority("low").send());
+    let until_waiting = |count: u32| {
         let admin = bench.admin(0);
         until("requests wait", move || async move {
             let metrics = Request::get(admin, "/metrics").send().await.text();
@@ -116,15 +121,18 @@
             metrics.contains(&line)
         })
     };
-    waits(1).await;
+    until_waiting(1).await;
     let high = [
-        tokio::spawn(ask("high").send()),
-        tokio::spawn(ask("high").send()),
+        tokio::spawn(with_priority("high").send()),
+        tokio::spawn(with_priority("high").send()),
     ];
-    let gave_way = low.await.unwrap();
-    assert_eq!(gave_way.verdict(), "429 not-run full");
-    waits(2).await;
-    assert_eq!(ask("high").send().await.verdict(), "429 not-run full");
+    let displaced = low.await.unwrap();
+    assert_eq!(displaced.verdict(), "429 not-run full");
+    until_waiting(2).await;
+    assert_eq!(
+        with_priority("high").send().await.verdict(),
+        "429 not-run full"
+    );
     bench.agents[0].release();
     for response in held {
         assert!(Answer::read(response).await.session().contains("end "));
@@ -137,9 +145,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_for_good() {
+async fn cut_without_replica() {
     let bench = Bench::start(SERVICE, 1, &["u1"]).await;
-    bench.script([Act::Cut(3)]);
+    bench.script([Action::Cut(3)]);
     let answer = Request::generate(bench.callers(0), 5).send().await;
     assert!(answer.is_whole);
     assert_snapshot!(answer.session());
@@ -147,11 +155,11 @@
 }
 
 #[rstest]
-#[case::full(Act::Refuse(NotRunReason::Full))]
-#[case::leaving(Act::Refuse(NotRunReason::Leaving))]
-#[case::lost(Act::Drop)]
+#[case::full(Action::Refuse(NotRunReason::Full))]
+#[case::leaving(Action::Refuse(NotRunReason::Leaving))]
+#[case::lost(Action::Drop)]
 #[tokio::test(flavor = "multi_thread")]
-async fn tried_elsewhere(#[case] first: Act) {
+async fn tried_elsewhere(#[case] first: Action) {
     let bench = two_agents().await;
     bench.script([first]);
     for agent in &bench.agents {
@@ -193,8 +201,8 @@
             .all(|vm| vm["open"].is_null())
     })
     .await;
-    let asked = tokio::spawn(Request::generate(bench.callers(0), 2).send());
-    until("the request is in", || async {
+    let sent = tokio::spawn(Request::generate(bench.callers(0), 2).send());
+    until("the request is in flight", || async {
         let metrics = Request::get(bench.admin(0), "/metrics").send().await;
         let text = metrics.text();
         text.contains("wagtailreel_requests_in_flight{service=\"scribes\"} 1")
@@ -202,7 +210,7 @@
     .await;
     assert!(bench.runs().is_empty());
     bench.agents[1].set_report(|report| report.open = Some(1));
-    let answer = asked.await.unwrap();
+    let answer = sent.await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text());
     assert_eq!(bench.runs()[0].vm, "u2");
     bench.stop().await;
@@ -248,10 +256,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_gone() {
     let bench = Bench::start(SERVICE, 1, &["u1"]).await;
-    bench.script([Act::Hold]);
+    bench.script([Action::Hold]);
     let response = Request::generate(bench.callers(0), 4).open().await;
     drop(response);
-    until("the agent is told", || async {
+    until("the agent got the cancel", || async {
         bench.agents[0].cancels()
             == bench
                 .runs()
@@ -277,13 +285,13 @@
     bench.stop().await;
 }
 
-/// A call that may have run is never sent again, and is told as unknown.
+/// A call that may have run is never sent again, and its outcome is reported as unknown.
 #[rstest]
-#[case::lost(Act::Drop)]
-#[case::cut(Act::Cut(0))]
-#[case::no_outcome(Act::Mute)]
+#[case::lost(Action::Drop)]
+#[case::cut(Action::Cut(0))]
+#[case::no_outcome(Action::NoOutcome)]
 #[tokio::test(flavor = "multi_thread")]
-async fn call_unknown(#[case] first: Act) {
+async fn call_unknown(#[case] first: Action) {
     let bench = Bench::start(PLAIN, 1, &["u1", "u2"]).await;
     bench.script([first]);
     let answer: Answer = call(&bench, "notes/7").with_body("ink").send().await;
@@ -293,15 +301,15 @@
     bench.stop().await;
 }
 
-/// An answer without an outcome is not believed: if the cancel says that the call was not run, it
-/// goes to another agent.
+/// An answer without an outcome is not accepted. If the cancel returns that the call was not run, the
+/// call is sent to another agent.
 #[tokio::test(flavor = "multi_thread")]
 async fn call_elsewhere() {
     let bench = Bench::start(PLAIN, 1, &["u1", "u2"]).await;
     for agent in &bench.agents {
         agent.set_cancel_state("not-run");
     }
-    bench.script([Act::Mute]);
+    bench.script([Action::NoOutcome]);
     let answer = call(&bench, "notes/7").with_body("ink").send().await;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.text(), "notes/7 ink");
--- a/crates/entry/tests/common/agent.rs
+++ b/crates/entry/tests/common/agent.rs
@@ -1,4 +1,4 @@
-//! An agent that does as it is told, with the real control protocol.
+//! A scripted test double of an agent that speaks the real control protocol.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::convert::Infallible;
@@ -26,32 +26,32 @@
 use wagtailreel_control::{AgentControl, AgentControlConfig};
 use wagtailreel_core::{Digest, NotRunReason, Report, VmEntry, VmId, VmRole, VmState};
 
-use super::any_port;
+use super::unused_addr;
 
-/// What the agent does with a request.
+/// How the agent handles a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
-    /// Answers whole.
+pub(crate) enum Action {
+    /// Sends the whole answer.
     Whole,
-    /// Gives tokens up to this index, then breaks the connection.
+    /// Sends the tokens before this index, then cuts the connection.
     Cut(u64),
-    /// Gives tokens up to this index, then ends in good order, without the end mark.
+    /// Sends the tokens before this index, then ends the body properly but without the `end` event.
     EndEarly(u64),
-    /// Leaves out the token with this index.
+    /// Omits the token with this index.
     Skip(u64),
-    /// Refuses.
+    /// Refuses the request.
     Refuse(NotRunReason),
-    /// Takes the request and drops the connection without an answer.
+    /// Accepts the request and drops the connection without an answer.
     Drop,
-    /// Answers a call without saying its outcome, as what is no agent would.
-    Mute,
-    /// Answers whole once the agent is released.
+    /// Answers a call without an outcome header, as a server that is not an agent does.
+    NoOutcome,
+    /// Sends the whole answer once the agent is released.
     Hold,
 }
 
-/// A request that came.
+/// A request that the agent received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Seen {
+pub(crate) struct SeenRequest {
     pub(crate) vm: VmId,
     pub(crate) id: String,
     pub(crate) pin: String,
@@ -59,21 +59,21 @@
     pub(crate) headers: Vec<String>,
 }
 
-/// What is done with the next requests, whichever agent they come to.
-pub(crate) type Script = Arc<Mutex<VecDeque<Act>>>;
+/// Actions for the next requests, in order, shared by all agents.
+pub(crate) type Script = Arc<Mutex<VecDeque<Action>>>;
 
 #[derive(Debug)]
 struct Inner {
     vm: VmId,
     script: Script,
-    runs: Mutex<Vec<Seen>>,
+    runs: Mutex<Vec<SeenRequest>>,
     cancels: Mutex<Vec<String>>,
-    /// What is answered to a cancel; by itself, whether the request was seen.
+    /// The state in the answer to a cancel. By default it depends on whether the request was received.
     cancel_state: Mutex<Option<&'static str>>,
     released: watch::Sender<bool>,
 }
 
-/// Marks a response in whose place the connection is dropped.
+/// Marks a response that is replaced by dropping the connection.
 #[derive(Clone, Copy)]
 struct DropConnection;
 
@@ -96,11 +96,11 @@
         entries: Vec<(VmId, SocketAddr)>,
         script: Script,
     ) -> Self {
-        let listener = TcpListener::bind(any_port()).await.unwrap();
+        let listener = TcpListener::bind(unused_addr()).await.unwrap();
         let data = listener.local_addr().unwrap();
         let cfg = AgentControlConfig {
             vm: vm.to_owned(),
-            listen: any_port(),
+            listen: unused_addr(),
             report_every: Duration::from_millis(100),
         };
         let control = AgentControl::start(cfg, &Registry::new()).unwrap();
@@ -144,12 +144,12 @@
         *self.inner.cancel_state.lock().unwrap() = Some(state);
     }
 
-    /// Lets requests that are held be answered.
+    /// Releases the requests that are held.
     pub(crate) fn release(&self) {
         self.inner.released.send_replace(true);
     }
 
-    pub(crate) fn runs(&self) -> Vec<Seen> {
+    pub(crate) fn runs(&self) -> Vec<SeenRequest> {
         self.inner.runs.lock().unwrap().clone()
     }
 
@@ -157,7 +157,7 @@
         self.inner.cancels.lock().unwrap().clone()
     }
 
-    /// Refuses connections from now on and drops those there are; reports go on.
+    /// Refuses new data connections and drops the open ones. Reports continue.
     pub(crate) fn close_data(&self) {
         self.stop.cancel();
     }
@@ -238,20 +238,20 @@
 }
 
 impl Inner {
-    fn see(&self, id: &str, headers: &HeaderMap) -> Act {
+    fn record(&self, id: &str, headers: &HeaderMap) -> Action {
         let text = |name: &str| {
             let value = headers.get(name);
             value.map_or("", |value| value.to_str().unwrap()).to_owned()
         };
-        self.runs.lock().unwrap().push(Seen {
+        self.runs.lock().unwrap().push(SeenRequest {
             vm: self.vm.clone(),
             id: id.to_owned(),
             pin: text("wagtailreel-pin"),
             resume_from: text("wagtailreel-resume-from"),
             headers: headers.keys().map(ToString::to_string).collect(),
         });
-        let act = self.script.lock().unwrap().pop_front();
-        act.unwrap_or(Act::Whole)
+        let action = self.script.lock().unwrap().pop_front();
+        action.unwrap_or(Action::Whole)
     }
 }
 
@@ -261,7 +261,7 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let act = inner.see(&id, &headers);
+    let action = inner.record(&id, &headers);
     let body: serde_json::Value = serde_json::from_slice(&body).unwrap();
     let tokens = body["max_tokens"].as_u64().unwrap();
     let from = headers.get("wagtailreel-resume-from");
@@ -280,21 +280,21 @@
         Ok(Bytes::from(format!("event: end\ndata: {data}\n\n")))
     };
     let mut hold = false;
-    match act {
-        Act::Refuse(reason) => return refuse(reason),
-        Act::Drop | Act::Mute => return dropped(),
-        Act::Whole | Act::Hold => {
-            hold = matches!(act, Act::Hold);
+    match action {
+        Action::Refuse(reason) => return refuse(reason),
+        Action::Drop | Action::NoOutcome => return dropped(),
+        Action::Whole | Action::Hold => {
+            hold = matches!(action, Action::Hold);
             events.extend((from..tokens).map(token));
             events.push(end());
         }
-        Act::Cut(after) => {
+        Action::Cut(after) => {
             events.extend((from..after).map(token));
             events.push(Ok(Bytes::from_static(b"event: token\ndata: {\"ind")));
             events.push(Err(io::Error::other("cut on purpose")));
         }
-        Act::EndEarly(after) => events.extend((from..after).map(token)),
-        Act::Skip(index) => {
+        Action::EndEarly(after) => events.extend((from..after).map(token)),
+        Action::Skip(index) => {
             events.extend((from..tokens).filter(|at| *at != index).map(token));
             events.push(end());
         }
@@ -306,7 +306,7 @@
             if hold && number == 1 {
                 let _ = released.wait_for(|released| *released).await;
             }
-            // Each event in a frame of its own, so that a cut does not swallow those before it.
+            // Sends each event in a frame of its own, so that a cut does not lose the events before it.
             tokio::time::sleep(Duration::from_millis(1)).await;
             Some((event, events))
         }
@@ -322,7 +322,7 @@
     response
 }
 
-/// What an agent puts on every answer of its plain service.
+/// Headers of every answer of a plain service.
 const ANSWERED: [(&str, &str); 1] = [("wagtailreel-outcome", "answered")];
 
 async fn call(
@@ -331,15 +331,15 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    match inner.see(&id, &headers) {
-        Act::Refuse(reason) => refuse(reason),
-        Act::Drop => dropped(),
-        Act::Cut(_) => {
+    match inner.record(&id, &headers) {
+        Action::Refuse(reason) => refuse(reason),
+        Action::Drop => dropped(),
+        Action::Cut(_) => {
             let part = Ok(Bytes::from_static(b"half an ans"));
             let parts = [part, Err(io::Error::other("cut on purpose"))];
             (ANSWERED, Body::from_stream(stream::iter(parts))).into_response()
         }
-        Act::Mute => "whole, but whose".into_response(),
+        Action::NoOutcome => "whole, but whose".into_response(),
         _ => {
             let text = format!("{path} {}", String::from_utf8_lossy(&body));
             (ANSWERED, [("x-desk", "yes")], text).into_response()
@@ -350,8 +350,8 @@
 async fn cancel(State(inner): State<Arc<Inner>>, Path(id): Path<String>) -> String {
     inner.cancels.lock().unwrap().push(id.clone());
     let seen = inner.runs.lock().unwrap().iter().any(|seen| seen.id == id);
-    let by_itself = if seen { "started" } else { "not-run" };
-    let state = inner.cancel_state.lock().unwrap().unwrap_or(by_itself);
+    let default_state = if seen { "started" } else { "not-run" };
+    let state = inner.cancel_state.lock().unwrap().unwrap_or(default_state);
     format!("{{\"state\":\"{state}\"}}")
 }
 
--- a/crates/entry/tests/common/caller.rs
+++ b/crates/entry/tests/common/caller.rs
@@ -32,7 +32,7 @@
         Self::new("POST", addr, path)
     }
 
-    /// A prompt that asks for `tokens` tokens.
+    /// Returns a request to generate `tokens` tokens.
     pub(crate) fn generate(addr: SocketAddr, tokens: u32) -> Self {
         let path = format!("/v1/services/{SERVICE}/generate");
         let body = format!("{{\"prompt\": \"in memory\", \"max_tokens\": {tokens}}}");
@@ -43,7 +43,7 @@
         self.with("authorization", &format!("Bearer {token}"))
     }
 
-    /// Replaces the key.
+    /// Replaces the caller's key.
     pub(crate) fn with_bearer_only(mut self, token: &str) -> Self {
         if let Some(headers) = self.inner.headers_mut() {
             headers.remove("authorization");
@@ -61,26 +61,26 @@
         self
     }
 
-    /// Sends it and returns the head of the answer.
+    /// Sends the request and returns the response once its head has arrived.
     pub(crate) async fn open(self) -> http::Response<Incoming> {
         let req = self.inner.body(Body::from(self.body)).unwrap();
         HttpClient::new().request(req).await.unwrap()
     }
 
-    /// Sends it and returns the whole answer.
+    /// Sends the request and returns the whole answer.
     pub(crate) async fn send(self) -> Answer {
         let whole = async { Answer::read(self.open().await).await };
-        let answer = tokio::time::timeout(super::PATIENCE, whole).await;
+        let answer = tokio::time::timeout(super::WAIT_TIMEOUT, whole).await;
         answer.expect("an answer")
     }
 }
 
-/// An answer, as far as it came.
+/// An answer, as far as it was received.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) headers: http::HeaderMap,
     pub(crate) body: Vec<u8>,
-    /// The connection did not break before the body's end.
+    /// Whether the body was received to its end.
     pub(crate) is_whole: bool,
 }
 
@@ -120,14 +120,14 @@
             .map_or("", |value| value.to_str().unwrap())
     }
 
-    /// Status, outcome and reason in one line.
+    /// Returns status, outcome and reason in one line.
     pub(crate) fn verdict(&self) -> String {
         let outcome = self.header("wagtailreel-outcome");
         let reason = self.header("wagtailreel-reason");
         format!("{} {outcome} {reason}", self.status)
     }
 
-    /// The stream's events, one a line: the tokens, then the last event with its data.
+    /// Returns the stream's events with their data, one per line.
     pub(crate) fn session(&self) -> String {
         let mut decoder = SseDecoder::new();
         decoder.push(&self.body);
@@ -137,7 +137,11 @@
             let data = String::from_utf8_lossy(&event.data).into_owned();
             lines.push(format!("{name} {data}"));
         }
-        assert!(!decoder.is_mid_event(), "half an event: {}", self.text());
+        assert!(
+            !decoder.is_mid_event(),
+            "the body ends within an event: {}",
+            self.text()
+        );
         lines.join("\n")
     }
 }
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A platform of stand-ins, entries in this process, and agents that do as they are told.
+//! A platform of stand-ins, with entries and scripted agents in the test process.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub(crate) mod agent;
@@ -15,17 +15,17 @@
 };
 use wagtailreel_standins::{LogConfig, LogStandin, VmListConfig, VmListStandin};
 
-use agent::{Act, FakeAgent, Script};
+use agent::{Action, FakeAgent, Script};
 
 pub(crate) const SERVICE: &str = "scribes";
 pub(crate) const PLAIN: &str = "desk";
 pub(crate) const KEY: &str = "mason-key";
 pub(crate) const TOKEN: &str = "scribes-token";
 
-/// How long a condition may take to come true.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out of conditions and answers.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub(crate) fn any_port() -> SocketAddr {
+pub(crate) fn unused_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -39,18 +39,18 @@
 }
 
 impl Bench {
-    /// Starts a platform without anything on it.
+    /// Starts a platform without entries and agents.
     pub(crate) fn empty() -> Self {
         Self {
-            log: LogStandin::start(LogConfig::default(), any_port()).unwrap(),
-            vms: VmListStandin::start(VmListConfig::default(), any_port()).unwrap(),
+            log: LogStandin::start(LogConfig::default(), unused_addr()).unwrap(),
+            vms: VmListStandin::start(VmListConfig::default(), unused_addr()).unwrap(),
             entries: Vec::new(),
             agents: Vec::new(),
             script: Script::default(),
         }
     }
 
-    /// Starts `entries` entries and an agent of `service` per name, with the document in force.
+    /// Starts `entries` entries and an agent of `service` per name in `agents`, with the document in force.
     pub(crate) async fn start(service: &str, entries: usize, agents: &[&str]) -> Self {
         let mut bench = Self::empty();
         for _ in 0..entries {
@@ -71,9 +71,9 @@
             data_centre: "quito-hall".to_owned(),
             region: "sierra".to_owned(),
             listen: EntryListen {
-                callers: any_port(),
-                admin: any_port(),
-                control: any_port(),
+                callers: unused_addr(),
+                admin: unused_addr(),
+                control: unused_addr(),
             },
             platform: EntryPlatform {
                 log: format!("http://{}", self.log.addr()),
@@ -132,12 +132,12 @@
         self.agents.push(agent);
     }
 
-    /// Has the next requests handled so, one after the other, whichever agent they come to.
-    pub(crate) fn script<I>(&self, acts: I)
+    /// Sets the actions for the next requests, in order, at whichever agent they arrive.
+    pub(crate) fn script<I>(&self, actions: I)
     where
-        I: IntoIterator<Item = Act>,
+        I: IntoIterator<Item = Action>,
     {
-        self.script.lock().unwrap().extend(acts);
+        self.script.lock().unwrap().extend(actions);
     }
 
     pub(crate) fn callers(&self, entry: usize) -> SocketAddr {
@@ -196,7 +196,7 @@
     }
 
     /// Returns the requests that reached any agent.
-    pub(crate) fn runs(&self) -> Vec<agent::Seen> {
+    pub(crate) fn runs(&self) -> Vec<agent::SeenRequest> {
         self.agents.iter().flat_map(FakeAgent::runs).collect()
     }
 
@@ -229,6 +229,6 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "not within {PATIENCE:?}: {what}");
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "not within {WAIT_TIMEOUT:?}: {what}");
 }
--- a/crates/entry/tests/in_force.rs
+++ b/crates/entry/tests/in_force.rs
@@ -1,4 +1,4 @@
-//! Waiting for the configuration that the entry puts in force.
+//! Waiting until a configuration is in force at the entry.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 use wagtailreel_core::Offset;
 use wagtailreel_entry::wait_in_force;
 
-/// Far longer than any of these waits takes.
-const BOUND: Duration = Duration::from_secs(5);
+/// Time-out that is far longer than any of these waits.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is put in force while the entry looks is found by the next look, though nothing follows it.
+/// Guards against a missed change: a configuration that is put in force during a check is found by the
+/// next check, even if no further change follows.
 #[tokio::test]
-async fn change_during_look() {
+async fn change_during_check() {
     let (tx, rx) = watch::channel::<Offset>(0);
     let mut applied = 0;
-    let found = wait_in_force(rx, Instant::now() + BOUND, |in_force| {
+    let found = wait_in_force(rx, Instant::now() + WAIT_TIMEOUT, |in_force| {
         let seen = applied;
         applied = 1;
         tx.send_replace(1);
@@ -24,21 +25,23 @@
     assert_eq!(found.await, Some(1));
 }
 
-/// A change that comes later is waited for.
+/// The wait ends with a later change.
 #[tokio::test]
 async fn later_change() {
     let (tx, rx) = watch::channel::<Offset>(0);
-    let wait = wait_in_force(rx, Instant::now() + BOUND, |at| (at == 3).then_some(at));
+    let wait = wait_in_force(rx, Instant::now() + WAIT_TIMEOUT, |at| {
+        (at == 3).then_some(at)
+    });
     let change = async {
         tokio::task::yield_now().await;
         tx.send_replace(3);
     };
-    // In this order the wait begins before the change.
+    // The biased order starts the wait before the change.
     let (found, ()) = tokio::join!(biased; wait, change);
     assert_eq!(found, Some(3));
 }
 
-/// Nothing is found when the time has passed.
+/// The wait returns `None` after its time-out.
 #[tokio::test]
 async fn no_change() {
     let (_tx, rx) = watch::channel::<Offset>(0);
--- a/crates/entry/tests/leaving.rs
+++ b/crates/entry/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Connections of callers as an entry leaves.
+//! Kept connections of callers while an entry shuts down.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// Reads an answer without a body, and returns how long its connection is kept.
-async fn kept_for(stream: &mut TcpStream) -> Option<Duration> {
+/// Reads an answer without a body and returns the time-out in its `keep-alive` header.
+async fn keep_alive_timeout(stream: &mut TcpStream) -> Option<Duration> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.unwrap());
@@ -22,14 +22,15 @@
     Some(Duration::from_secs(timeout.trim().parse().unwrap()))
 }
 
-/// A caller that has heard nothing of the end uses its connection for as long as it was told.
+/// Guards against closing an unused connection before its keep-alive time-out: a caller that does not
+/// know of the shutdown may still send on it.
 #[tokio::test(flavor = "multi_thread")]
 async fn kept_connection() {
     let mut bench = Bench::start(SERVICE, 1, &["u1"]).await;
     let mut stream = TcpStream::connect(bench.callers(0)).await.unwrap();
     let req = "HEAD /no/such/route HTTP/1.1\r\nhost: entry\r\n\r\n";
     stream.write_all(req.as_bytes()).await.unwrap();
-    let kept = kept_for(&mut stream).await;
+    let kept = keep_alive_timeout(&mut stream).await;
     let kept = kept.expect("callers are told how long a connection is kept");
     let since = Instant::now();
     let entry = bench.entries.remove(0);
--- a/crates/entry/tests/life.rs
+++ b/crates/entry/tests/life.rs
@@ -1,11 +1,11 @@
-//! An entry starts without the platform and ends without cutting anything off.
+//! An entry starts without the platform, and its shutdown does not cut off requests in flight.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
 use std::time::Duration;
 
-use common::agent::Act;
+use common::agent::Action;
 use common::caller::{Answer, Request};
 use common::{Bench, SERVICE, document, until};
 use http_body_util::BodyExt as _;
@@ -15,7 +15,7 @@
 async fn graceful_shutdown() {
     let mut bench = Bench::start(SERVICE, 1, &["u1"]).await;
     let (callers, admin) = (bench.callers(0), bench.admin(0));
-    bench.script([Act::Hold]);
+    bench.script([Action::Hold]);
     let mut response = Request::generate(callers, 4).open().await;
     let first = response.body_mut().frame().await.unwrap().unwrap();
     let entry = bench.entries.remove(0);
@@ -31,7 +31,7 @@
         tokio::net::TcpStream::connect(callers).await.is_err()
     })
     .await;
-    // A shutdown that did not wait for the stream would be over by then.
+    // A shutdown that does not wait for the stream would have finished by then.
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(!shutdown.is_finished());
     bench.agents[0].release();
@@ -44,7 +44,7 @@
     assert_eq!(bench.runs().len(), 1);
 }
 
-/// With the log and the list of VMs away, a new entry serves by what its peers know.
+/// If the log and the list of VMs are unreachable, a new entry serves with the configuration of its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn starts_from_peer() {
     let mut bench = Bench::start(SERVICE, 1, &["u1"]).await;
--- a/crates/entry/tests/long_bodies.rs
+++ b/crates/entry/tests/long_bodies.rs
@@ -1,4 +1,4 @@
-//! A caller that sends too much hears so; a reset doesn't take the answer away.
+//! Guards against a connection reset that discards the 413 answer to a body over the limit.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -10,31 +10,31 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// Far more than socket buffers hold, so that a listener that reads no further resets the caller.
-const BODY: usize = 12 << 20;
+/// Far more than socket buffers hold, so that a listener that stops reading resets the connection.
+const BODY_BYTES: usize = 12 << 20;
 
-const PIECE: usize = 64 << 10;
+const CHUNK_BYTES: usize = 64 << 10;
 
-/// Sends a request whose body is too long, whole, and then reads the answer.
+/// Sends a whole request with a body over the limit and then reads the answer.
 async fn answer(addr: SocketAddr, path: &str, token: &str, is_chunked: bool) -> String {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     let framing = if is_chunked {
         "transfer-encoding: chunked".to_owned()
     } else {
-        format!("content-length: {BODY}")
+        format!("content-length: {BODY_BYTES}")
     };
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {token}\r\n\
          content-type: application/yaml\r\n{framing}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await.unwrap();
-    let piece = vec![b'x'; PIECE];
-    for _ in 0..BODY / PIECE {
+    let chunk = vec![b'x'; CHUNK_BYTES];
+    for _ in 0..BODY_BYTES / CHUNK_BYTES {
         if is_chunked {
-            let length = format!("{PIECE:x}\r\n");
+            let length = format!("{CHUNK_BYTES:x}\r\n");
             stream.write_all(length.as_bytes()).await.unwrap();
         }
-        stream.write_all(&piece).await.unwrap();
+        stream.write_all(&chunk).await.unwrap();
         if is_chunked {
             stream.write_all(b"\r\n").await.unwrap();
         }
--- a/crates/entry/tests/orders.rs
+++ b/crates/entry/tests/orders.rs
@@ -8,9 +8,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use common::agent::Act;
+use common::agent::Action;
 use common::caller::Request;
-use common::{Bench, SERVICE, any_port, until};
+use common::{Bench, SERVICE, until, unused_addr};
 use rstest::rstest;
 use wagtailreel_adapters::HttpClient;
 use wagtailreel_core::NotRunReason;
@@ -25,10 +25,11 @@
     Request::generate(bench.callers(entry), 2).with("wagtailreel-order", key)
 }
 
-/// Waits until every entry can read the stream of orders, by an order of its own.
+/// Waits until every entry can read the stream of orders, by sending an order to each. Returns the
+/// number of runs.
 async fn warm_up(bench: &Bench) -> usize {
     for entry in 0..bench.entries.len() {
-        until("an order is taken", || async {
+        until("an order is accepted", || async {
             let key = key(&format!("warm-{entry}-{}", bench.runs().len()));
             order(bench, entry, &key).send().await.status == 200
         })
@@ -58,7 +59,7 @@
     bench.stop().await;
 }
 
-/// Six orders that come while an append is in flight share the next.
+/// Orders that arrive while an append is in flight share the next append.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_commit() {
     let bench = Bench::start(SERVICE, 1, &["u1", "u2"]).await;
@@ -77,18 +78,18 @@
     bench.stop().await;
 }
 
-/// Passes requests on to the log; once told so, it loses answers to appends and holds back reads,
-/// so that an entry hears of the loss before it reads its claim.
-async fn unsteady_log(log: SocketAddr, unsteady: Arc<AtomicBool>) -> SocketAddr {
+/// Starts a proxy of the log. While `is_faulty`, the proxy loses answers to appends and delays reads, so
+/// that an entry sees the lost answer before it reads its claim.
+async fn faulty_log(log: SocketAddr, is_faulty: Arc<AtomicBool>) -> SocketAddr {
     let client = HttpClient::new();
-    let pass_on = move |req: axum::extract::Request| async move {
+    let forward = move |req: axum::extract::Request| async move {
         let (mut head, body) = req.into_parts();
         let body = axum::body::to_bytes(body, 1 << 20).await.unwrap();
         let is_append = head.method == http::Method::POST;
         head.uri = format!("http://{log}{}", head.uri).parse().unwrap();
         let req = http::Request::from_parts(head, wagtailreel_adapters::Body::from(body));
         let response = client.request(req).await.unwrap();
-        if !unsteady.load(Ordering::Relaxed) {
+        if !is_faulty.load(Ordering::Relaxed) {
             return response.map(axum::body::Body::new);
         }
         if is_append {
@@ -98,19 +99,19 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         response.map(axum::body::Body::new)
     };
-    let listener = tokio::net::TcpListener::bind(any_port()).await.unwrap();
+    let listener = tokio::net::TcpListener::bind(unused_addr()).await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let router = axum::Router::new().fallback(pass_on);
+    let router = axum::Router::new().fallback(forward);
     tokio::spawn(async move { axum::serve(listener, router).await });
     addr
 }
 
-/// Claims whose answers are lost are read back, and appending them again wins nothing twice.
+/// Claims whose answers are lost are read back, and appending them again does not run an order twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_append() {
     let mut bench = Bench::empty();
-    let unsteady = Arc::new(AtomicBool::new(false));
-    let log = unsteady_log(bench.log.addr(), Arc::clone(&unsteady)).await;
+    let is_faulty = Arc::new(AtomicBool::new(false));
+    let log = faulty_log(bench.log.addr(), Arc::clone(&is_faulty)).await;
     let mut settings = bench.settings();
     settings.platform.log = format!("http://{log}");
     bench
@@ -120,14 +121,14 @@
     bench.submit(SERVICE).await;
     bench.settle(SERVICE).await;
     let before = warm_up(&bench).await;
-    unsteady.store(true, Ordering::Relaxed);
+    is_faulty.store(true, Ordering::Relaxed);
     let key = key("slab");
     let (one, other) = tokio::join!(order(&bench, 0, &key).send(), order(&bench, 0, &key).send(),);
     let mut verdicts = [one.verdict(), other.verdict()];
     verdicts.sort();
     assert_eq!(verdicts, ["200  ", "409 not-run claimed"]);
     assert_eq!(bench.runs().len(), before + 1);
-    unsteady.store(false, Ordering::Relaxed);
+    is_faulty.store(false, Ordering::Relaxed);
     bench.stop().await;
 }
 
@@ -139,15 +140,15 @@
         .log
         .faults()
         .update(|faults| faults.common.down = true);
-    let away = order(&bench, 0, &key("slab")).send().await;
-    assert_eq!(away.verdict(), "503 not-run log-away");
-    assert!(away.header("retry-after").parse::<u64>().unwrap() >= 1);
+    let refused = order(&bench, 0, &key("slab")).send().await;
+    assert_eq!(refused.verdict(), "503 not-run log-away");
+    assert!(refused.header("retry-after").parse::<u64>().unwrap() >= 1);
     assert_eq!(bench.runs().len(), before);
     let plain = Request::generate(bench.callers(0), 2).send().await;
     assert_eq!(plain.status, 200, "requests without a key go on");
     bench.log.faults().clear();
     let key = key("slab-2");
-    until("the log is seen again", || async {
+    until("the log is readable again", || async {
         order(&bench, 0, &key).send().await.status == 200
     })
     .await;
@@ -155,7 +156,7 @@
     bench.stop().await;
 }
 
-/// Only an order that is known not to have run is sent again.
+/// The entry sends an order again only if the agent confirms that it did not run.
 #[rstest]
 #[case::known_not_run("not-run", 2, "200  ")]
 #[case::maybe_run("started", 1, "502 unknown answer-lost")]
@@ -166,7 +167,7 @@
     for agent in &bench.agents {
         agent.set_cancel_state(state);
     }
-    bench.script([Act::Drop]);
+    bench.script([Action::Drop]);
     let key = key("slab");
     let answer = order(&bench, 0, &key).send().await;
     assert_eq!(answer.verdict(), verdict);
@@ -176,12 +177,12 @@
     bench.stop().await;
 }
 
-/// A cut stream of an order is not started a second time anywhere.
+/// An order whose stream was cut is not sent to another agent.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_order() {
+async fn cut_order_not_resent() {
     let bench = Bench::start(SERVICE, 1, &["u1", "u2"]).await;
     let before = warm_up(&bench).await;
-    bench.script([Act::Cut(1)]);
+    bench.script([Action::Cut(1)]);
     let answer = order(&bench, 0, &key("slab")).send().await;
     let last = answer.session().lines().last().unwrap().to_owned();
     assert_eq!(last, "error {\"outcome\":\"unknown\",\"reason\":\"cut\"}");
@@ -189,14 +190,14 @@
     bench.stop().await;
 }
 
-/// An order that was not run in the end may be sent again with its key.
+/// The key of an order that was not run is released, so that the order may be sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn released_key() {
     let bench = Bench::start(SERVICE, 2, &["u1", "u2"]).await;
     let before = warm_up(&bench).await;
     bench.script([
-        Act::Refuse(NotRunReason::Full),
-        Act::Refuse(NotRunReason::Full),
+        Action::Refuse(NotRunReason::Full),
+        Action::Refuse(NotRunReason::Full),
     ]);
     let key = key("slab");
     let refused = order(&bench, 0, &key).send().await;
