--- a/crates/entry/src/admin/documents.rs
+++ b/crates/entry/src/admin/documents.rs
@@ -18,7 +18,7 @@
 use crate::admin::auth::{Forbidden, authorize};
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct DocumentAnswer<'a> {
     service: &'a ServiceName,
     team: &'a TeamName,
     revision: Offset,
@@ -81,7 +81,7 @@
     let Some(state) = view.services.get(&service) else {
         return Ok(not_found());
     };
-    let shown = Shown {
+    let shown = DocumentAnswer {
         service: &state.service,
         team: &state.team,
         revision: state.revision,
@@ -136,7 +136,8 @@
 {
     authorize(&admin.cx, &headers, &service)?;
     let view = admin.cx.book.view();
-    let (Some(state), Some(shard)) = (view.services.get(&service), admin.cx.services.get(&service))
+    let (Some(state), Some(upstream_state)) =
+        (view.services.get(&service), admin.cx.services.get(&service))
     else {
         return Ok(not_found());
     };
@@ -145,7 +146,7 @@
         let entry = data_centres.entry(place.data_centre.clone()).or_default();
         entry.ready = place.ready;
     }
-    for (report, age, standing) in shard.upstreams() {
+    for (report, age, standing) in upstream_state.upstreams() {
         let phase = report.weights.get(&state.epoch).copied();
         let place = data_centres.entry(report.data_centre).or_default();
         place.loaded += u32::from(phase == Some(WeightsPhase::Loaded));
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -11,12 +11,12 @@
     remedy: "Nothing.",
 };
 
-/// The entry takes no new requests.
+/// The entry refuses new requests.
 pub const LEAVING: Event = Event {
     id: 1002,
     name: "entry-leaving",
     level: Level::Info,
-    meaning: "The entry takes no new requests and finishes those in flight.",
+    meaning: "The entry refuses new requests and finishes those in flight.",
     remedy: "Nothing; wait for `entry-stopped` before the VM is removed.",
 };
 
@@ -102,7 +102,7 @@
     remedy: "Compare the service's document at several entries; replace the one that differs.",
 };
 
-/// State came from a peer.
+/// State of a peer was merged.
 pub const STATE_PULLED: Event = Event {
     id: 1018,
     name: "state-pulled",
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -35,9 +35,9 @@
 /// Callers that send on a kept connection during the shutdown learn that their request was not run.
 const MIN_LEAVING_TIME: Duration = Duration::from_millis(300);
 
-/// How much longer the listener stays open at most while callers still send requests. Unused connections of
-/// callers are closed by then.
-const MAX_IDLE_WAIT: Duration = LONGEST_UNUSED;
+/// How much longer the listener stays open at most while callers still open connections. Unused connections
+/// of callers are closed by then.
+const MAX_DRAIN_WAIT: Duration = LONGEST_UNUSED;
 
 /// Time-out of each clean-up step at shutdown, such as appending the last claims and releases to the log.
 const CLEANUP_TIMEOUT: Duration = Duration::from_secs(2);
@@ -116,13 +116,13 @@
         events::LEAVING.emit(&[("vm", &self.cx.settings.vm)]);
         self.callers.enter(Phase::Leaving);
         tokio::time::sleep(MIN_LEAVING_TIME).await;
-        let unused_closed = Instant::now() + MAX_IDLE_WAIT;
+        let drain_deadline = Instant::now() + MAX_DRAIN_WAIT;
         // New requests are still answered with `leaving`, and callers that keep a connection are told to close it.
-        let _ = timeout_at(unused_closed.into(), self.callers.quiet()).await;
+        let _ = timeout_at(drain_deadline.into(), self.callers.quiet()).await;
         self.callers.enter(Phase::Closing);
         self.cx.requests.close();
         self.cx.requests.wait().await;
-        let _ = timeout_at(unused_closed.into(), self.callers.ended()).await;
+        let _ = timeout_at(drain_deadline.into(), self.callers.ended()).await;
         self.callers.enter(Phase::Ending);
         let _ = tokio::time::timeout(CLEANUP_TIMEOUT, self.callers.ended()).await;
         self.cx.cleanups.close();
--- a/crates/entry/tests/answers.rs
+++ b/crates/entry/tests/answers.rs
@@ -74,7 +74,7 @@
     bench.stop().await;
 }
 
-/// An upstream gets no new requests once the list of VMs or its own report says that it is leaving.
+/// An upstream gets no new requests once the list of VMs or its own report marks it as leaving.
 #[rstest]
 #[case::listed(|bench: &Bench| bench.vms.leave("u1"))]
 #[case::reported(|bench: &Bench| bench.agents[0].set_report(|report| report.leaving = true))]
--- a/crates/entry/tests/life.rs
+++ b/crates/entry/tests/life.rs
@@ -20,7 +20,7 @@
     let first = response.body_mut().frame().await.unwrap().unwrap();
     let entry = bench.entries.remove(0);
     let shutdown = tokio::spawn(entry.shutdown());
-    until("the entry says that it leaves", || async {
+    until("the entry reports that it is leaving", || async {
         let ready = Request::get(admin, "/readyz").send().await;
         ready.status == 503 && ready.text() == "leaving"
     })
