--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -448,7 +448,7 @@
         Ok(())
     }
 
-    fn lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop> {
+    fn on_lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop> {
         let mut fold = self.0.fold();
         fold.check_head(applied, next)?;
         let missed = first > fold.next() && applied > 0;
@@ -456,9 +456,9 @@
         Ok(missed)
     }
 
-    fn set_reading(&self, reading: bool) {
+    fn set_readable(&self, reading: bool) {
         self.0.reading.store(reading, Ordering::Relaxed);
     }
 
-    fn stopped(&self, _stop: &FoldStop) {}
+    fn on_stop(&self, _stop: &FoldStop) {}
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -238,7 +238,7 @@
         result
     }
 
-    fn lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop> {
+    fn on_lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop> {
         self.with_fold(|fold| {
             fold.check_head(applied, next)?;
             let missed = first > fold.next();
@@ -247,12 +247,12 @@
         })
     }
 
-    fn set_reading(&self, reading: bool) {
+    fn set_readable(&self, reading: bool) {
         self.metrics.config_reading.set(i64::from(reading));
         self.reading.send_replace(reading);
     }
 
-    fn stopped(&self, _stop: &FoldStop) {
+    fn on_stop(&self, _stop: &FoldStop) {
         self.metrics.config_stopped.set(1);
         self.reading.send_replace(true);
     }
--- a/crates/entry/src/follower.rs
+++ b/crates/entry/src/follower.rs
@@ -41,13 +41,13 @@
     /// # Errors
     ///
     /// Returns why the sink applies no more records.
-    fn lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop>;
+    fn on_lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop>;
 
     /// Records whether the stream can be read.
-    fn set_reading(&self, reading: bool);
+    fn set_readable(&self, reading: bool);
 
     /// Records that the sink applies no more records.
-    fn stopped(&self, stop: &FoldStop);
+    fn on_stop(&self, stop: &FoldStop);
 }
 
 /// Follows the stream of `sink` until `cancel` or until the fold stops.
@@ -68,14 +68,14 @@
         };
         let result = match result {
             Ok(page) => sink.apply_page(&page, applied),
-            Err(PlatformError::Gone { first, next }) => lapsed(sink, first, next, applied),
+            Err(PlatformError::Gone { first, next }) => handle_lapsed(sink, first, next, applied),
             Err(err) => {
                 if !unreachable {
                     report_unreachable(S::STREAM, &err);
                 }
                 unreachable = true;
                 check_again = true;
-                sink.set_reading(false);
+                sink.set_readable(false);
                 metrics
                     .log_errors
                     .with_label_values(&[S::STREAM, "read"])
@@ -91,8 +91,8 @@
         if let Err(stop) = result {
             let reason = stop.to_string();
             events::LOG_STOPPED.emit(&[("stream", S::STREAM), ("reason", &reason)]);
-            sink.set_reading(false);
-            sink.stopped(&stop);
+            sink.set_readable(false);
+            sink.on_stop(&stop);
             return;
         }
         if unreachable {
@@ -101,15 +101,15 @@
         unreachable = false;
         check_again = false;
         backoff.worked();
-        sink.set_reading(true);
+        sink.set_readable(true);
     }
 }
 
-fn lapsed<S>(sink: &S, first: Offset, next: Offset, applied: Offset) -> Result<(), FoldStop>
+fn handle_lapsed<S>(sink: &S, first: Offset, next: Offset, applied: Offset) -> Result<(), FoldStop>
 where
     S: StreamSink,
 {
-    if sink.lapsed(first, next, applied)? {
+    if sink.on_lapsed(first, next, applied)? {
         let from = first.to_string();
         events::LOG_LAPSED.emit(&[("stream", S::STREAM), ("first", &from)]);
     }
