--- a/crates/entry/src/admin/submit.rs
+++ b/crates/entry/src/admin/submit.rs
@@ -22,20 +22,20 @@
 use crate::front::OUTCOME;
 use crate::in_force::wait_in_force;
 
-/// How long an accepted append is waited for to be read back.
-const READ_BACK: Duration = Duration::from_secs(5);
+/// How long to wait until an appended edit is read back from the log.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long this entry may take to read a revision that the operator saw at another.
-const CATCH_UP: Duration = Duration::from_secs(2);
+/// How long to wait until this entry has read a revision that the operator saw at another entry.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How an edit is named and what it is based on.
+/// Id of an edit and the revision that it is based on.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EditQuery {
     base: Offset,
     edit: EditId,
 }
 
-/// What became of a submission.
+/// Result of a submission.
 enum Submitted {
     Decided(EditResult),
     Problems(Value),
@@ -45,7 +45,7 @@
     Failed(Outcome, String),
 }
 
-/// Takes an edit and answers once it is read back.
+/// Handles an edit: appends it to the log and answers once it is read back.
 pub(crate) async fn submit<L>(
     State(admin): State<Admin<L>>,
     Path(service): Path<String>,
@@ -70,8 +70,8 @@
     Ok(with_outcome(status, body))
 }
 
-/// Makes the response, with the outcome that the body names as a header too: the tool that
-/// submits tells by it whether sending again is safe.
+/// Builds the response and copies the outcome in the body to a header. The submitting tool
+/// uses the header to decide whether sending again is safe.
 fn with_outcome(status: StatusCode, body: Value) -> Response {
     let outcome = body["outcome"].as_str().unwrap_or_default();
     let outcome = HeaderValue::from_str(outcome).ok();
@@ -119,8 +119,8 @@
     append(admin, service, &query.edit, &record).await
 }
 
-/// Checks an edit's base. This entry may not have read yet what the operator saw at another, so
-/// a base that is ahead is waited for.
+/// Checks an edit's base. This entry may not have read yet a revision that the operator saw at
+/// another entry, so the check waits for a base that is ahead.
 async fn check_edit(
     book: &ConfigBook,
     service: &str,
@@ -129,15 +129,15 @@
 ) -> Result<(), Refusal> {
     let check = || book.with_fold(|fold| fold.check_edit(service, team, base));
     let is_ahead = |refusal: &Refusal| refusal.reason == RefusalReason::BaseAhead;
-    let look = |_| Some(check()).filter(|fits| !fits.as_ref().is_err_and(is_ahead));
-    let until = Instant::now() + CATCH_UP;
-    let fits = wait_in_force(book.offset(), until, look).await;
+    let decided = |_| Some(check()).filter(|fits| !fits.as_ref().is_err_and(is_ahead));
+    let until = Instant::now() + CATCH_UP_TIMEOUT;
+    let fits = wait_in_force(book.offset(), until, decided).await;
     fits.unwrap_or_else(check)
 }
 
-/// Answers an edit that was sent again from what the fold remembers.
+/// Returns the recorded result of an edit that was sent again, or `None` if the edit is new.
 ///
-/// The same id with another document is another edit: it goes on and is judged by its base.
+/// The same id with another document is another edit, and is checked by its base.
 fn decided_before(
     book: &ConfigBook,
     service: &str,
@@ -153,8 +153,8 @@
     };
     let view = book.view();
     let state = view.services.get(service)?;
-    // Once another edit followed, the document of this one is not there to compare with; its
-    // base is stale by then, and so the edit can't be taken twice.
+    // After a later edit, the document of this one is no longer there to compare with. Its
+    // base is stale by then, so the edit can't be accepted twice.
     let same = state.revision != *revision || state.document.as_deref() == Some(document);
     same.then_some(Submitted::Decided(result))
 }
@@ -181,7 +181,7 @@
             if err.took_effect() == Effect::No {
                 return Submitted::Failed(Outcome::NotRun, reason);
             }
-            // It may stand in the log all the same; reading tells.
+            // The record may be in the log nevertheless; reading the log shows whether it is.
             None
         }
     };
@@ -195,69 +195,72 @@
     edit: &EditId,
     appended: Option<Offset>,
 ) -> Submitted {
-    let until = Instant::now() + READ_BACK;
-    let look = |in_force| look_for(book, service, edit, appended, in_force);
-    match wait_in_force(book.offset(), until, look).await {
+    let until = Instant::now() + READ_BACK_TIMEOUT;
+    let find = |in_force| find_result(book, service, edit, appended, in_force);
+    match wait_in_force(book.offset(), until, find).await {
         Some(submitted) => submitted,
         None => {
-            tell_unread(book, service, edit, appended);
-            let reason = "the edit was not read back: send it again with the same id";
+            report_unread(book, service, edit, appended);
+            let reason =
+                "the edit was not read back from the log in time: send it again with the same id";
             Submitted::Failed(Outcome::Unknown, reason.to_owned())
         }
     }
 }
 
-/// Looks for what the fold decided about the edit, once what it has read is in force.
-fn look_for(
+/// Returns the fold's result of the edit, once the records that the fold has applied are in force.
+fn find_result(
     book: &ConfigBook,
     service: &str,
     edit: &EditId,
     appended: Option<Offset>,
     in_force: Offset,
 ) -> Option<Submitted> {
-    // Under one lock: between two the fold may take the record, and the edit would be there by
-    // the second look only.
+    // Reads all three under one lock: between two locks the fold could apply the record, and the
+    // result would be missing although the offset says that the record is applied.
     let (found, applied, state) = book.with_fold(|fold| {
         let found = fold.edit_result(service, edit).cloned();
         let state = fold.state().services.get(service).cloned();
         (found, fold.offset(), state)
     });
-    // What the operator hears is in force here already: the fold is ahead for a moment.
+    // The fold is briefly ahead of the state in force. The answer waits until the edit is in
+    // force at this entry.
     if in_force < applied {
         return None;
     }
-    if let Some(result) = found.filter(|result| is_of(result, appended)) {
+    if let Some(result) = found.filter(|result| is_same_or_earlier(result, appended)) {
         return Some(Submitted::Decided(result));
     }
-    // A state from a peer leaves out how its edits were decided, but not what is in force.
+    // A state from a peer has no results of edits, but it has the revision in force.
     let appended = appended.filter(|appended| *appended <= applied)?;
     if let Some(state) = state.filter(|state| state.revision == appended) {
         return Some(accepted(state.revision, state.epoch, edit, &state.team));
     }
-    let reason = "the edit was read by a peer: send it again with the same id";
+    let reason =
+        "a peer's state includes the edit, but not its result: send it again with the same id";
     Some(Submitted::Failed(Outcome::Unknown, reason.to_owned()))
 }
 
-/// Tells how far the entry has read, for who looks for what held it up.
-fn tell_unread(book: &ConfigBook, service: &str, edit: &EditId, appended: Option<Offset>) {
+/// Logs how far the entry has read, so that an operator can find the cause of the delay.
+fn report_unread(book: &ConfigBook, service: &str, edit: &EditId, appended: Option<Offset>) {
     let applied = book.with_fold(|fold| fold.offset());
     let in_force = *book.offset().borrow();
     let log_end = (*book.head().borrow()).map(|head| head.next);
     let reading = *book.reading().borrow();
-    let place = |place: Option<Offset>| place.map_or("unknown".to_owned(), |it| it.to_string());
+    let text = |offset: Option<Offset>| offset.map_or("unknown".to_owned(), |it| it.to_string());
     events::EDIT_UNREAD.emit(&[
         ("service", service),
         ("edit", edit),
-        ("appended", &place(appended)),
+        ("appended", &text(appended)),
         ("applied", &applied.to_string()),
         ("in_force", &in_force.to_string()),
-        ("log_end", &place(log_end)),
+        ("log_end", &text(log_end)),
         ("reading", &reading.to_string()),
     ]);
 }
 
-/// Says whether `result` is of the edit that was appended at `appended`, or of an earlier copy.
-fn is_of(result: &EditResult, appended: Option<Offset>) -> bool {
+/// Returns whether `result` is of the edit that was appended at `appended`, or of an earlier copy.
+fn is_same_or_earlier(result: &EditResult, appended: Option<Offset>) -> bool {
     appended.is_none_or(|appended| result.offset <= appended)
 }
 
@@ -292,7 +295,7 @@
         ),
         Submitted::BadEdit => (
             StatusCode::BAD_REQUEST,
-            json!({ "error": "`edit` is no name: use lower case letters, digits and hyphens" }),
+            json!({ "error": "`edit` is not a valid name: use lower case letters, digits and hyphens" }),
         ),
         Submitted::Failed(outcome, reason) => (
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -440,7 +440,7 @@
         self.0.fold().offset()
     }
 
-    fn take_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop> {
+    fn apply_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop> {
         self.0.fold().check_head(applied, page.next)?;
         for record in &page.records {
             let step = self.0.fold().apply(record.offset, record.at, &record.data);
@@ -451,7 +451,7 @@
         Ok(())
     }
 
-    fn lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop> {
+    fn on_lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop> {
         let mut fold = self.0.fold();
         fold.check_head(applied, next)?;
         let missed = first > fold.next() && applied > 0;
@@ -459,9 +459,9 @@
         Ok(missed)
     }
 
-    fn set_reading(&self, reading: bool) {
+    fn set_readable(&self, reading: bool) {
         self.0.reading.store(reading, Ordering::Relaxed);
     }
 
-    fn stopped(&self, _stop: &FoldStop) {}
+    fn on_stop(&self, _stop: &FoldStop) {}
 }
--- a/crates/entry/src/follower.rs
+++ b/crates/entry/src/follower.rs
@@ -11,42 +11,43 @@
 use crate::events;
 use crate::metrics::Metrics;
 
-/// Records asked for at once.
-const PAGE: usize = 200;
+/// Maximum number of records in one page.
+const MAX_PAGE_RECORDS: usize = 200;
 
-/// How long the log may hold a poll; it bounds how late housekeeping comes.
-const POLL: Duration = Duration::from_secs(1);
+/// How long the log may hold a poll. Periodic work of the sink is delayed by at most this time.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What takes in the records of a stream.
+/// Consumer of the records of a stream.
 pub(crate) trait StreamSink: Sync {
     /// Name of the stream.
     const STREAM: &'static str;
 
-    /// Returns the offset to read next; after a failure one that checks the log is the same.
+    /// Returns the offset to read next. After a failure, this is one from which the sink can check
+    /// that the log is still the same.
     fn next(&self, after_failure: bool) -> Offset;
 
     /// Returns the offset of the last record applied.
     fn applied(&self) -> Offset;
 
-    /// Takes a page. `applied` is what [`StreamSink::applied`] said before it was asked for.
+    /// Applies a page. `applied` is the value of [`StreamSink::applied`] before the page was read.
     ///
     /// # Errors
     ///
-    /// Returns why nothing more is applied.
-    fn take_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop>;
+    /// Returns why the sink applies no more records.
+    fn apply_page(&self, page: &LogPage, applied: Offset) -> Result<(), FoldStop>;
 
-    /// Takes that the log keeps only `first` to `next`; returns whether anything was missed.
+    /// Records that the log keeps only `first` to `next`. Returns whether unread records were lost.
     ///
     /// # Errors
     ///
-    /// Returns why nothing more is applied.
-    fn lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop>;
+    /// Returns why the sink applies no more records.
+    fn on_lapsed(&self, first: Offset, next: Offset, applied: Offset) -> Result<bool, FoldStop>;
 
-    /// Takes whether the stream can be read.
-    fn set_reading(&self, reading: bool);
+    /// Records whether the stream can be read.
+    fn set_readable(&self, reading: bool);
 
-    /// Takes that nothing more is applied.
-    fn stopped(&self, stop: &FoldStop);
+    /// Records that the sink applies no more records.
+    fn on_stop(&self, stop: &FoldStop);
 }
 
 /// Follows the stream of `sink` until `cancel` or until the fold stops.
@@ -56,25 +57,25 @@
     S: StreamSink,
 {
     let mut backoff = Backoff::new();
-    let mut away = false;
+    let mut unreachable = false;
     let mut check_again = false;
     loop {
         let applied = sink.applied();
         let from = sink.next(check_again);
-        let read = log.read(S::STREAM, from, PAGE, POLL);
+        let read = log.read(S::STREAM, from, MAX_PAGE_RECORDS, POLL_TIMEOUT);
         let Some(result) = cancel.run_until_cancelled(read).await else {
             return;
         };
         let result = match result {
-            Ok(page) => sink.take_page(&page, applied),
-            Err(PlatformError::Gone { first, next }) => lapsed(sink, first, next, applied),
+            Ok(page) => sink.apply_page(&page, applied),
+            Err(PlatformError::Gone { first, next }) => handle_lapsed(sink, first, next, applied),
             Err(err) => {
-                if !away {
-                    report_away(S::STREAM, &err);
+                if !unreachable {
+                    report_unreachable(S::STREAM, &err);
                 }
-                away = true;
+                unreachable = true;
                 check_again = true;
-                sink.set_reading(false);
+                sink.set_readable(false);
                 metrics
                     .log_errors
                     .with_label_values(&[S::STREAM, "read"])
@@ -90,32 +91,32 @@
         if let Err(stop) = result {
             let reason = stop.to_string();
             events::LOG_STOPPED.emit(&[("stream", S::STREAM), ("reason", &reason)]);
-            sink.set_reading(false);
-            sink.stopped(&stop);
+            sink.set_readable(false);
+            sink.on_stop(&stop);
             return;
         }
-        if away {
+        if unreachable {
             events::LOG_BACK.emit(&[("stream", S::STREAM)]);
         }
-        away = false;
+        unreachable = false;
         check_again = false;
         backoff.reset();
-        sink.set_reading(true);
+        sink.set_readable(true);
     }
 }
 
-fn lapsed<S>(sink: &S, first: Offset, next: Offset, applied: Offset) -> Result<(), FoldStop>
+fn handle_lapsed<S>(sink: &S, first: Offset, next: Offset, applied: Offset) -> Result<(), FoldStop>
 where
     S: StreamSink,
 {
-    if sink.lapsed(first, next, applied)? {
+    if sink.on_lapsed(first, next, applied)? {
         let from = first.to_string();
         events::LOG_LAPSED.emit(&[("stream", S::STREAM), ("first", &from)]);
     }
     Ok(())
 }
 
-fn report_away(stream: &str, err: &PlatformError) {
+fn report_unreachable(stream: &str, err: &PlatformError) {
     let reason = err.to_string();
     events::LOG_AWAY.emit(&[("stream", stream), ("reason", &reason)]);
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! What comes from peers: configuration, reports of agents, and demand for limits.
+//! Data from peers: configuration, reports of agents, and demand for limits.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,25 +16,25 @@
 use crate::services::Services;
 use crate::vms::KnownVms;
 
-/// How long a peer may take to answer when it is asked for its configuration.
+/// Time-out of a request for a peer's configuration.
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause between rounds of asking peers while nothing is known.
-const PULL_EVERY: Duration = Duration::from_millis(500);
+/// Interval of pulls from peers while the configuration is unknown.
+const INITIAL_PULL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same once something is known.
-const PULL_ON: Duration = Duration::from_secs(2);
+/// Interval of pulls from peers once a configuration is known.
+const PULL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Peers asked in one round.
-const PULL_MOST: usize = 8;
+/// Maximum number of peers that are asked in one round.
+const MAX_PULLS_PER_ROUND: usize = 8;
 
-/// How often shares of limits are dealt.
-const SHARES_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which the shares of limits are computed.
+const SHARES_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks peers for the configuration as long as the log can't be read.
+/// Pulls the configuration from peers while the log can't be read.
 ///
-/// The higher revision wins, whichever comes first. One answer is not enough: the peer that gave
-/// it may have missed the last edits, which another entry or an agent has.
+/// The highest revision wins, in whatever order the answers arrive. One answer is not enough: that
+/// peer may lack the last edits, which another entry or an agent has.
 pub(crate) async fn pull_without_log(
     book: Arc<ConfigBook>,
     seeds: Vec<SocketAddr>,
@@ -46,39 +46,45 @@
     let agents = control.agents();
     let mut reading = book.reading();
     loop {
-        let away = reading.wait_for(|reading| !reading);
-        if !matches!(cancel.run_until_cancelled(away).await, Some(Ok(_))) {
+        let unreadable = reading.wait_for(|reading| !reading);
+        if !matches!(cancel.run_until_cancelled(unreadable).await, Some(Ok(_))) {
             return;
         }
         let mut addrs = vms.control_addrs(&data_centre);
         addrs.extend(&seeds);
-        // With the list of VMs away too, agents are known by their reports alone.
+        // If the list of VMs can't be read either, agents are known only from their reports.
         let views = Arc::clone(&agents.borrow());
         addrs.extend(views.values().map(|view| view.report.control));
         addrs.sort();
         addrs.dedup();
         rand::seq::SliceRandom::shuffle(addrs.as_mut_slice(), &mut rand::rng());
-        addrs.truncate(PULL_MOST);
+        addrs.truncate(MAX_PULLS_PER_ROUND);
         let pulls = addrs.iter().map(|addr| pull_state(*addr, PULL_TIMEOUT));
         let Some(answers) = cancel.run_until_cancelled(join_all(pulls)).await else {
             return;
         };
         for view in answers.into_iter().flatten() {
-            if book.take_state(&view) {
+            if book.merge_state(&view) {
                 let offset = view.offset.to_string();
                 events::STATE_PULLED.emit(&[("offset", &offset)]);
             }
         }
-        let pause = if book.is_known() { PULL_ON } else { PULL_EVERY };
-        let slept = cancel.run_until_cancelled(tokio::time::sleep(pause)).await;
+        let pull_interval = if book.is_known() {
+            PULL_INTERVAL
+        } else {
+            INITIAL_PULL_INTERVAL
+        };
+        let slept = cancel
+            .run_until_cancelled(tokio::time::sleep(pull_interval))
+            .await;
         if slept.is_none() {
             return;
         }
     }
 }
 
-/// Takes configuration that peer entries have and this one lacks, until `cancel`.
-pub(crate) async fn follow_learned(
+/// Merges configuration that peer entries have and this one lacks, until `cancel`.
+pub(crate) async fn follow_peer_state(
     book: Arc<ConfigBook>,
     control: EntryControl,
     cancel: CancellationToken,
@@ -86,11 +92,11 @@
     let mut learned = control.learned();
     while let Some(Ok(())) = cancel.run_until_cancelled(learned.changed()).await {
         let view = learned.borrow_and_update().clone();
-        book.take_state(&view);
+        book.merge_state(&view);
     }
 }
 
-/// Takes the agents' reports to the request path, until `cancel`.
+/// Passes the agents' reports to the request path, until `cancel`.
 pub(crate) async fn follow_agents(
     services: Arc<Services>,
     live: Arc<GoLiveTimer>,
@@ -111,8 +117,8 @@
     }
 }
 
-/// Tells peers this entry's demand and deals the shares of limits anew, until `cancel`.
-pub(crate) async fn deal_shares(
+/// Sends this entry's demand to peers and updates its shares of limits, until `cancel`.
+pub(crate) async fn update_shares(
     services: Arc<Services>,
     control: EntryControl,
     vms: Arc<KnownVms>,
@@ -120,7 +126,7 @@
     cancel: CancellationToken,
 ) {
     let demands = control.demands();
-    let mut interval = tokio::time::interval(SHARES_EVERY);
+    let mut interval = tokio::time::interval(SHARES_INTERVAL);
     loop {
         if cancel.run_until_cancelled(interval.tick()).await.is_none() {
             return;
--- a/crates/entry/src/services.rs
+++ b/crates/entry/src/services.rs
@@ -1,4 +1,4 @@
-//! All services of the entry, one shard each.
+//! All services of the entry, each with a lock of its own.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -11,36 +11,36 @@
 
 /// The services by name.
 ///
-/// The map's lock is held for a look-up only; each service has its own.
+/// The map's lock is held only for a look-up; each service has its own lock.
 #[derive(Debug)]
 pub(crate) struct Services {
     data_centre: DataCentre,
     region: Region,
     metrics: Metrics,
     services: RwLock<BTreeMap<ServiceName, Arc<Service>>>,
-    /// What came last, for services that are made later.
-    last: Mutex<Last>,
+    /// The latest reports and VMs, for services that are created later.
+    latest: Mutex<LatestInputs>,
 }
 
 #[derive(Debug, Default)]
-struct Last {
+struct LatestInputs {
     agents: AgentViews,
     vms: Vec<VmEntry>,
 }
 
 impl Services {
-    /// Makes an empty map for an entry of `data_centre`.
+    /// Returns an empty map for an entry of `data_centre`.
     pub(crate) fn new(data_centre: DataCentre, region: Region, metrics: Metrics) -> Self {
         Self {
             data_centre,
             region,
             metrics,
             services: RwLock::default(),
-            last: Mutex::default(),
+            latest: Mutex::default(),
         }
     }
 
-    /// Returns the service `name`, if the configuration ever had it.
+    /// Returns the service `name`, or `None` if no configuration so far had it.
     pub(crate) fn get(&self, name: &str) -> Option<Arc<Service>> {
         let services = self.services.read().unwrap_or_else(PoisonError::into_inner);
         services.get(name).cloned()
@@ -55,14 +55,14 @@
     /// Puts a configuration in force.
     pub(crate) fn apply(&self, view: &StateView) {
         for (name, state) in &view.services {
-            let service = self.get_or_make(name);
+            let service = self.get_or_create(name);
             service.set_document(state.document.as_deref());
         }
     }
 
-    /// Takes the agents' latest reports.
+    /// Applies the agents' latest reports.
     pub(crate) fn reports(&self, agents: &AgentViews) {
-        self.last().agents = Arc::clone(agents);
+        self.latest().agents = Arc::clone(agents);
         let mut by_service: BTreeMap<&str, Vec<&AgentView>> = BTreeMap::new();
         for view in agents.values() {
             by_service
@@ -77,15 +77,15 @@
         }
     }
 
-    /// Takes the list of VMs.
+    /// Applies the list of VMs.
     pub(crate) fn list(&self, vms: &[VmEntry]) {
-        self.last().vms = vms.to_vec();
+        self.latest().vms = vms.to_vec();
         for service in self.all() {
             service.list(vms);
         }
     }
 
-    fn get_or_make(&self, name: &str) -> Arc<Service> {
+    fn get_or_create(&self, name: &str) -> Arc<Service> {
         if let Some(service) = self.get(name) {
             return service;
         }
@@ -104,9 +104,9 @@
             .unwrap_or_else(PoisonError::into_inner);
         services.insert(name.to_owned(), Arc::clone(&service));
         drop(services);
-        let last = self.last();
-        service.list(&last.vms);
-        let views: Vec<&AgentView> = last
+        let latest = self.latest();
+        service.list(&latest.vms);
+        let views: Vec<&AgentView> = latest
             .agents
             .values()
             .filter(|view| view.report.service == name)
@@ -115,7 +115,7 @@
         service
     }
 
-    fn last(&self) -> std::sync::MutexGuard<'_, Last> {
-        self.last.lock().unwrap_or_else(PoisonError::into_inner)
+    fn latest(&self) -> std::sync::MutexGuard<'_, LatestInputs> {
+        self.latest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/snapshots.rs
+++ b/crates/entry/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Appends the state to the log before the records that it stands for lapse.
+//! Appends snapshots of the state to the log before the records that they replace lapse.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -13,11 +13,11 @@
 use crate::follower::StreamSink as _;
 use crate::vms::KnownVms;
 
-/// How much longer each rank waits; the snapshot of the rank before is read by then.
-const STEP: Duration = Duration::from_secs(3);
+/// How much longer each rank waits than the one before, whose snapshot is read by then.
+const RANK_DELAY: Duration = Duration::from_secs(3);
 
 /// Appends snapshots when they are due, until `cancel`.
-pub(crate) async fn keep_snapshots<L>(
+pub(crate) async fn append_due_snapshots<L>(
     log: L,
     book: Arc<ConfigBook>,
     vms: Arc<KnownVms>,
@@ -41,7 +41,7 @@
         }
         let names = vms.entry_names();
         let at = book.applied();
-        let wait = snapshot_wait(names.iter().map(String::as_str), &me, at, STEP);
+        let wait = snapshot_wait(names.iter().map(String::as_str), &me, at, RANK_DELAY);
         let waited = cancel.run_until_cancelled(tokio::time::sleep(wait)).await;
         if waited.is_none() {
             return;
@@ -75,7 +75,7 @@
             let offset = offset.to_string();
             events::SNAPSHOT_APPENDED.emit(&[("offset", &offset)]);
         }
-        // It may be in the log all the same; a second one does no harm.
+        // The snapshot may be in the log nevertheless; a second one does no harm.
         Err(err) => report_failed(&err.to_string()),
     }
 }
--- a/crates/entry/src/vms.rs
+++ b/crates/entry/src/vms.rs
@@ -16,7 +16,7 @@
 use crate::services::Services;
 
 /// How long the list may hold a poll.
-const POLL: Duration = Duration::from_secs(1);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The last known list of VMs.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
 }
 
 impl KnownVms {
-    /// Returns the names of the entries that stay.
+    /// Returns the names of the entries that are not leaving.
     pub(crate) fn entry_names(&self) -> BTreeSet<VmId> {
         self.lock()
             .iter()
@@ -48,7 +48,7 @@
     }
 }
 
-/// The parts of the entry that are handed each new list.
+/// The parts of the entry that receive each new list.
 #[derive(Clone, Debug)]
 pub(crate) struct VmConsumers {
     pub(crate) me: VmId,
@@ -59,7 +59,7 @@
 }
 
 impl VmConsumers {
-    fn take(&self, page: VmListPage) {
+    fn apply(&self, page: VmListPage) {
         let (entries, upstreams): (Vec<VmEntry>, Vec<VmEntry>) = page
             .vms
             .iter()
@@ -86,31 +86,34 @@
     V: VmList,
 {
     let mut backoff = Backoff::new();
-    let mut away = false;
+    let mut unreachable = false;
     let mut since = None;
     loop {
-        let Some(result) = cancel.run_until_cancelled(list.list(since, POLL)).await else {
+        let Some(result) = cancel
+            .run_until_cancelled(list.list(since, POLL_TIMEOUT))
+            .await
+        else {
             return;
         };
         match result {
             Ok(page) => {
-                if away {
+                if unreachable {
                     events::VM_LIST_BACK.emit(&[]);
                 }
-                away = false;
+                unreachable = false;
                 backoff.reset();
                 if let Some(page) = page {
                     since = Some(page.version);
-                    consumers.take(page);
+                    consumers.apply(page);
                 }
             }
             Err(err) => {
-                if !away {
+                if !unreachable {
                     let reason = err.to_string();
                     events::VM_LIST_AWAY.emit(&[("reason", &reason)]);
                 }
-                away = true;
-                // The list may start over with lower versions when it comes back.
+                unreachable = true;
+                // The list may restart with lower versions once it can be read again.
                 since = None;
                 let wait = backoff.failed(err.retry_after());
                 let slept = cancel.run_until_cancelled(tokio::time::sleep(wait)).await;
