--- a/src/commands/direct.rs
+++ b/src/commands/direct.rs
@@ -1,14 +1,14 @@
 //! `wagtailreel entry` for a fleet whose upstreams name themselves.
 
 use wagtailreel_direct::DirectEntry;
-use wagtailreel_platform::{Marks, Store};
+use wagtailreel_platform::{PlatformDialect, Store};
 use wagtailreel_settings::DirectEntrySettings;
 use wagtailreel_telemetry::LogGuard;
 
 use super::process::Process;
 
 /// The entry of such a fleet.
-pub(super) struct DirectProcess(DirectEntry<Marks>);
+pub(super) struct DirectProcess(DirectEntry<PlatformDialect>);
 
 impl Process for DirectProcess {
     type Settings = DirectEntrySettings;
@@ -31,7 +31,7 @@
 
     async fn start(settings: DirectEntrySettings) -> Result<Self, String> {
         let store = Store::new(settings.registry);
-        let entry = DirectEntry::start(settings, store, Marks).await;
+        let entry = DirectEntry::start(settings, store, PlatformDialect).await;
         entry.map(Self).map_err(|e| e.to_string())
     }
 
