--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -17,7 +17,7 @@
     CallCounters, Mirror, Neighbours, Seeds, SharedRegistry, SharedRegistryConfig,
 };
 use wagtailreel_route::direct::NamingBounds;
-use wagtailreel_serve::{ConnectionCounters, LONGEST_UNUSED, Phase, Routes, Server};
+use wagtailreel_serve::{ConnectionCounters, MAX_IDLE, Phase, Routes, Server};
 use wagtailreel_settings::DirectEntrySettings;
 use wagtailreel_telemetry::Event;
 
@@ -265,7 +265,7 @@
         let now = Instant::now();
         let until = now + grace;
         let lame_duck = now + LAME_DUCK_TIME.min(grace / 2);
-        let unused_closed = now + LONGEST_UNUSED.min(grace / 2);
+        let unused_closed = now + MAX_IDLE.min(grace / 2);
         let closing = until - LISTENER_CLOSE_MARGIN.min(grace / 4);
         let ending = until - IDLE_CLOSE_MARGIN.min(grace / 8);
         self.cx.begin_shutdown(lame_duck, ending);
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -16,7 +16,7 @@
 use wagtailreel_core::Incarnation;
 use wagtailreel_fold::SnapshotRule;
 use wagtailreel_route::{Shares, SharesConfig};
-use wagtailreel_serve::{ConnectionCounters, LONGEST_UNUSED, Phase, Routes, Server};
+use wagtailreel_serve::{ConnectionCounters, MAX_IDLE, Phase, Routes, Server};
 use wagtailreel_settings::{EntrySettings, Keyring};
 
 use crate::admin::{self, Admin};
@@ -37,7 +37,7 @@
 
 /// How much longer the listener stays open at most while callers still open connections. Unused connections
 /// of callers are closed by then.
-const MAX_DRAIN_WAIT: Duration = LONGEST_UNUSED;
+const MAX_DRAIN_WAIT: Duration = MAX_IDLE;
 
 /// Time-out of each clean-up step at shutdown, such as appending the last claims and releases to the log.
 const CLEANUP_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/serve/src/closing.rs
+++ b/crates/serve/src/closing.rs
@@ -14,7 +14,7 @@
 const MARGIN: Duration = KEPT;
 
 /// Longest time for which a server that leaves keeps a connection that its caller does not use.
-pub const LONGEST_UNUSED: Duration = KEPT.saturating_add(MARGIN);
+pub const MAX_IDLE: Duration = KEPT.saturating_add(MARGIN);
 
 /// How long a connection is idle before it is closed in the last moment: what follows an answer at once, or
 /// is on its way, is read.
@@ -39,7 +39,7 @@
         let (why, least) = if is_ending {
             ("ending", LAST_IDLE)
         } else {
-            ("idle", LONGEST_UNUSED)
+            ("idle", MAX_IDLE)
         };
         if is_ending {
             let since = *ending_since.get_or_insert_with(Instant::now);
@@ -48,13 +48,13 @@
                 return "begun";
             }
         }
-        let look = match activity.idle(Instant::now(), LONGEST_UNUSED) {
+        let look = match activity.idle(Instant::now(), MAX_IDLE) {
             Some(idle) if idle < least => least - idle,
             Some(_) if unread() == 0 => return why,
             // A request has come that the runtime has not heard of yet.
             Some(_) => LOOK,
             None if is_ending => LOOK,
-            None => LONGEST_UNUSED,
+            None => MAX_IDLE,
         };
         tokio::select! {
             () = tokio::time::sleep(look) => {}
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -19,7 +19,7 @@
 mod socket;
 
 pub use body::RequestBody;
-pub use closing::LONGEST_UNUSED;
+pub use closing::MAX_IDLE;
 pub use connection::ConnectionNumber;
 pub use front::{Answered, Front, Limits, Routes};
 pub use metrics::ConnectionCounters;
