--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -7,7 +7,7 @@
 use env_logger::Target;
 use log::kv::{Error as KvError, Key, Value, VisitSource};
 
-use crate::stdout::{Lines, LogGuard};
+use crate::stdout::{LogWriter, LogGuard};
 
 /// Collects a record's pairs in the order of their keys.
 #[derive(Default)]
@@ -68,7 +68,7 @@
 ///
 /// Returns what the system says if the thread that writes can't be started.
 pub fn init_stdout_logging(process: &str) -> std::io::Result<LogGuard> {
-    let (lines, guard) = Lines::start(std::io::stdout())?;
+    let (lines, guard) = LogWriter::start(std::io::stdout())?;
     start(process, Some(Target::Pipe(Box::new(lines))));
     Ok(guard)
 }
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -93,13 +93,13 @@
 
 /// Hands lines to a thread that writes them; leaves out what is too much.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LogWriter {
     tx: SyncSender<Vec<u8>>,
     progress: Arc<Progress>,
     budget: Budget,
 }
 
-impl Lines {
+impl LogWriter {
     /// Starts the thread that writes to `out`, and returns the guard of the last lines with it.
     ///
     /// # Errors
@@ -131,7 +131,7 @@
     }
 }
 
-impl Write for Lines {
+impl Write for LogWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if !self.budget.allows(Instant::now()) {
             DROPPED.fetch_add(1, Ordering::Relaxed);
--- a/crates/telemetry/tests/last_lines.rs
+++ b/crates/telemetry/tests/last_lines.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 
 use rstest::rstest;
-use wagtailreel_telemetry::Lines;
+use wagtailreel_telemetry::LogWriter;
 
 /// An output that holds each write until it is let go.
 struct Held {
@@ -78,7 +78,7 @@
         under_way,
         out,
     } = gate;
-    let (mut lines, guard) = Lines::start(held).unwrap();
+    let (mut lines, guard) = LogWriter::start(held).unwrap();
     lines.write_all(b"first\n").unwrap();
     under_way.recv().unwrap();
     lines.write_all(b"last\n").unwrap();
@@ -95,7 +95,7 @@
 #[rstest]
 fn stuck_output() {
     let (held, gate) = held();
-    let (mut lines, guard) = Lines::start(held).unwrap();
+    let (mut lines, guard) = LogWriter::start(held).unwrap();
     lines.write_all(b"first\n").unwrap();
     gate.under_way.recv().unwrap();
     // Returns, though nothing is ever let through.
