--- a/crates/serve/src/activity.rs
+++ b/crates/serve/src/activity.rs
@@ -17,7 +17,7 @@
     requests: u64,
     open: u32,
     /// Bytes of a head were read that is not whole yet.
-    has_begun_head: bool,
+    has_partial_head: bool,
     /// The peer doesn't take what is written.
     is_blocked: bool,
     /// The peer has ended its side.
@@ -31,7 +31,7 @@
                 last: Instant::now(),
                 requests: 0,
                 open: 0,
-                has_begun_head: false,
+                has_partial_head: false,
                 is_blocked: false,
                 has_ended: false,
             }),
@@ -39,15 +39,15 @@
     }
 
     /// Takes that `bytes` were read. Empty lines between requests begin no head.
-    pub(crate) fn read(&self, bytes: &[u8]) {
+    pub(crate) fn on_read(&self, bytes: &[u8]) {
         let mut state = self.lock();
         state.last = Instant::now();
-        let is_head = state.has_begun_head || bytes.iter().any(|it| !b"\r\n".contains(it));
-        state.has_begun_head = state.open == 0 && is_head;
+        let is_head = state.has_partial_head || bytes.iter().any(|it| !b"\r\n".contains(it));
+        state.has_partial_head = state.open == 0 && is_head;
     }
 
     /// Takes that the peer has ended its side, or reset the connection.
-    pub(crate) fn ended(&self) {
+    pub(crate) fn on_peer_end(&self) {
         self.lock().has_ended = true;
     }
 
@@ -57,23 +57,23 @@
     }
 
     /// Takes that bytes were written.
-    pub(crate) fn wrote(&self) {
+    pub(crate) fn on_write(&self) {
         let mut state = self.lock();
         state.last = Instant::now();
         state.is_blocked = false;
     }
 
     /// Takes that the peer reads too slowly for more to be written.
-    pub(crate) fn blocked(&self) {
+    pub(crate) fn on_write_blocked(&self) {
         self.lock().is_blocked = true;
     }
 
     /// Takes that the head of a request has been read.
-    pub(crate) fn begin(self: &Arc<Self>) -> Arc<OpenRequest> {
+    pub(crate) fn on_request(self: &Arc<Self>) -> Arc<OpenRequest> {
         let mut state = self.lock();
         state.requests += 1;
         state.open += 1;
-        state.has_begun_head = false;
+        state.has_partial_head = false;
         drop(state);
         Arc::new(OpenRequest {
             activity: Arc::clone(self),
@@ -98,11 +98,11 @@
 
     /// Returns for how long the connection has been idle; none while a request is read or answered.
     ///
-    /// A head of which nothing came for `patience` counts as none: its caller has given up.
-    pub(crate) fn idle(&self, now: Instant, patience: Duration) -> Option<Duration> {
+    /// A head of which nothing came for `head_timeout` counts as none: its caller has given up.
+    pub(crate) fn idle(&self, now: Instant, head_timeout: Duration) -> Option<Duration> {
         let state = self.lock();
         let quiet = now.saturating_duration_since(state.last);
-        let is_reading = state.has_begun_head && quiet < patience;
+        let is_reading = state.has_partial_head && quiet < head_timeout;
         let is_busy = state.open > 0 || state.is_blocked || is_reading;
         (!is_busy).then_some(quiet)
     }
@@ -110,7 +110,7 @@
     /// Says whether the beginning of a head is all that is under way.
     pub(crate) fn is_in_head(&self) -> bool {
         let state = self.lock();
-        state.has_begun_head && state.open == 0 && !state.is_blocked
+        state.has_partial_head && state.open == 0 && !state.is_blocked
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -128,7 +128,7 @@
 
 impl OpenRequest {
     /// Takes that the request's body was read to its end.
-    pub(crate) fn read(&self) {
+    pub(crate) fn on_body_read(&self) {
         self.is_read.store(true, Ordering::Relaxed);
     }
 
--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -21,7 +21,7 @@
 impl RequestBody {
     pub(crate) fn new(body: Incoming, open: Arc<OpenRequest>) -> Self {
         if body.is_end_stream() {
-            open.read();
+            open.on_body_read();
         }
         Self { body, open }
     }
@@ -37,7 +37,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if frame.is_none() || self.body.is_end_stream() {
-            self.open.read();
+            self.open.on_body_read();
         }
         Poll::Ready(frame)
     }
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -13,7 +13,7 @@
 
 use crate::activity::Activity;
 use crate::body::{AnswerBody, RequestBody};
-use crate::closing::{KEPT, closable};
+use crate::closing::{KEEP_ALIVE_TIMEOUT, closable};
 use crate::events;
 use crate::front::{Answered, Front};
 use crate::options::connection_options;
@@ -22,7 +22,7 @@
 use crate::socket::{Socket, linger, refuse, unread};
 
 /// The smallest buffer that the HTTP library takes, in bytes.
-const LEAST_BUF: usize = 8 * 1024;
+const MIN_BUF: usize = 8 * 1024;
 
 /// Name of the header that tells how long a connection is kept.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
@@ -43,25 +43,31 @@
     open.inc();
     let activity = Arc::new(Activity::new());
     let limits = cx.front.limits();
-    let kept = kept(limits.idle);
+    let keep_alive = keep_alive(limits.idle);
     let service = service_fn(|req| {
-        let kept = kept.clone();
-        answer(Arc::clone(&cx), Arc::clone(&activity), number, kept, req)
+        let keep_alive = keep_alive.clone();
+        answer(
+            Arc::clone(&cx),
+            Arc::clone(&activity),
+            number,
+            keep_alive,
+            req,
+        )
     });
     let socket = Socket::new(Arc::clone(&stream), Arc::clone(&activity));
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle)
-        .max_buf_size(limits.head.max(LEAST_BUF))
+        .max_buf_size(limits.head.max(MIN_BUF))
         .serve_connection(TokioIo::new(socket), service);
     let mut conn = std::pin::pin!(conn);
     // Dropped before the connection, whose open requests it counts.
     let mut end = End::new(&cx.listener, &cx.phase, &stream, &activity, number);
-    let look = || unread(&stream).unwrap_or(0);
+    let unread_len = || unread(&stream).unwrap_or(0);
     let (closing, ended) = tokio::select! {
         biased;
         ended = conn.as_mut() => (None, ended),
-        why = closable(&cx.phase, &activity, look) => (Some(why), Ok(())),
+        why = closable(&cx.phase, &activity, unread_len) => (Some(why), Ok(())),
     };
     let failure = ended.err().map(|e| e.to_string());
     let why = match closing {
@@ -87,14 +93,14 @@
     cx: Arc<Shared<F>>,
     activity: Arc<Activity>,
     number: ConnectionNumber,
-    kept: Option<HeaderValue>,
+    keep_alive: Option<HeaderValue>,
     req: Request<Incoming>,
 ) -> Result<Response<AnswerBody<impl Answered>>, Infallible>
 where
     F: Front,
 {
-    let open = activity.begin();
-    let is_kept = keeps(&req);
+    let open = activity.on_request();
+    let is_keep_alive = allows_keep_alive(&req);
     let (mut parts, body) = req.into_parts();
     parts.extensions.insert(number);
     let body = RequestBody::new(body, Arc::clone(&open));
@@ -104,21 +110,21 @@
     // The library closes a connection on which a body was not read to its end.
     if cx.phase.now() >= Phase::Leaving || !open.is_read() {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
-    } else if let Some(kept) = kept.filter(|_| is_kept) {
-        headers.insert(KEEP_ALIVE, kept);
+    } else if let Some(keep_alive) = keep_alive.filter(|_| is_keep_alive) {
+        headers.insert(KEEP_ALIVE, keep_alive);
     }
     Ok(response.map(|body| AnswerBody::new(body, open)))
 }
 
 /// Returns how long callers are told that an idle connection is kept; none where that is under a second.
-fn kept(idle: Duration) -> Option<HeaderValue> {
-    let seconds = KEPT.min(idle).as_secs();
+fn keep_alive(idle: Duration) -> Option<HeaderValue> {
+    let seconds = KEEP_ALIVE_TIMEOUT.min(idle).as_secs();
     let text = (seconds > 0).then(|| format!("timeout={seconds}"))?;
     HeaderValue::try_from(text).ok()
 }
 
 /// Says whether the caller lets its connection be kept after `req`.
-fn keeps(req: &Request<Incoming>) -> bool {
+fn allows_keep_alive(req: &Request<Incoming>) -> bool {
     let has =
         |option| connection_options(req.headers()).any(|named| named.eq_ignore_ascii_case(option));
     if req.version() < Version::HTTP_11 {
--- a/crates/serve/src/front.rs
+++ b/crates/serve/src/front.rs
@@ -13,10 +13,10 @@
 use crate::body::RequestBody;
 
 /// Time for which a connection may be idle, or take for a head, if nothing else is configured.
-const USUAL_IDLE: Duration = Duration::from_secs(60);
+const DEFAULT_IDLE: Duration = Duration::from_secs(60);
 
 /// Longest head if nothing else is configured, in bytes; what the HTTP library takes by itself.
-const USUAL_HEAD: usize = 408 * 1024;
+const DEFAULT_HEAD_BYTES: usize = 408 * 1024;
 
 /// Bounds of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,8 +30,8 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            idle: USUAL_IDLE,
-            head: USUAL_HEAD,
+            idle: DEFAULT_IDLE,
+            head: DEFAULT_HEAD_BYTES,
         }
     }
 }
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -18,13 +18,13 @@
 use crate::server::Shared;
 
 /// Pause after a connection could not be accepted, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Tries to take a connection of the backlog that fails, as when descriptors have run out.
 const BACKLOG_TRIES: u32 = 50;
 
 /// How long handshakes that are under way are waited for as the listener closes: some round trips.
-pub(crate) const HANDSHAKE: Duration = Duration::from_millis(30);
+pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Accepts connections until the server closes its listener.
 pub(crate) async fn accept<F>(cx: Arc<Shared<F>>, listener: Arc<TcpListener>, tasks: TaskTracker)
@@ -46,12 +46,12 @@
             Err(e) => {
                 let reason = e.to_string();
                 events::ACCEPT_FAILED.emit(&[("listener", &cx.listener), ("reason", &reason)]);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
     // Handshakes have been waited for already where the server was quiet before.
-    let wait = (!cx.refuses.load(Ordering::Relaxed)).then_some(HANDSHAKE);
+    let wait = (!cx.refuses_handshakes.load(Ordering::Relaxed)).then_some(HANDSHAKE_TIMEOUT);
     let taken = take_backlog(&listener, wait, begin).await;
     drop(listener);
     let accepted = cx.accepted.borrow().to_string();
@@ -94,7 +94,7 @@
             // Connections that end give their descriptors back.
             Err(_) if tries_left > 0 => {
                 tries_left -= 1;
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
             Err(_) => return taken,
         }
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -12,13 +12,13 @@
 
 use crate::front::Front;
 use crate::handshakes::{allow_handshakes, refuse_handshakes};
-use crate::listener::{HANDSHAKE, accept};
+use crate::listener::{HANDSHAKE_TIMEOUT, accept};
 use crate::metrics::ConnectionCounters;
 use crate::phase::{Phase, PhaseWatch};
 
 /// How long no connection comes before a server counts as quiet. A balancer that still sends callers
 /// sends several in this time.
-const QUIET: Duration = Duration::from_millis(400);
+const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
 /// What a server's connections share.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// How many connections were accepted.
     pub(crate) accepted: watch::Sender<u64>,
     /// New connections are refused, and no handshake is under way any more.
-    pub(crate) refuses: Arc<AtomicBool>,
+    pub(crate) refuses_handshakes: Arc<AtomicBool>,
 }
 
 /// A listener with its connections. Dropping it closes the listener and leaves the connections to the runtime.
@@ -39,7 +39,7 @@
     phase: PhaseWatch,
     accepting: JoinHandle<()>,
     accepted: watch::Sender<u64>,
-    refuses: Arc<AtomicBool>,
+    refuses_handshakes: Arc<AtomicBool>,
     /// None once the listener is closed.
     listener: Weak<TcpListener>,
     connections: TaskTracker,
@@ -58,7 +58,7 @@
     {
         let phase = PhaseWatch::default();
         let accepted = watch::Sender::new(0);
-        let refuses = Arc::new(AtomicBool::new(false));
+        let refuses_handshakes = Arc::new(AtomicBool::new(false));
         let listener = Arc::new(listener);
         let connections = TaskTracker::new();
         // It still takes connections, and may be waited for from now on.
@@ -69,7 +69,7 @@
             phase: phase.clone(),
             counters,
             accepted: accepted.clone(),
-            refuses: Arc::clone(&refuses),
+            refuses_handshakes: Arc::clone(&refuses_handshakes),
         });
         let weak = Arc::downgrade(&listener);
         let accepting = tokio::spawn(accept(cx, listener, connections.clone()));
@@ -78,7 +78,7 @@
             accepting,
             connections,
             accepted,
-            refuses,
+            refuses_handshakes,
             listener: weak,
         }
     }
@@ -96,14 +96,17 @@
         let mut accepted = self.accepted.subscribe();
         // The sender lives as long as `self`, so that only time ends the waits.
         loop {
-            while timeout(QUIET, accepted.changed()).await.is_ok() {}
+            while timeout(QUIET_PERIOD, accepted.changed()).await.is_ok() {}
             let Some(listener) = self.listener.upgrade() else {
                 return;
             };
             // Where the kernel takes no filter, callers that come in the meantime are still seen.
             let _ = refuse_handshakes(&listener);
-            if timeout(HANDSHAKE, accepted.changed()).await.is_err() {
-                self.refuses.store(true, Ordering::Relaxed);
+            if timeout(HANDSHAKE_TIMEOUT, accepted.changed())
+                .await
+                .is_err()
+            {
+                self.refuses_handshakes.store(true, Ordering::Relaxed);
                 return;
             }
             let _ = allow_handshakes(&listener);
--- a/crates/serve/src/socket.rs
+++ b/crates/serve/src/socket.rs
@@ -14,10 +14,10 @@
 
 /// Longest wait for the peer's end of a connection that was ended here. A peer answers within a round trip,
 /// some milliseconds; a lost packet is repeated within a second.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bytes read at once while the peer's end is waited for.
-const LINGER_BUF: usize = 1024;
+const LINGER_BUF_BYTES: usize = 1024;
 
 /// The answer to a request that could not be read before the process ends; another process takes it at once.
 const REFUSAL: &[u8] =
@@ -43,7 +43,7 @@
     {
         loop {
             let Poll::Ready(ready) = self.stream.poll_write_ready(cx) else {
-                self.activity.blocked();
+                self.activity.on_write_blocked();
                 return Poll::Pending;
             };
             ready?;
@@ -51,7 +51,7 @@
                 // The readiness was out of date; asking for it again registers the task.
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 written => {
-                    self.activity.wrote();
+                    self.activity.on_write();
                     return Poll::Ready(written);
                 }
             }
@@ -71,15 +71,15 @@
             match self.stream.try_read_buf(buf) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Ok(0) => {
-                    self.activity.ended();
+                    self.activity.on_peer_end();
                     return Poll::Ready(Ok(()));
                 }
                 Ok(_) => {
-                    self.activity.read(&buf.filled()[before..]);
+                    self.activity.on_read(&buf.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) => {
-                    self.activity.ended();
+                    self.activity.on_peer_end();
                     return Poll::Ready(Err(e));
                 }
             }
@@ -133,7 +133,7 @@
 pub(crate) async fn linger(stream: &TcpStream, came: &mut u64) {
     // Where the peer has reset the connection there is nobody to tell.
     let _ = rustix::net::shutdown(stream, Shutdown::Write);
-    let mut buf = [0; LINGER_BUF];
+    let mut buf = [0; LINGER_BUF_BYTES];
     let reading = async {
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut buf) {
@@ -145,7 +145,7 @@
         }
     };
     // A peer that holds its side open for longer has read what there was to read.
-    let _ = tokio::time::timeout(LINGER, reading).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, reading).await;
 }
 
 /// Returns how many bytes the kernel holds that were not read; none if it doesn't say.
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -12,4 +12,4 @@
 pub use event::{Event, Level, catalogue};
 pub use logging::{init_logging, init_stdout_logging};
 pub use metrics::{MetricsError, encode_metrics};
-pub use stdout::{LogWriter, LogGuard, lines_dropped};
+pub use stdout::{LogGuard, LogWriter, lines_dropped};
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -7,7 +7,7 @@
 use env_logger::Target;
 use log::kv::{Error as KvError, Key, Value, VisitSource};
 
-use crate::stdout::{LogWriter, LogGuard};
+use crate::stdout::{LogGuard, LogWriter};
 
 /// Collects a record's pairs in the order of their keys.
 #[derive(Default)]
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 /// Lines that wait for standard output. At 400 bytes a line they hold 400 KB.
-const MOST_WAITING: usize = 1024;
+const MAX_QUEUED_LINES: usize = 1024;
 
 /// Lines in a second. An entry that answers 100 requests a second, each with two lines, stays
 /// below; what a storm of failures writes beyond it is counted and left out.
-const MOST_PER_SECOND: u32 = 400;
+const MAX_LINES_PER_SECOND: u32 = 400;
 
 /// Longest wait at the end of a process for lines that are not written yet. A reader of standard
 /// output that is stuck holds up the end no longer; the shortest grace that is configured is 8 s.
-const LAST_LINES: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Lines that were left out since the start.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -39,14 +39,14 @@
             self.lines = 0;
         }
         self.lines = self.lines.saturating_add(1);
-        self.lines <= MOST_PER_SECOND
+        self.lines <= MAX_LINES_PER_SECOND
     }
 }
 
 /// How far the thread that writes has come.
 #[derive(Debug, Default)]
 struct Progress {
-    taken: AtomicU64,
+    queued: AtomicU64,
     written: Mutex<u64>,
     changed: Condvar,
 }
@@ -58,14 +58,14 @@
         self.changed.notify_all();
     }
 
-    /// Waits until all lines that were taken so far are written, or `longest` has passed.
-    fn wait(&self, longest: Duration) {
-        let taken = self.taken.load(Ordering::Acquire);
+    /// Waits until all lines that were taken so far are written, or `timeout` has passed.
+    fn wait(&self, timeout: Duration) {
+        let queued = self.queued.load(Ordering::Acquire);
         let written = self.written.lock().unwrap_or_else(PoisonError::into_inner);
         // After the bound the rest is lost: nobody reads standard output.
         let _ = self
             .changed
-            .wait_timeout_while(written, longest, |written| *written < taken);
+            .wait_timeout_while(written, timeout, |written| *written < queued);
     }
 }
 
@@ -85,9 +85,9 @@
         // Wakes the thread, so that it also tells of lines that were left out last. A full queue
         // wakes it as well.
         if tx.try_send(Vec::new()).is_ok() {
-            progress.taken.fetch_add(1, Ordering::Release);
+            progress.queued.fetch_add(1, Ordering::Release);
         }
-        progress.wait(LAST_LINES);
+        progress.wait(FLUSH_TIMEOUT);
     }
 }
 
@@ -109,7 +109,7 @@
     where
         W: Write + Send + 'static,
     {
-        let (tx, rx) = sync_channel(MOST_WAITING);
+        let (tx, rx) = sync_channel(MAX_QUEUED_LINES);
         let progress = Arc::new(Progress::default());
         let done = Arc::clone(&progress);
         std::thread::Builder::new()
@@ -139,7 +139,7 @@
         }
         match self.tx.try_send(buf.to_vec()) {
             Ok(()) => {
-                self.progress.taken.fetch_add(1, Ordering::Release);
+                self.progress.queued.fetch_add(1, Ordering::Release);
             }
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -158,7 +158,7 @@
 where
     W: Write,
 {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(mut buf) = rx.recv() {
         let mut lines = 1;
         while let Ok(more) = rx.try_recv() {
@@ -166,8 +166,8 @@
             lines += 1;
         }
         let dropped = lines_dropped();
-        if dropped > told {
-            told = dropped;
+        if dropped > reported {
+            reported = dropped;
             buf.extend_from_slice(
                 format!("{{\"message\":\"lines-left-out\",\"total\":{dropped}}}\n").as_bytes(),
             );
