--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -53,20 +53,20 @@
 
 pin_project! {
     /// The body of an answer; its request is open for as long as it exists.
-    pub(crate) struct AnswerBody<B> {
+    pub(crate) struct TrackedBody<B> {
         #[pin]
         body: B,
         _open: Arc<OpenRequest>,
     }
 }
 
-impl<B> AnswerBody<B> {
+impl<B> TrackedBody<B> {
     pub(crate) fn new(body: B, open: Arc<OpenRequest>) -> Self {
         Self { body, _open: open }
     }
 }
 
-impl<B> Body for AnswerBody<B>
+impl<B> Body for TrackedBody<B>
 where
     B: Body<Data = Bytes>,
 {
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 use crate::activity::Activity;
-use crate::body::{AnswerBody, RequestBody};
+use crate::body::{TrackedBody, RequestBody};
 use crate::closing::{KEEP_ALIVE_TIMEOUT, closable};
 use crate::events;
 use crate::front::{Answered, Front};
@@ -95,7 +95,7 @@
     number: ConnectionNumber,
     keep_alive: Option<HeaderValue>,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody<impl Answered>>, Infallible>
+) -> Result<Response<TrackedBody<impl Answered>>, Infallible>
 where
     F: Front,
 {
@@ -113,7 +113,7 @@
     } else if let Some(keep_alive) = keep_alive.filter(|_| is_keep_alive) {
         headers.insert(KEEP_ALIVE, keep_alive);
     }
-    Ok(response.map(|body| AnswerBody::new(body, open)))
+    Ok(response.map(|body| TrackedBody::new(body, open)))
 }
 
 /// Returns how long callers are told that an idle connection is kept; none where that is under a second.
