--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt as _, Either, Full, StreamBody};
 use wagtailreel_adapters::discard;
 use wagtailreel_route::direct::{Ending, Next};
-use wagtailreel_serve::{Answered, Front, Limits, RequestBody};
+use wagtailreel_serve::{Answered, Handler, Limits, RequestBody};
 
 use crate::admit::{admit, strip_hop_by_hop};
 use crate::attempt::{Call, Template};
@@ -44,7 +44,7 @@
     }
 }
 
-impl<D> Front for CallerHandler<D>
+impl<D> Handler for CallerHandler<D>
 where
     D: Dialect,
 {
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -12,10 +12,10 @@
 use tokio::net::TcpStream;
 
 use crate::activity::Activity;
-use crate::body::{TrackedBody, RequestBody};
+use crate::body::{RequestBody, TrackedBody};
 use crate::closing::{KEEP_ALIVE_TIMEOUT, closable};
 use crate::events;
-use crate::front::{Answered, Front};
+use crate::handler::{Answered, Handler};
 use crate::options::connection_options;
 use crate::phase::{Phase, PhaseWatch};
 use crate::server::Shared;
@@ -34,7 +34,7 @@
 /// Serves one connection to its end.
 pub(crate) async fn serve<F>(cx: Arc<Shared<F>>, stream: TcpStream, number: ConnectionNumber)
 where
-    F: Front,
+    F: Handler,
 {
     // A connection that can't be set up so is still served, only later.
     let _ = stream.set_nodelay(true);
@@ -42,7 +42,7 @@
     let open = cx.counters.open.with_label_values(&[&cx.listener]);
     open.inc();
     let activity = Arc::new(Activity::new());
-    let limits = cx.front.limits();
+    let limits = cx.handler.limits();
     let keep_alive = keep_alive(limits.idle);
     let service = service_fn(|req| {
         let keep_alive = keep_alive.clone();
@@ -97,14 +97,14 @@
     req: Request<Incoming>,
 ) -> Result<Response<TrackedBody<impl Answered>>, Infallible>
 where
-    F: Front,
+    F: Handler,
 {
     let open = activity.on_request();
     let is_keep_alive = allows_keep_alive(&req);
     let (mut parts, body) = req.into_parts();
     parts.extensions.insert(number);
     let body = RequestBody::new(body, Arc::clone(&open));
-    let mut response = cx.front.answer(Request::from_parts(parts, body)).await;
+    let mut response = cx.handler.answer(Request::from_parts(parts, body)).await;
     let headers = response.headers_mut();
     headers.remove(KEEP_ALIVE);
     // The library closes a connection on which a body was not read to its end.
--- a/crates/serve/src/front.rs
+++ b/crates/serve/src/handler.rs
@@ -48,7 +48,7 @@
 }
 
 /// What answers the requests of a server.
-pub trait Front: Send + Sync + 'static {
+pub trait Handler: Send + Sync + 'static {
     /// Returns the bounds of a connection that has just been accepted.
     fn limits(&self) -> Limits {
         Limits::default()
@@ -76,7 +76,7 @@
     }
 }
 
-impl Front for Routes {
+impl Handler for Routes {
     fn answer(
         &self,
         req: Request<RequestBody>,
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,6 +1,6 @@
 //! Serves HTTP/1.1 connections, and ends them without losing a request.
 //!
-//! A [`Server`] accepts connections on one listener and serves each with a [`Front`]. When its process
+//! A [`Server`] accepts connections on one listener and serves each with a [`Handler`]. When its process
 //! is to end, it goes through the phases of a [`Phase`]; each connection, and the listener, writes one
 //! line that says how many requests it had, what was unread, and why it ended.
 
@@ -9,7 +9,7 @@
 mod closing;
 mod connection;
 pub mod events;
-mod front;
+mod handler;
 mod handshakes;
 mod listener;
 mod metrics;
@@ -21,7 +21,7 @@
 pub use body::RequestBody;
 pub use closing::MAX_IDLE;
 pub use connection::ConnectionNumber;
-pub use front::{Answered, Front, Limits, Routes};
+pub use handler::{Answered, Handler, Limits, Routes};
 pub use metrics::ConnectionCounters;
 pub use options::connection_options;
 pub use phase::Phase;
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -12,7 +12,7 @@
 
 use crate::connection::{ConnectionNumber, serve};
 use crate::events;
-use crate::front::Front;
+use crate::handler::Handler;
 use crate::handshakes::refuse_handshakes;
 use crate::phase::Phase;
 use crate::server::Shared;
@@ -29,7 +29,7 @@
 /// Accepts connections until the server closes its listener.
 pub(crate) async fn accept<F>(cx: Arc<Shared<F>>, listener: Arc<TcpListener>, tasks: TaskTracker)
 where
-    F: Front,
+    F: Handler,
 {
     let begin = |stream: TcpStream| {
         cx.accepted.send_modify(|count| *count += 1);
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 use tokio_util::task::TaskTracker;
 
-use crate::front::Front;
+use crate::handler::Handler;
 use crate::handshakes::{allow_handshakes, refuse_handshakes};
 use crate::listener::{HANDSHAKE_TIMEOUT, accept};
 use crate::metrics::ConnectionCounters;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Shared<F> {
     pub(crate) listener: String,
-    pub(crate) front: F,
+    pub(crate) handler: F,
     pub(crate) phase: PhaseWatch,
     pub(crate) counters: ConnectionCounters,
     /// How many connections were accepted.
@@ -50,11 +50,11 @@
     pub fn start<F>(
         name: &str,
         listener: TcpListener,
-        front: F,
+        handler: F,
         counters: ConnectionCounters,
     ) -> Self
     where
-        F: Front,
+        F: Handler,
     {
         let phase = PhaseWatch::default();
         let accepted = watch::Sender::new(0);
@@ -65,7 +65,7 @@
         connections.close();
         let cx = Arc::new(Shared {
             listener: name.to_owned(),
-            front,
+            handler,
             phase: phase.clone(),
             counters,
             accepted: accepted.clone(),
--- a/crates/serve/tests/common/mod.rs
+++ b/crates/serve/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use prometheus::Registry;
 use tokio::io::AsyncReadExt as _;
 use tokio::net::{TcpListener, TcpStream};
-use wagtailreel_serve::{Answered, ConnectionCounters, Front, RequestBody, Server};
+use wagtailreel_serve::{Answered, ConnectionCounters, Handler, RequestBody, Server};
 
 /// A request without a body.
 pub(crate) const GET: &str = "GET / HTTP/1.1\r\nhost: shop.example\r\n\r\n";
@@ -26,13 +26,13 @@
 
 /// Answers each request after a pause, whose head comes at once.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Sleepy {
+pub(crate) struct DelayedHandler {
     pause: Duration,
     idle: Option<Duration>,
     begun: Arc<AtomicU64>,
 }
 
-impl Sleepy {
+impl DelayedHandler {
     pub(crate) fn new(pause: Duration) -> Self {
         Self {
             pause,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Front for Sleepy {
+impl Handler for DelayedHandler {
     fn limits(&self) -> wagtailreel_serve::Limits {
         // Told for each connection as it is served for the first time.
         self.begun.fetch_add(1, Ordering::Relaxed);
@@ -85,13 +85,13 @@
 }
 
 /// Starts a server.
-pub(crate) async fn server(front: Sleepy) -> TestServer {
+pub(crate) async fn server(handler: DelayedHandler) -> TestServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let begun = Arc::clone(&front.begun);
+    let begun = Arc::clone(&handler.begun);
     let counters = ConnectionCounters::register(&Registry::new()).unwrap();
     TestServer {
-        server: Server::start("callers", listener, front, counters),
+        server: Server::start("callers", listener, handler, counters),
         addr,
         begun,
     }
--- a/crates/serve/tests/descriptors.rs
+++ b/crates/serve/tests/descriptors.rs
@@ -7,13 +7,13 @@
 use std::fs::File;
 use std::time::Duration;
 
-use common::{Caller, GET, Sleepy, server};
+use common::{Caller, DelayedHandler, GET, server};
 use wagtailreel_serve::Phase;
 
 /// What the backlog holds is taken once there are descriptors again.
 #[tokio::test]
 async fn backlog() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     server.settle().await;
     let mut callers = Vec::new();
     for _ in 0..3 {
--- a/crates/serve/tests/drain.rs
+++ b/crates/serve/tests/drain.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Caller, GET, Sleepy, server};
+use common::{Caller, DelayedHandler, GET, server};
 use rstest::rstest;
 use wagtailreel_serve::Phase;
 
@@ -15,7 +15,7 @@
 #[case::ending(Phase::Ending)]
 #[tokio::test]
 async fn unread_request(#[case] phase: Phase) {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     assert_eq!(caller.answer().await.status, 200);
@@ -33,7 +33,7 @@
 #[case::under_way(false)]
 #[tokio::test]
 async fn new_connection(#[case] is_sent: bool) {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     server.accepted(1).await;
     if is_sent {
@@ -52,7 +52,7 @@
 /// Connections that the kernel has accepted and the server has not.
 #[tokio::test]
 async fn backlog() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     server.settle().await;
     let mut callers = Vec::new();
     for _ in 0..5 {
@@ -72,7 +72,7 @@
 /// An answer that began before its caller could be told that the connection ends.
 #[tokio::test]
 async fn answer_without_notice() {
-    let mut server = server(Sleepy::new(Duration::from_millis(300))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_millis(300))).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     let head = caller.head().await;
@@ -90,7 +90,7 @@
 /// A connection is closed only once it was idle for longer than callers were told that it is kept.
 #[tokio::test]
 async fn idle_connection() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     let answer = caller.answer().await;
@@ -109,7 +109,7 @@
 /// Bytes that nobody reads don't reset the connection before the last answer is read.
 #[tokio::test]
 async fn last_answer() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     server.server.enter(Phase::Leaving);
     caller.send(GET);
@@ -126,7 +126,7 @@
 /// The process is about to end: connections are closed whatever callers were told, but no request is.
 #[tokio::test]
 async fn last_moment() {
-    let mut server = server(Sleepy::new(Duration::from_millis(200))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_millis(200))).await;
     let mut idle = Caller::connect(server.addr).await;
     let mut busy = Caller::connect(server.addr).await;
     server.accepted(2).await;
@@ -142,7 +142,7 @@
 /// While callers come, the listener stays open; a handshake that crosses its close is reset.
 #[tokio::test]
 async fn not_quiet() {
-    let mut server = server(Sleepy::new(Duration::from_millis(300))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_millis(300))).await;
     let mut early = Caller::connect(server.addr).await;
     early.send(GET);
     let head = early.head().await;
@@ -170,7 +170,7 @@
 /// A stream that is still under way does not hold the listener open until callers come again.
 #[tokio::test]
 async fn quiet_beside_stream() {
-    let mut server = server(Sleepy::new(Duration::from_secs(60))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_secs(60))).await;
     let mut stream = Caller::connect(server.addr).await;
     stream.send(GET);
     stream.head().await;
@@ -185,7 +185,7 @@
 /// Callers that come a few times a second are seen before the listener closes.
 #[tokio::test]
 async fn quiet_between_callers() {
-    let server = server(Sleepy::default()).await;
+    let server = server(DelayedHandler::default()).await;
     server.server.enter(Phase::Leaving);
     let mut quiet = std::pin::pin!(server.server.quiet());
     let mut ticks = tokio::time::interval(Duration::from_millis(180));
--- a/crates/serve/tests/handshakes.rs
+++ b/crates/serve/tests/handshakes.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use common::{GET, Sleepy, server};
+use common::{DelayedHandler, GET, server};
 use wagtailreel_serve::Phase;
 
 /// Times that a listener is closed.
@@ -33,7 +33,7 @@
 async fn pressed() {
     let mut lost = 0;
     for _ in 0..ROUNDS {
-        let mut server = server(Sleepy::default()).await;
+        let mut server = server(DelayedHandler::default()).await;
         let addr = server.addr;
         let callers: Vec<_> = (0..2)
             .map(|_| std::thread::spawn(move || press(addr)))
--- a/crates/serve/tests/heads.rs
+++ b/crates/serve/tests/heads.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Caller, GET, Sleepy, server};
+use common::{Caller, DelayedHandler, GET, server};
 use rstest::rstest;
 use wagtailreel_serve::Phase;
 
@@ -16,7 +16,7 @@
 #[case::behind_another(Duration::from_millis(200), true)]
 #[tokio::test]
 async fn half_head(#[case] pause: Duration, #[case] is_second: bool) {
-    let mut server = server(Sleepy::new(pause)).await;
+    let mut server = server(DelayedHandler::new(pause)).await;
     let mut caller = Caller::connect(server.addr).await;
     server.accepted(1).await;
     let (first, second) = GET.split_at(GET.len() / 2);
@@ -46,7 +46,7 @@
 #[case::before_its_last_line(GET.len() - 2)]
 #[tokio::test]
 async fn unfinished(#[case] at: usize) {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     server.accepted(1).await;
     let (first, second) = GET.split_at(at);
@@ -72,7 +72,7 @@
 /// A whole request behind one whose answer didn't say that the connection ends.
 #[tokio::test]
 async fn pipelined() {
-    let mut server = server(Sleepy::new(Duration::from_millis(200))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_millis(200))).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(&GET.repeat(2));
     let head = caller.head().await;
@@ -88,7 +88,7 @@
 /// More requests at once than the HTTP library answers in one turn.
 #[tokio::test]
 async fn many_pipelined() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     server.accepted(1).await;
     caller.send(&GET.repeat(60));
@@ -102,7 +102,7 @@
 /// An empty line behind a request begins no other: the connection is idle.
 #[tokio::test]
 async fn empty_line() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     assert_eq!(caller.answer().await.status, 200);
--- a/crates/serve/tests/lines.rs
+++ b/crates/serve/tests/lines.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use common::{Caller, GET, Sleepy, server};
+use common::{Caller, DelayedHandler, GET, server};
 use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Log, Metadata, Record};
 use wagtailreel_serve::Phase;
@@ -56,7 +56,7 @@
         .build()
         .unwrap();
     let callers = runtime.block_on(async {
-        let server = server(Sleepy::new(Duration::from_secs(60))).await;
+        let server = server(DelayedHandler::new(Duration::from_secs(60))).await;
         let mut busy = Caller::connect(server.addr).await;
         busy.send(GET);
         busy.head().await;
--- a/crates/serve/tests/notice.rs
+++ b/crates/serve/tests/notice.rs
@@ -6,13 +6,13 @@
 
 use std::time::Duration;
 
-use common::{Caller, GET, Sleepy, server};
+use common::{Caller, DelayedHandler, GET, server};
 use wagtailreel_serve::Phase;
 
 /// A caller that ends the connection isn't told that it is kept.
 #[tokio::test]
 async fn caller_closes() {
-    let server = server(Sleepy::default()).await;
+    let server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send("GET / HTTP/1.1\r\nhost: shop.example\r\nconnection: close\r\n\r\n");
     let answer = caller.answer().await;
@@ -24,7 +24,7 @@
 /// A caller of HTTP/1.0 that doesn't ask for it isn't told that the connection is kept.
 #[tokio::test]
 async fn old_caller() {
-    let server = server(Sleepy::default()).await;
+    let server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send("GET / HTTP/1.0\r\nhost: shop.example\r\n\r\n");
     let answer = caller.answer().await;
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn old_caller_keeps() {
     let ask = "GET / HTTP/1.0\r\nhost: shop.example\r\nconnection: keep-alive\r\n\r\n";
-    let server = server(Sleepy::default()).await;
+    let server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(ask);
     let answer = caller.answer().await;
@@ -54,8 +54,8 @@
 /// A connection isn't closed sooner than its caller was told, also where the idle time is short.
 #[tokio::test]
 async fn short_idle() {
-    let front = Sleepy::default().with_idle(Duration::from_millis(1200));
-    let server = server(front).await;
+    let handler = DelayedHandler::default().with_idle(Duration::from_millis(1200));
+    let server = server(handler).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     let answer = caller.answer().await;
@@ -69,7 +69,7 @@
 /// A request whose body the front doesn't read: the caller hears that the connection ends, or it doesn't.
 #[tokio::test]
 async fn unread_body() {
-    let server = server(Sleepy::new(Duration::from_millis(50))).await;
+    let server = server(DelayedHandler::new(Duration::from_millis(50))).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send("POST / HTTP/1.1\r\nhost: shop.example\r\ncontent-length: 4\r\n\r\n");
     let answer = caller.answer().await;
@@ -87,7 +87,7 @@
 /// A caller that reads slowly counts from when it has read the answer.
 #[tokio::test]
 async fn slow_caller() {
-    let server = server(Sleepy::new(Duration::from_millis(50))).await;
+    let server = server(DelayedHandler::new(Duration::from_millis(50))).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     let head = caller.head().await;
--- a/crates/serve/tests/spin.rs
+++ b/crates/serve/tests/spin.rs
@@ -11,18 +11,18 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
-use wagtailreel_serve::{Answered, ConnectionCounters, Front, Phase, RequestBody, Server};
+use wagtailreel_serve::{Answered, ConnectionCounters, Handler, Phase, RequestBody, Server};
 
 /// How long the body of the request is held.
 const HELD: Duration = Duration::from_millis(400);
 
 /// Answers before it has read the request's body, and leaves the request's body to another task, as a relay does.
 #[derive(Debug)]
-struct Early {
+struct EarlyAnswer {
     bodies: UnboundedSender<RequestBody>,
 }
 
-impl Front for Early {
+impl Handler for EarlyAnswer {
     fn answer(
         &self,
         req: Request<RequestBody>,
@@ -61,7 +61,7 @@
     let addr = listener.local_addr().unwrap();
     let counters = ConnectionCounters::register(&Registry::new()).unwrap();
     let (bodies, mut held) = unbounded_channel();
-    let mut server = Server::start("callers", listener, Early { bodies }, counters);
+    let mut server = Server::start("callers", listener, EarlyAnswer { bodies }, counters);
     let caller = tokio::spawn(begin(addr));
     let body = held.recv().await.unwrap();
     let caller = caller.await.unwrap();
