--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt as _, Either, Full, StreamBody};
 use wagtailreel_adapters::discard;
 use wagtailreel_route::direct::{Ending, Next};
-use wagtailreel_serve::{Answered, Handler, Limits, RequestBody};
+use wagtailreel_serve::{Handler, Limits, RequestBody, ResponseBody};
 
 use crate::admit::{admit, strip_hop_by_hop};
 use crate::attempt::{Call, Template};
@@ -60,13 +60,13 @@
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<D>>> + Send + use<D> {
+    ) -> impl Future<Output = Response<impl ResponseBody + use<D>>> + Send + use<D> {
         handle(Arc::clone(&self.cx), req)
     }
 }
 
 /// Handles one request, from admission to its log line.
-async fn handle<D>(cx: Arc<Shared<D>>, req: Request<RequestBody>) -> Response<impl Answered>
+async fn handle<D>(cx: Arc<Shared<D>>, req: Request<RequestBody>) -> Response<impl ResponseBody>
 where
     D: Dialect,
 {
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -15,7 +15,7 @@
 use crate::body::{RequestBody, TrackedBody};
 use crate::closing::{KEEP_ALIVE_TIMEOUT, closable};
 use crate::events;
-use crate::handler::{Answered, Handler};
+use crate::handler::{Handler, ResponseBody};
 use crate::options::connection_options;
 use crate::phase::{Phase, PhaseWatch};
 use crate::server::Shared;
@@ -95,7 +95,7 @@
     number: ConnectionNumber,
     keep_alive: Option<HeaderValue>,
     req: Request<Incoming>,
-) -> Result<Response<TrackedBody<impl Answered>>, Infallible>
+) -> Result<Response<TrackedBody<impl ResponseBody>>, Infallible>
 where
     F: Handler,
 {
--- a/crates/serve/src/handler.rs
+++ b/crates/serve/src/handler.rs
@@ -37,12 +37,12 @@
 }
 
 /// The body of an answer.
-pub trait Answered:
+pub trait ResponseBody:
     Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Send + 'static
 {
 }
 
-impl<B> Answered for B where
+impl<B> ResponseBody for B where
     B: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Send + 'static
 {
 }
@@ -58,7 +58,7 @@
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<Self>>> + Send + use<Self>;
+    ) -> impl Future<Output = Response<impl ResponseBody + use<Self>>> + Send + use<Self>;
 }
 
 /// Answers requests by a router.
@@ -80,7 +80,7 @@
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<>>> + Send + use<> {
+    ) -> impl Future<Output = Response<impl ResponseBody + use<>>> + Send + use<> {
         let answering = self.router.call(req);
         async move {
             let Ok(response) = answering.await;
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -21,7 +21,7 @@
 pub use body::RequestBody;
 pub use closing::MAX_IDLE;
 pub use connection::ConnectionNumber;
-pub use handler::{Answered, Handler, Limits, Routes};
+pub use handler::{Handler, Limits, ResponseBody, Routes};
 pub use metrics::ConnectionCounters;
 pub use options::connection_options;
 pub use phase::Phase;
--- a/crates/serve/tests/common/mod.rs
+++ b/crates/serve/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use prometheus::Registry;
 use tokio::io::AsyncReadExt as _;
 use tokio::net::{TcpListener, TcpStream};
-use wagtailreel_serve::{Answered, ConnectionCounters, Handler, RequestBody, Server};
+use wagtailreel_serve::{ConnectionCounters, Handler, RequestBody, ResponseBody, Server};
 
 /// A request without a body.
 pub(crate) const GET: &str = "GET / HTTP/1.1\r\nhost: shop.example\r\n\r\n";
@@ -62,7 +62,7 @@
     fn answer(
         &self,
         _req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<>>> + Send + use<> {
+    ) -> impl Future<Output = Response<impl ResponseBody + use<>>> + Send + use<> {
         let pause = self.pause;
         async move {
             let body = futures::stream::once(async move {
--- a/crates/serve/tests/spin.rs
+++ b/crates/serve/tests/spin.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
-use wagtailreel_serve::{Answered, ConnectionCounters, Handler, Phase, RequestBody, Server};
+use wagtailreel_serve::{ConnectionCounters, Handler, Phase, RequestBody, ResponseBody, Server};
 
 /// How long the body of the request is held.
 const HELD: Duration = Duration::from_millis(400);
@@ -26,7 +26,7 @@
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<>>> + Send + use<> {
+    ) -> impl Future<Output = Response<impl ResponseBody + use<>>> + Send + use<> {
         self.bodies.send(req.into_body()).unwrap();
         let pause = HELD / 4;
         async move {
