--- a/crates/serve/src/activity.rs
+++ b/crates/serve/src/activity.rs
@@ -1,10 +1,10 @@
-//! What a connection has done so far.
+//! Activity of a connection: its requests and when bytes last passed.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a connection has done so far, shared by its socket, its requests and whoever ends it.
+/// Activity of a connection, shared by its socket, its requests and the task that closes it.
 #[derive(Debug)]
 pub(crate) struct Activity {
     state: Mutex<State>,
@@ -16,11 +16,11 @@
     last: Instant,
     requests: u64,
     open: u32,
-    /// Bytes of a head were read that is not whole yet.
+    /// The head of a request has been read in part.
     has_partial_head: bool,
-    /// The peer doesn't take what is written.
+    /// A write is pending because the send buffer is full.
     is_blocked: bool,
-    /// The peer has ended its side.
+    /// The peer has shut down its writing side or reset the connection.
     has_ended: bool,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes that `bytes` were read. Empty lines between requests begin no head.
+    /// Records that `bytes` were read. Empty lines between requests do not start a head.
     pub(crate) fn on_read(&self, bytes: &[u8]) {
         let mut state = self.lock();
         state.last = Instant::now();
@@ -46,29 +46,29 @@
         state.has_partial_head = state.open == 0 && is_head;
     }
 
-    /// Takes that the peer has ended its side, or reset the connection.
+    /// Records that the peer has shut down its writing side or reset the connection.
     pub(crate) fn on_peer_end(&self) {
         self.lock().has_ended = true;
     }
 
-    /// Says whether the peer has ended its side.
+    /// Returns whether the peer has shut down its writing side or reset the connection.
     pub(crate) fn has_ended(&self) -> bool {
         self.lock().has_ended
     }
 
-    /// Takes that bytes were written.
+    /// Records that bytes were written.
     pub(crate) fn on_write(&self) {
         let mut state = self.lock();
         state.last = Instant::now();
         state.is_blocked = false;
     }
 
-    /// Takes that the peer reads too slowly for more to be written.
+    /// Records that a write is pending because the peer reads too slowly.
     pub(crate) fn on_write_blocked(&self) {
         self.lock().is_blocked = true;
     }
 
-    /// Takes that the head of a request has been read.
+    /// Records that the head of a request has been read in full.
     pub(crate) fn on_request(self: &Arc<Self>) -> Arc<OpenRequest> {
         let mut state = self.lock();
         state.requests += 1;
@@ -81,24 +81,24 @@
         })
     }
 
-    /// Returns how many requests came.
+    /// Returns how many requests the connection has received.
     pub(crate) fn requests(&self) -> u64 {
         self.lock().requests
     }
 
-    /// Returns how many requests have no whole answer.
+    /// Returns how many requests are not answered in full yet.
     pub(crate) fn open(&self) -> u32 {
         self.lock().open
     }
 
-    /// Returns for how long no byte has passed.
+    /// Returns the time since a byte was last read or written.
     pub(crate) fn quiet(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.lock().last)
     }
 
-    /// Returns for how long the connection has been idle; none while a request is read or answered.
+    /// Returns how long the connection has been idle, or `None` while a request is read or answered.
     ///
-    /// A head of which nothing came for `head_timeout` counts as none: its caller has given up.
+    /// A partial head that has received no byte for `head_timeout` counts as abandoned.
     pub(crate) fn idle(&self, now: Instant, head_timeout: Duration) -> Option<Duration> {
         let state = self.lock();
         let quiet = now.saturating_duration_since(state.last);
@@ -107,7 +107,7 @@
         (!is_busy).then_some(quiet)
     }
 
-    /// Says whether the beginning of a head is all that is under way.
+    /// Returns whether a partial head is the only work in progress on the connection.
     pub(crate) fn is_in_head(&self) -> bool {
         let state = self.lock();
         state.has_partial_head && state.open == 0 && !state.is_blocked
@@ -118,21 +118,23 @@
     }
 }
 
-/// A request without a whole answer, or whose body is still read. Dropping it says that both are over.
+/// A request that is not answered in full, or whose body is still being read.
+///
+/// Dropping the value marks both as finished.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     activity: Arc<Activity>,
-    /// The request's body was read to its end.
+    /// The request body has been read to its end.
     is_read: AtomicBool,
 }
 
 impl OpenRequest {
-    /// Takes that the request's body was read to its end.
+    /// Records that the request body was read to its end.
     pub(crate) fn on_body_read(&self) {
         self.is_read.store(true, Ordering::Relaxed);
     }
 
-    /// Says whether the request's body was read to its end.
+    /// Returns whether the request body was read to its end.
     pub(crate) fn is_read(&self) -> bool {
         self.is_read.load(Ordering::Relaxed)
     }
--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers, for as long as which a connection is busy.
+//! Bodies of requests and responses. Their connection counts as busy until they are dropped.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use crate::activity::OpenRequest;
 
-/// The body of a request; its connection is busy for as long as it exists.
+/// The body of a request. Its connection counts as busy until the body is dropped.
 #[derive(Debug)]
 pub struct RequestBody {
     body: Incoming,
@@ -52,7 +52,7 @@
 }
 
 pin_project! {
-    /// The body of an answer; its request is open for as long as it exists.
+    /// The body of a response. Its request counts as open until the body is dropped.
     pub(crate) struct TrackedBody<B> {
         #[pin]
         body: B,
--- a/crates/serve/src/closing.rs
+++ b/crates/serve/src/closing.rs
@@ -1,33 +1,42 @@
-//! When a connection may be closed with no request lost.
+//! Decides when a connection can be closed without losing a request.
 
 use std::time::{Duration, Instant};
 
 use crate::activity::Activity;
 use crate::phase::{Phase, PhaseWatch};
 
-/// How long callers are told that an idle connection is kept. It bounds the drain of a process, whose
-/// callers hear of it only in their next answer; a second is the smallest unit of the header.
+/// Time for which an idle connection is kept, as announced in the `Keep-Alive` header.
+///
+/// The time bounds how fast a process can drain, because callers learn of the drain only from their next
+/// response. The smallest unit of the header is one second.
 pub(crate) const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Further time for which an idle connection is kept: the caller counts from when it has read the answer, and
-/// its request is still under way a while after it was sent. The kernel doesn't tell when a caller reads.
+/// Time added to [`KEEP_ALIVE_TIMEOUT`] before an idle connection is closed.
+///
+/// The caller counts from when it has read the response, which the kernel does not report, and its next
+/// request takes time to arrive.
 const KEEP_ALIVE_MARGIN: Duration = KEEP_ALIVE_TIMEOUT;
 
-/// Longest time for which a server that leaves keeps a connection that its caller does not use.
+/// Longest time for which a server in [`Phase::Leaving`] keeps an idle connection.
 pub const MAX_IDLE: Duration = KEEP_ALIVE_TIMEOUT.saturating_add(KEEP_ALIVE_MARGIN);
 
-/// How long a connection is idle before it is closed in the last moment: what follows an answer at once, or
-/// is on its way, is read.
+/// Idle time after which a connection is closed in [`Phase::Ending`].
+///
+/// A request that follows a response at once, or that is already in transit, is still read.
 const ENDING_MIN_IDLE: Duration = Duration::from_millis(100);
 
-/// How long the rest of a head is waited for in the last moment. It ends well before the process does, which
-/// would reset the connection under a request that has become whole by then.
+/// Time to wait for the rest of a partial head in [`Phase::Ending`].
+///
+/// The time-out expires well before the process exits: the exit would reset the connection of a request whose
+/// head had become complete by then.
 const ENDING_HEAD_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time after which a connection that is busy is looked at again.
+/// Interval at which a busy connection is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until the connection may be closed, and says why it may. `unread` tells what lies in its socket.
+/// Waits until the connection can be closed, and returns the reason for the log.
+///
+/// `unread` returns the number of bytes in the receive buffer of the socket.
 pub(crate) async fn closable<F>(phase: &PhaseWatch, activity: &Activity, unread: F) -> &'static str
 where
     F: Fn() -> u64,
@@ -51,7 +60,7 @@
         let next_check = match activity.idle(Instant::now(), MAX_IDLE) {
             Some(idle) if idle < min_idle => min_idle - idle,
             Some(_) if unread() == 0 => return why,
-            // A request has come that the runtime has not heard of yet.
+            // The kernel has received a request that the runtime has not read yet.
             Some(_) => CHECK_INTERVAL,
             None if is_ending => CHECK_INTERVAL,
             None => MAX_IDLE,
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, from its first request to its end.
+//! Serves one connection until it is closed.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,22 +21,21 @@
 use crate::server::Shared;
 use crate::socket::{Socket, linger, refuse, unread};
 
-/// The smallest buffer that the HTTP library takes, in bytes.
+/// Smallest buffer size that the HTTP library accepts, in bytes.
 const MIN_BUF: usize = 8 * 1024;
 
-/// Name of the header that tells how long a connection is kept.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Number of a connection, in the order in which its server accepted them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, derive_more::Display)]
 pub struct ConnectionNumber(pub u64);
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(crate) async fn serve<F>(cx: Arc<Shared<F>>, stream: TcpStream, number: ConnectionNumber)
 where
     F: Handler,
 {
-    // A connection that can't be set up so is still served, only later.
+    // Without TCP_NODELAY the connection still works, with a higher latency.
     let _ = stream.set_nodelay(true);
     let stream = Arc::new(stream);
     let open = cx.counters.open.with_label_values(&[&cx.listener]);
@@ -61,7 +60,7 @@
         .max_buf_size(limits.head.max(MIN_BUF))
         .serve_connection(TokioIo::new(socket), service);
     let mut conn = std::pin::pin!(conn);
-    // Dropped before the connection, whose open requests it counts.
+    // Declared after `conn` so that it is dropped first: it logs the number of open requests.
     let mut end = End::new(&cx.listener, &cx.phase, &stream, &activity, number);
     let unread_len = || unread(&stream).unwrap_or(0);
     let (closing, ended) = tokio::select! {
@@ -107,7 +106,7 @@
     let mut response = cx.handler.answer(Request::from_parts(parts, body)).await;
     let headers = response.headers_mut();
     headers.remove(KEEP_ALIVE);
-    // The library closes a connection on which a body was not read to its end.
+    // The HTTP library closes a connection whose request body was not read to its end.
     if cx.phase.now() >= Phase::Leaving || !open.is_read() {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     } else if let Some(keep_alive) = keep_alive.filter(|_| is_keep_alive) {
@@ -116,14 +115,14 @@
     Ok(response.map(|body| TrackedBody::new(body, open)))
 }
 
-/// Returns how long callers are told that an idle connection is kept; none where that is under a second.
+/// Returns the value of the `Keep-Alive` header, or `None` if the idle time is under one second.
 fn keep_alive(idle: Duration) -> Option<HeaderValue> {
     let seconds = KEEP_ALIVE_TIMEOUT.min(idle).as_secs();
     let text = (seconds > 0).then(|| format!("timeout={seconds}"))?;
     HeaderValue::try_from(text).ok()
 }
 
-/// Says whether the caller lets its connection be kept after `req`.
+/// Returns whether the caller allows its connection to stay open after `req`.
 fn allows_keep_alive(req: &Request<Incoming>) -> bool {
     let has =
         |option| connection_options(req.headers()).any(|named| named.eq_ignore_ascii_case(option));
@@ -134,28 +133,29 @@
     }
 }
 
-/// How a connection ended. Dropping it writes a line, also where the process ends before the connection does.
+/// Logs how a connection ended. The event is written on drop, so also if the process exits before the
+/// connection is closed.
 struct End<'a> {
     listener: &'a str,
     phase: &'a PhaseWatch,
     stream: &'a TcpStream,
     activity: &'a Activity,
     number: ConnectionNumber,
-    /// None while the connection is served.
+    /// `None` while the connection is served.
     closed: Option<Closed>,
-    /// Bytes that came after it was closed.
+    /// Bytes received after the connection was closed here.
     crossed: u64,
 }
 
-/// What a connection was as it was closed.
+/// State of a connection at the time it was closed.
 struct Closed {
     why: &'static str,
-    /// What failed.
+    /// Error text, empty if nothing failed.
     reason: String,
     requests: u64,
     open: u32,
     quiet_ms: u128,
-    /// Bytes that lay in the socket.
+    /// Bytes left in the receive buffer of the socket.
     unread: Option<u64>,
     phase: Phase,
 }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes that the connection is served no more.
+    /// Records that the connection is no longer served.
     fn close(&mut self, why: &'static str, reason: String) {
         self.closed = Some(self.closed_now(why, reason));
     }
@@ -198,7 +198,7 @@
 }
 
 impl Drop for End<'_> {
-    /// Writes a line, but for a connection that ended in good order.
+    /// Logs the end of the connection, unless it was closed normally.
     fn drop(&mut self) {
         let closed = self.closed.take();
         let closed = closed.unwrap_or_else(|| self.closed_now("cut", String::new()));
@@ -207,7 +207,7 @@
             return;
         }
         let peer = self.stream.peer_addr().map(|peer| peer.to_string());
-        // A connection that was reset has no peer any more.
+        // A connection that was reset has no peer address.
         let peer = peer.unwrap_or_default();
         let unread = closed
             .unread
--- a/crates/serve/src/events.rs
+++ b/crates/serve/src/events.rs
@@ -2,22 +2,24 @@
 
 use wagtailreel_telemetry::{Event, Level};
 
-/// A connection ended otherwise than by its peer.
+/// A connection failed, or was closed by this process.
 pub const CONNECTION_ENDED: Event = Event {
     id: 6301,
     name: "connection-ended",
     level: Level::Info,
-    meaning: "A connection failed, or was closed by this process. `why` says at which step; `open` requests had no \
-              whole answer, and `unread` bytes lay in the socket, and `crossed` came after it was closed.",
+    meaning: "A connection failed, or was closed by this process. `why` is the reason; `open` requests were not \
+              answered in full, `unread` bytes were left in the socket, and `crossed` bytes arrived after the \
+              close.",
     remedy: "If `open`, `unread` or `crossed` is not 0, a request was cut off: see docs/OPERATIONS.md.",
 };
 
-/// A listener accepts no more connections.
+/// A listener was closed.
 pub const LISTENER_CLOSED: Event = Event {
     id: 6302,
     name: "listener-closed",
     level: Level::Info,
-    meaning: "The listener accepts no more connections; `waiting` of them were accepted by the kernel alone until then, and are served.",
+    meaning: "The listener was closed after `accepted` connections; `waiting` of them came from \
+              the backlog of the kernel at the close, and are served.",
     remedy: "Nothing.",
 };
 
@@ -26,8 +28,9 @@
     id: 6303,
     name: "accept-failed",
     level: Level::Warn,
-    meaning: "A connection could not be accepted; the listener goes on after a pause.",
-    remedy: "If the reason is a lack of descriptors, raise the limit or look for connections that stay open.",
+    meaning: "A connection could not be accepted; the listener retries after a pause.",
+    remedy: "If the process has run out of file descriptors, raise the limit or find the connections \
+             that stay open.",
 };
 
 /// All events of this crate.
--- a/crates/serve/src/handler.rs
+++ b/crates/serve/src/handler.rs
@@ -1,4 +1,4 @@
-//! What answers the requests of a server.
+//! Handlers of the requests of a server.
 
 use std::error::Error;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 
 use crate::body::RequestBody;
 
-/// Time for which a connection may be idle, or take for a head, if nothing else is configured.
+/// Default time for which a connection can be idle, or take to send a head.
 const DEFAULT_IDLE: Duration = Duration::from_secs(60);
 
-/// Longest head if nothing else is configured, in bytes; what the HTTP library takes by itself.
+/// Default maximum size of a head; the default of the HTTP library.
 const DEFAULT_HEAD_BYTES: usize = 408 * 1024;
 
-/// Bounds of one connection.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest time for which the connection may be idle, or take for a head.
+    /// Longest time for which the connection can be idle, or take to send a head.
     pub idle: Duration,
-    /// Longest head, in bytes.
+    /// Maximum size of a head, in bytes.
     pub head: usize,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub trait ResponseBody:
     Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Send + 'static
 {
@@ -47,9 +47,9 @@
 {
 }
 
-/// What answers the requests of a server.
+/// Answers the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Returns the bounds of a connection that has just been accepted.
+    /// Returns the limits of a connection that has just been accepted.
     fn limits(&self) -> Limits {
         Limits::default()
     }
@@ -61,14 +61,14 @@
     ) -> impl Future<Output = Response<impl ResponseBody + use<Self>>> + Send + use<Self>;
 }
 
-/// Answers requests by a router.
+/// Handler that passes requests to a router.
 #[derive(Clone, Debug)]
 pub struct Routes {
     router: TowerToHyperService<Router>,
 }
 
 impl Routes {
-    /// Makes the front of `router`.
+    /// Creates a handler for `router`.
     pub fn new(router: Router) -> Self {
         Self {
             router: TowerToHyperService::new(router),
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,8 +1,9 @@
-//! Serves HTTP/1.1 connections, and ends them without losing a request.
+//! Serves HTTP/1.1 connections, and closes them without losing a request.
 //!
 //! A [`Server`] accepts connections on one listener and serves each with a [`Handler`]. When its process
-//! is to end, it goes through the phases of a [`Phase`]; each connection, and the listener, writes one
-//! line that says how many requests it had, what was unread, and why it ended.
+//! shuts down, the server goes through the phases of [`Phase`]. The listener logs one event when it is
+//! closed, and so does each connection that was not closed normally: how many requests it had, how many bytes
+//! were unread, and why it ended.
 
 mod activity;
 mod body;
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections until the listener is closed.
 
 use std::io;
 use std::sync::Arc;
@@ -17,13 +17,14 @@
 use crate::phase::Phase;
 use crate::server::Shared;
 
-/// Pause after a connection could not be accepted, as when descriptors have run out.
+/// Pause after a failed accept, for example without free file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Tries to take a connection of the backlog that fails, as when descriptors have run out.
+/// How many failed accepts are retried while the backlog is emptied, for example without free file
+/// descriptors.
 const BACKLOG_TRIES: u32 = 50;
 
-/// How long handshakes that are under way are waited for as the listener closes: some round trips.
+/// Time to wait for handshakes in progress before the listener closes: several round trips.
 pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Accepts connections until the server closes its listener.
@@ -50,7 +51,7 @@
             }
         }
     }
-    // Handshakes have been waited for already where the server was quiet before.
+    // `Server::quiet` has already waited for the handshakes if it refuses new ones.
     let wait = (!cx.refuses_handshakes.load(Ordering::Relaxed)).then_some(HANDSHAKE_TIMEOUT);
     let taken = take_backlog(&listener, wait, begin).await;
     drop(listener);
@@ -62,8 +63,8 @@
     ]);
 }
 
-/// Takes the connections that the kernel has accepted, which the close of the listener would reset, and those
-/// whose handshake ends within `wait`; returns how many these were.
+/// Accepts the connections in the backlog, which closing the listener would reset, and those whose handshake
+/// completes within `wait`. Returns how many connections were accepted.
 async fn take_backlog<F>(listener: &TcpListener, wait: Option<Duration>, begin: F) -> u64
 where
     F: Fn(TcpStream),
@@ -80,7 +81,7 @@
     }
     let mut tries_left = BACKLOG_TRIES;
     loop {
-        // The kernel is asked itself: the runtime may not have heard of a connection yet.
+        // Calls accept on the socket itself: the runtime may not have been notified of a connection yet.
         let accepted = SockRef::from(listener).accept().and_then(|(socket, _)| {
             socket.set_nonblocking(true)?;
             TcpStream::from_std(socket.into())
@@ -91,7 +92,7 @@
                 begin(stream);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return taken,
-            // Connections that end give their descriptors back.
+            // Connections that are closed in the meantime free their descriptors.
             Err(_) if tries_left > 0 => {
                 tries_left -= 1;
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
--- a/crates/serve/src/options.rs
+++ b/crates/serve/src/options.rs
@@ -1,9 +1,9 @@
-//! The options that a message's `Connection` headers name.
+//! Options of the `Connection` headers of a message.
 
 use http::{HeaderMap, header};
 
-/// Returns the options of a connection that `headers` name, as they were written; among them the names of
-/// headers that concern this connection only.
+/// Returns the options in the `Connection` headers, in their original case. They include the names of
+/// hop-by-hop headers.
 pub fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     headers
         .get_all(header::CONNECTION)
--- a/crates/serve/src/phase.rs
+++ b/crates/serve/src/phase.rs
@@ -1,28 +1,28 @@
-//! The phases of a server's end.
+//! Phases of the shutdown of a server.
 
 use tokio::sync::watch;
 
-/// How far a server is on its way to its end. Phases only advance.
+/// Phase of the shutdown of a server. Phases only advance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 pub enum Phase {
-    /// Connections are accepted and kept.
+    /// Connections are accepted and kept open.
     #[default]
     #[display("serving")]
     Serving,
-    /// Connections are accepted; each answer says that its connection ends with it. A connection that
-    /// was idle for longer than its caller may reuse it is closed.
+    /// Connections are accepted, and each response carries `Connection: close`. A connection is closed once
+    /// it was idle for longer than its caller may reuse it.
     #[display("leaving")]
     Leaving,
-    /// The listener is closed; the connections that it had accepted get their answers.
+    /// The listener is closed. Requests on connections accepted before are still answered.
     #[display("closing")]
     Closing,
-    /// Connections are closed as soon as no request is under way on them; one whose head does not become whole
-    /// soon is refused.
+    /// Connections are closed as soon as they have no request in progress. A request whose head stays
+    /// incomplete is refused.
     #[display("ending")]
     Ending,
 }
 
-/// The phase of a server, as its connections see it.
+/// The current phase of a server, shared with its connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PhaseWatch {
     tx: watch::Sender<Phase>,
@@ -33,7 +33,7 @@
         *self.tx.borrow()
     }
 
-    /// Advances to `phase`; one that is behind the present one changes nothing.
+    /// Advances to `phase`. A phase before the current one has no effect.
     pub(crate) fn enter(&self, phase: Phase) {
         self.tx.send_if_modified(|now| {
             let advances = phase > *now;
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -16,37 +16,39 @@
 use crate::metrics::ConnectionCounters;
 use crate::phase::{Phase, PhaseWatch};
 
-/// How long no connection comes before a server counts as quiet. A balancer that still sends callers
-/// sends several in this time.
+/// Time without a new connection after which a server counts as quiet. A load balancer that still routes
+/// callers to the server opens several connections in this time.
 const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-/// What a server's connections share.
+/// State shared by the connections of a server.
 #[derive(Debug)]
 pub(crate) struct Shared<F> {
     pub(crate) listener: String,
     pub(crate) handler: F,
     pub(crate) phase: PhaseWatch,
     pub(crate) counters: ConnectionCounters,
-    /// How many connections were accepted.
+    /// Number of accepted connections.
     pub(crate) accepted: watch::Sender<u64>,
-    /// New connections are refused, and no handshake is under way any more.
+    /// New connections are refused, and no handshake is in progress.
     pub(crate) refuses_handshakes: Arc<AtomicBool>,
 }
 
-/// A listener with its connections. Dropping it closes the listener and leaves the connections to the runtime.
+/// A listener with its connections.
+///
+/// Dropping the server closes the listener. The tasks of the connections go on.
 #[derive(Debug)]
 pub struct Server {
     phase: PhaseWatch,
     accepting: JoinHandle<()>,
     accepted: watch::Sender<u64>,
     refuses_handshakes: Arc<AtomicBool>,
-    /// None once the listener is closed.
+    /// Can no longer be upgraded once the listener is closed.
     listener: Weak<TcpListener>,
     connections: TaskTracker,
 }
 
 impl Server {
-    /// Starts to accept connections; `name` is the listener's in lines and metrics.
+    /// Starts to accept connections. `name` identifies the listener in logs and metrics.
     pub fn start<F>(
         name: &str,
         listener: TcpListener,
@@ -61,7 +63,7 @@
         let refuses_handshakes = Arc::new(AtomicBool::new(false));
         let listener = Arc::new(listener);
         let connections = TaskTracker::new();
-        // It still takes connections, and may be waited for from now on.
+        // A closed tracker still accepts tasks; `wait` returns only for a closed one.
         connections.close();
         let cx = Arc::new(Shared {
             listener: name.to_owned(),
@@ -88,19 +90,20 @@
         self.phase.enter(phase);
     }
 
-    /// Waits until no new connection has come for a while, and none is under way.
+    /// Waits until no new connection has arrived for a while and no handshake is in progress.
     ///
-    /// Connections that are open don't count: the balancer may send callers again by the time they end. From then
-    /// on the kernel drops new ones, where it takes a filter: the next phase is [`Phase::Closing`].
+    /// Open connections are not waited for: by the time they end, the load balancer may route callers here
+    /// again. After the wait the kernel drops new connections, if the socket filter could be attached. The
+    /// caller then enters [`Phase::Closing`].
     pub async fn quiet(&self) {
         let mut accepted = self.accepted.subscribe();
-        // The sender lives as long as `self`, so that only time ends the waits.
+        // The sender lives as long as `self`, so an error can only be a time-out.
         loop {
             while timeout(QUIET_PERIOD, accepted.changed()).await.is_ok() {}
             let Some(listener) = self.listener.upgrade() else {
                 return;
             };
-            // Where the kernel takes no filter, callers that come in the meantime are still seen.
+            // Without the filter, new connections in this time are still noticed.
             let _ = refuse_handshakes(&listener);
             if timeout(HANDSHAKE_TIMEOUT, accepted.changed())
                 .await
@@ -116,7 +119,8 @@
     /// Waits until the listener is closed and every connection has ended.
     pub async fn ended(&mut self) {
         if !self.accepting.is_finished() {
-            // It ends by itself once the phase is reached; a panic in it ends it as well.
+            // The task returns once the phase is reached. An error means that it panicked, so it has ended
+            // too.
             let _ = (&mut self.accepting).await;
         }
         self.connections.wait().await;
--- a/crates/serve/src/socket.rs
+++ b/crates/serve/src/socket.rs
@@ -1,4 +1,4 @@
-//! A socket that tells of what passes through it.
+//! A socket that records its reads and writes as activity of the connection.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -12,19 +12,22 @@
 
 use crate::activity::Activity;
 
-/// Longest wait for the peer's end of a connection that was ended here. A peer answers within a round trip,
-/// some milliseconds; a lost packet is repeated within a second.
+/// Longest wait for the peer to close its side after the connection was shut down here.
+///
+/// A peer closes within a round trip of some milliseconds; a lost packet is sent again within a second.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes read at once while the peer's end is waited for.
+/// Size of the read buffer while the peer is waited for.
 const LINGER_BUF_BYTES: usize = 1024;
 
-/// The answer to a request that could not be read before the process ends; another process takes it at once.
+/// Response to a request that could not be read before the process exits. The caller can retry at once,
+/// because another process serves the request.
 const REFUSAL: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: 0\r\n\
     content-length: 0\r\n\r\n";
 
-/// A connection's socket. Whoever ends the connection shares it, and so sees what lies unread.
+/// Socket of a connection. The stream is shared with the task that closes the connection, which checks for
+/// unread bytes.
 #[derive(Debug)]
 pub(crate) struct Socket {
     stream: Arc<TcpStream>,
@@ -36,7 +39,7 @@
         Self { stream, activity }
     }
 
-    /// Writes by `write` once the socket takes bytes.
+    /// Calls `write` once the socket is writable.
     fn poll_written<F>(&self, cx: &mut Context<'_>, write: F) -> Poll<io::Result<usize>>
     where
         F: Fn(&TcpStream) -> io::Result<usize>,
@@ -48,7 +51,7 @@
             };
             ready?;
             match write(&self.stream) {
-                // The readiness was out of date; asking for it again registers the task.
+                // The readiness was stale; polling again registers the task.
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 written => {
                     self.activity.on_write();
@@ -109,46 +112,46 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket has no buffer of its own.
+        // The socket has no buffer in user space.
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Whoever ends the connection looks first at what lies unread.
+        // The task that closes the connection checks for unread bytes first, then shuts the socket down.
         Poll::Ready(Ok(()))
     }
 }
 
-/// Refuses a request whose head is not whole: the rest is not waited for, and nothing has run.
+/// Refuses a request whose head is incomplete. No handler has run for the request.
 pub(crate) fn refuse(stream: &TcpStream) {
-    // All that was written before has been taken by the kernel, so that there is room; where the peer has reset
-    // the connection there is nobody to tell.
+    // All earlier writes have reached the kernel, so the send buffer has space. An error means that the peer
+    // has reset the connection.
     let _ = stream.try_write(REFUSAL);
 }
 
-/// Ends the writing side, and reads until the peer has ended its own; counts the bytes that come in `came`.
+/// Shuts down the writing side, and reads until the peer closes its side. Adds the bytes read to `received`.
 ///
-/// Closing a socket in which bytes lie unread resets the connection, and the peer may lose the answer that
-/// it has not read yet.
-pub(crate) async fn linger(stream: &TcpStream, came: &mut u64) {
-    // Where the peer has reset the connection there is nobody to tell.
+/// Closing a socket with unread bytes resets the connection, and the peer may lose a response that it has not
+/// read yet.
+pub(crate) async fn linger(stream: &TcpStream, received: &mut u64) {
+    // An error means that the peer has reset the connection.
     let _ = rustix::net::shutdown(stream, Shutdown::Write);
     let mut buf = [0; LINGER_BUF_BYTES];
     let reading = async {
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut buf) {
                 Ok(0) => return,
-                Ok(read) => *came += read as u64,
+                Ok(read) => *received += read as u64,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
     };
-    // A peer that holds its side open for longer has read what there was to read.
+    // A peer that keeps its side open for longer has had time to read the response.
     let _ = tokio::time::timeout(LINGER_TIMEOUT, reading).await;
 }
 
-/// Returns how many bytes the kernel holds that were not read; none if it doesn't say.
+/// Returns the number of bytes in the receive buffer, or `None` if the kernel reports an error.
 pub(crate) fn unread(stream: &TcpStream) -> Option<u64> {
     rustix::io::ioctl_fionread(stream).ok()
 }
