--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -1,4 +1,4 @@
-//! Events with a number, and the catalogue that explains them.
+//! Numbered events, and the catalogue that documents them.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
 /// One kind of event. The number never changes its meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Number of the event; each crate has a range of its own.
+    /// Number of the event. Each crate has its own range.
     pub id: u16,
     /// Short name in lower case with hyphens.
     pub name: &'static str,
@@ -23,7 +23,7 @@
 impl Event {
     /// Logs the event with `fields` as structured pairs.
     ///
-    /// Fields never carry tokens, keys or callers' texts.
+    /// Fields must not contain tokens, keys or texts from callers.
     pub fn emit(&self, fields: &[(&str, &str)]) {
         if self.level > log::max_level() {
             return;
--- a/crates/telemetry/src/events.rs
+++ b/crates/telemetry/src/events.rs
@@ -1,4 +1,4 @@
-//! Events that every process has, numbers 100 to 199.
+//! Events common to all processes, numbers 100 to 199.
 
 use crate::{Event, Level};
 
@@ -7,9 +7,9 @@
     id: 101,
     name: "settings-reloaded",
     level: Level::Info,
-    meaning: "SIGHUP came and the settings file was read again; the outcome says what follows.",
-    remedy: "Mend the file if it was refused; restart the process to put other settings in force.",
+    meaning: "The process received SIGHUP and read the settings file again; the outcome says what follows.",
+    remedy: "Fix the file if it was refused; restart the process to apply other settings.",
 };
 
-/// All events of every process.
+/// All events of this module.
 pub const ALL: &[Event] = &[SETTINGS_RELOADED];
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! The one log format: a JSON object a line.
+//! The log format of all processes: one JSON object per line.
 
 use std::collections::BTreeMap;
 use std::io::Write as _;
@@ -20,14 +20,14 @@
     }
 }
 
-/// Starts logging to standard error; `RUST_LOG` sets the level, `info` without it.
+/// Starts logging to standard error. `RUST_LOG` sets the level; the default is `info`.
 ///
-/// `process` is the name that each line carries. A second call changes nothing.
+/// `process` is the process name in each line. A second call has no effect.
 pub fn init_logging(process: &str) {
     start(process, None);
 }
 
-/// Starts logging to `target`, or to standard error.
+/// Starts logging to `target`, or to standard error if there is none.
 fn start(process: &str, target: Option<Target>) {
     let process = process.to_owned();
     let env = env_logger::Env::default().default_filter_or("info");
@@ -38,7 +38,7 @@
     let started = builder
         .format(move |buf, record| {
             let mut pairs = Pairs::default();
-            // A record whose pairs can't be read is still worth its message.
+            // If the pairs can't be read, the message is still logged.
             let _ = record.key_values().visit(&mut pairs);
             let at = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
@@ -55,18 +55,18 @@
         })
         .try_init();
     if started.is_err() {
-        log::debug!("logging was started before");
+        log::debug!("logging is already initialized");
     }
 }
 
-/// Starts logging to standard output, in the same format, without ever holding up the process:
-/// lines beyond a budget, or beyond what standard output takes, are left out and counted.
+/// Starts logging to standard output in the same format, without blocking the process.
 ///
-/// The guard is to be kept until the process has done its work; it writes the last lines.
+/// Lines over the rate limit, and lines that do not fit into the queue, are dropped and counted. Keep the
+/// guard until the process has done its work: on drop it waits until the last lines are written.
 ///
 /// # Errors
 ///
-/// Returns what the system says if the thread that writes can't be started.
+/// Returns the system's error if the writer thread can't be started.
 pub fn init_stdout_logging(process: &str) -> std::io::Result<LogGuard> {
     let (lines, guard) = LogWriter::start(std::io::stdout())?;
     start(process, Some(Target::Pipe(Box::new(lines))));
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,15 +1,15 @@
-//! Metrics in the text format.
+//! Metrics in the Prometheus text format.
 
 use prometheus::{Encoder, Registry, TextEncoder};
 use snafu::{ResultExt, Snafu};
 
-/// Metrics can't be written.
+/// Error of encoding metrics.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
     /// A metric can't be encoded.
     #[snafu(display("a metric can't be encoded: {source}; report this as a bug"))]
     Encode {
-        /// What the encoder says.
+        /// Error of the encoder.
         source: prometheus::Error,
     },
 }
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -1,4 +1,4 @@
-//! Lines on standard output that never hold up whoever writes them.
+//! Non-blocking log lines on standard output.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,26 +6,27 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that wait for standard output. At 400 bytes a line they hold 400 KB.
+/// Maximum number of lines queued for standard output: 400 KB at 400 bytes per line.
 const MAX_QUEUED_LINES: usize = 1024;
 
-/// Lines in a second. An entry that answers 100 requests a second, each with two lines, stays
-/// below; what a storm of failures writes beyond it is counted and left out.
+/// Maximum number of lines per second. An entry that answers 100 requests per second, with two lines each,
+/// stays below. Lines over the limit, as after many failures at once, are counted and dropped.
 const MAX_LINES_PER_SECOND: u32 = 400;
 
-/// Longest wait at the end of a process for lines that are not written yet. A reader of standard
-/// output that is stuck holds up the end no longer; the shortest grace that is configured is 8 s.
+/// Longest wait at the exit of a process for lines that are not written yet.
+///
+/// A stuck reader of standard output must not use up the grace period; the shortest one configured is 8 s.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Lines that were left out since the start.
+/// Number of lines dropped since the process started.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines were left out since the process started.
+/// Returns how many lines were dropped since the process started.
 pub fn lines_dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// The lines of the second under way.
+/// Rate limit of lines, counted in windows of one second.
 #[derive(Debug)]
 struct Budget {
     since: Instant,
@@ -43,7 +44,7 @@
     }
 }
 
-/// How far the thread that writes has come.
+/// Progress of the writer thread.
 #[derive(Debug, Default)]
 struct Progress {
     queued: AtomicU64,
@@ -62,15 +63,16 @@
     fn wait(&self, timeout: Duration) {
         let queued = self.queued.load(Ordering::Acquire);
         let written = self.written.lock().unwrap_or_else(PoisonError::into_inner);
-        // After the bound the rest is lost: nobody reads standard output.
+        // After the time-out the rest is lost: standard output is not being read.
         let _ = self
             .changed
             .wait_timeout_while(written, timeout, |written| *written < queued);
     }
 }
 
-/// Keeps the last lines of a process: when it is dropped, at an orderly end as well as by a panic,
-/// it waits until the lines that were taken are written.
+/// Guard that flushes the last lines of a process.
+///
+/// On drop, at a normal exit as well as by a panic, the guard waits until the queued lines are written.
 #[derive(Debug, Default)]
 #[must_use = "the last lines are lost if the guard is dropped before the process has done its work"]
 pub struct LogGuard {
@@ -82,8 +84,8 @@
         let Some((tx, progress)) = self.lines.take() else {
             return;
         };
-        // Wakes the thread, so that it also tells of lines that were left out last. A full queue
-        // wakes it as well.
+        // Wakes the writer thread so that it also reports the lines dropped last. If the queue is full,
+        // the thread is awake already.
         if tx.try_send(Vec::new()).is_ok() {
             progress.queued.fetch_add(1, Ordering::Release);
         }
@@ -91,7 +93,7 @@
     }
 }
 
-/// Hands lines to a thread that writes them; leaves out what is too much.
+/// Writer that queues lines for a thread, and drops lines over the limits.
 #[derive(Debug)]
 pub struct LogWriter {
     tx: SyncSender<Vec<u8>>,
@@ -100,11 +102,11 @@
 }
 
 impl LogWriter {
-    /// Starts the thread that writes to `out`, and returns the guard of the last lines with it.
+    /// Starts the thread that writes to `out`. Returns the writer and the guard that flushes the last lines.
     ///
     /// # Errors
     ///
-    /// Returns what the system says if the thread can't be started.
+    /// Returns the system's error if the thread can't be started.
     pub fn start<W>(out: W) -> io::Result<(Self, LogGuard)>
     where
         W: Write + Send + 'static,
@@ -153,7 +155,7 @@
     }
 }
 
-/// Writes lines as they come, several at once if several wait; tells how many were left out.
+/// Writes queued lines, several at once if several wait, and reports how many were dropped.
 fn write_all<W>(rx: &Receiver<Vec<u8>>, mut out: W, progress: &Progress)
 where
     W: Write,
@@ -172,7 +174,7 @@
                 format!("{{\"message\":\"lines-left-out\",\"total\":{dropped}}}\n").as_bytes(),
             );
         }
-        // Where the output is gone there is nobody to tell.
+        // A failed write has no other place to be reported.
         let _ = out.write_all(&buf).and_then(|()| out.flush());
         progress.add_written(lines);
     }
