--- a/crates/serve/src/events.rs
+++ b/crates/serve/src/events.rs
@@ -7,9 +7,9 @@
     id: 6301,
     name: "connection-ended",
     level: Level::Info,
-    meaning: "A connection failed, or was closed by this process. `why` is the reason; `open` requests were not \
-              answered in full, `unread` bytes were left in the socket, and `crossed` bytes arrived after the \
-              close.",
+    meaning: "A connection failed, or was closed by this process. `why` is the reason; `open` requests \
+              were not answered in full, `unread` bytes were left in the socket, and `crossed` bytes \
+              arrived after the close.",
     remedy: "If `open`, `unread` or `crossed` is not 0, a request was cut off: see docs/OPERATIONS.md.",
 };
 
--- a/crates/serve/tests/common/mod.rs
+++ b/crates/serve/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A server on a socket, and callers that see how their connections end.
+//! Test server on a socket, and callers that observe how their connections end.
 
 use std::io::{self, Write as _};
 use std::net::SocketAddr;
@@ -18,18 +18,18 @@
 /// A request without a body.
 pub(crate) const GET: &str = "GET / HTTP/1.1\r\nhost: shop.example\r\n\r\n";
 
-/// Body of every answer.
+/// Body of every response.
 const BODY: &str = "inscription";
 
-/// Longest wait for anything that a caller waits for.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Time-out of each read of a caller.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers each request after a pause, whose head comes at once.
+/// Handler that sends the head of each response at once and the body after a pause.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DelayedHandler {
     pause: Duration,
     idle: Option<Duration>,
-    begun: Arc<AtomicU64>,
+    served: Arc<AtomicU64>,
 }
 
 impl DelayedHandler {
@@ -37,7 +37,7 @@
         Self {
             pause,
             idle: None,
-            begun: Arc::default(),
+            served: Arc::default(),
         }
     }
 
@@ -50,8 +50,8 @@
 
 impl Handler for DelayedHandler {
     fn limits(&self) -> wagtailreel_serve::Limits {
-        // Told for each connection as it is served for the first time.
-        self.begun.fetch_add(1, Ordering::Relaxed);
+        // Called once per connection, when it starts to be served.
+        self.served.fetch_add(1, Ordering::Relaxed);
         let limits = wagtailreel_serve::Limits::default();
         wagtailreel_serve::Limits {
             idle: self.idle.unwrap_or(limits.idle),
@@ -77,35 +77,35 @@
     }
 }
 
-/// A server with its address.
+/// A test server and its address.
 pub(crate) struct TestServer {
     pub(crate) server: Server,
     pub(crate) addr: SocketAddr,
-    begun: Arc<AtomicU64>,
+    served: Arc<AtomicU64>,
 }
 
 /// Starts a server.
 pub(crate) async fn server(handler: DelayedHandler) -> TestServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let begun = Arc::clone(&handler.begun);
+    let served = Arc::clone(&handler.served);
     let counters = ConnectionCounters::register(&Registry::new()).unwrap();
     TestServer {
         server: Server::start("callers", listener, handler, counters),
         addr,
-        begun,
+        served,
     }
 }
 
 impl TestServer {
     /// Waits until `connections` have been accepted and are served.
     pub(crate) async fn accepted(&self, connections: u64) {
-        while self.begun.load(Ordering::Relaxed) < connections {
+        while self.served.load(Ordering::Relaxed) < connections {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Lets every task run that has something to do.
+    /// Yields often enough for all ready tasks to run.
     pub(crate) async fn settle(&self) {
         for _ in 0..100 {
             tokio::task::yield_now().await;
@@ -113,14 +113,14 @@
     }
 }
 
-/// What a caller got.
+/// Head of a response, as a caller received it.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// The status; 0 if the connection ended without one.
+    /// Status code, or 0 if the connection ended without a response.
     pub(crate) status: u16,
-    /// The connection ends with this answer.
+    /// The response carries `Connection: close`.
     pub(crate) closes: bool,
-    /// How long the connection is kept unused.
+    /// Time-out in the `Keep-Alive` header.
     pub(crate) keep_alive: Option<Duration>,
 }
 
@@ -135,7 +135,7 @@
         Self::new(TcpStream::connect(addr).await.unwrap())
     }
 
-    /// Connects without a pause in which another task could run.
+    /// Connects without yielding to other tasks.
     pub(crate) fn connect_at_once(addr: SocketAddr) -> Self {
         let stream = std::net::TcpStream::connect(addr).unwrap();
         stream.set_nonblocking(true).unwrap();
@@ -147,23 +147,23 @@
         Self { stream, buf }
     }
 
-    /// Sends bytes without a pause in which another task could run.
+    /// Sends bytes without yielding to other tasks.
     pub(crate) fn send(&mut self, text: &str) {
-        // Behind an adapter of std, whose write asks the kernel at once.
+        // A std stream writes to the kernel directly, not through the runtime.
         let fd = std::os::fd::AsFd::as_fd(&self.stream);
         let fd = fd.try_clone_to_owned().unwrap();
         let mut stream = std::net::TcpStream::from(fd);
         stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Reads an answer to its end.
+    /// Reads a response to its end.
     pub(crate) async fn answer(&mut self) -> Answer {
         let answer = self.head().await;
         self.body(&answer).await;
         answer
     }
 
-    /// Reads the head of an answer.
+    /// Reads the head of a response.
     pub(crate) async fn head(&mut self) -> Answer {
         let end = loop {
             if let Some(at) = self.buf.windows(4).position(|it| it == b"\r\n\r\n") {
@@ -190,22 +190,26 @@
     /// Reads the body that follows `head`.
     pub(crate) async fn body(&mut self, head: &Answer) {
         while head.status != 0 && self.buf.len() < BODY.len() {
-            assert_ne!(self.fill().await, 0, "the answer is not whole");
+            assert_ne!(self.fill().await, 0, "the response body is truncated");
         }
         if head.status != 0 {
             self.buf.drain(..BODY.len());
         }
     }
 
-    /// Waits until the server ends the connection in good order.
+    /// Waits until the server closes the connection without a reset.
     pub(crate) async fn ended(&mut self) {
-        let read = tokio::time::timeout(LONGEST, self.stream.read_buf(&mut self.buf));
-        assert_eq!(read.await.unwrap().unwrap(), 0, "more bytes came");
+        let read = tokio::time::timeout(TIMEOUT, self.stream.read_buf(&mut self.buf));
+        assert_eq!(
+            read.await.unwrap().unwrap(),
+            0,
+            "bytes received after the response"
+        );
     }
 
-    /// Reads what comes next; 0 at the end, or at a reset.
+    /// Reads more bytes; returns 0 at the end of the stream or on a reset.
     async fn fill(&mut self) -> usize {
-        let read = tokio::time::timeout(LONGEST, self.stream.read_buf(&mut self.buf));
+        let read = tokio::time::timeout(TIMEOUT, self.stream.read_buf(&mut self.buf));
         read.await.unwrap().unwrap_or(0)
     }
 }
--- a/crates/serve/tests/descriptors.rs
+++ b/crates/serve/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A server that has run out of descriptors as it closes its listener.
+//! A server without free file descriptors at the close of its listener.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[allow(dead_code, reason = "shared by the tests of this crate")]
@@ -10,7 +10,7 @@
 use common::{Caller, DelayedHandler, GET, server};
 use wagtailreel_serve::Phase;
 
-/// What the backlog holds is taken once there are descriptors again.
+/// The backlog is accepted once descriptors are free again.
 #[tokio::test]
 async fn backlog() {
     let mut server = server(DelayedHandler::default()).await;
@@ -26,7 +26,7 @@
         taken.push(file);
     }
     server.server.enter(Phase::Closing);
-    // Longer than the pause after a connection that could not be accepted.
+    // Longer than the pause after a failed accept.
     tokio::time::sleep(Duration::from_millis(200)).await;
     drop(taken);
     for mut caller in callers {
--- a/crates/serve/tests/drain.rs
+++ b/crates/serve/tests/drain.rs
@@ -1,4 +1,4 @@
-//! No request is lost when a server ends.
+//! No request is lost when a server shuts down.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use wagtailreel_serve::Phase;
 
-/// A request that lies in the socket of a kept connection when the connections are closed.
+/// A request that is unread in the socket of an idle connection at the shutdown is answered.
 #[rstest]
 #[case::closing(Phase::Closing)]
 #[case::ending(Phase::Ending)]
@@ -27,7 +27,8 @@
     server.server.ended().await;
 }
 
-/// A connection on which nothing was read yet, with its request in the socket or just behind it.
+/// The first request of a new connection is answered, whether sent just before or just after the shutdown
+/// begins.
 #[rstest]
 #[case::sent(true)]
 #[case::under_way(false)]
@@ -49,14 +50,14 @@
     server.server.ended().await;
 }
 
-/// Connections that the kernel has accepted and the server has not.
+/// Connections in the backlog of the kernel are served.
 #[tokio::test]
 async fn backlog() {
     let mut server = server(DelayedHandler::default()).await;
     server.settle().await;
     let mut callers = Vec::new();
     for _ in 0..5 {
-        // Without a pause in which the server could accept it.
+        // Does not yield, so the server can't accept the connection yet.
         let mut caller = Caller::connect_at_once(server.addr);
         caller.send(GET);
         callers.push(caller);
@@ -69,7 +70,7 @@
     server.server.ended().await;
 }
 
-/// An answer that began before its caller could be told that the connection ends.
+/// A connection stays usable if its response head was sent before the shutdown, without `Connection: close`.
 #[tokio::test]
 async fn answer_without_notice() {
     let mut server = server(DelayedHandler::new(Duration::from_millis(300))).await;
@@ -87,7 +88,7 @@
     server.server.ended().await;
 }
 
-/// A connection is closed only once it was idle for longer than callers were told that it is kept.
+/// An idle connection is closed only after the time announced in `Keep-Alive`.
 #[tokio::test]
 async fn idle_connection() {
     let mut server = server(DelayedHandler::default()).await;
@@ -96,7 +97,7 @@
     let answer = caller.answer().await;
     let kept = answer
         .keep_alive
-        .expect("callers are told how long a connection is kept");
+        .expect("the response has a Keep-Alive header");
     let since = Instant::now();
     server.server.enter(Phase::Leaving);
     server.server.enter(Phase::Closing);
@@ -106,7 +107,7 @@
     server.server.ended().await;
 }
 
-/// Bytes that nobody reads don't reset the connection before the last answer is read.
+/// Unread bytes in the socket do not reset the connection before the caller reads the last response.
 #[tokio::test]
 async fn last_answer() {
     let mut server = server(DelayedHandler::default()).await;
@@ -123,9 +124,10 @@
     server.server.ended().await;
 }
 
-/// The process is about to end: connections are closed whatever callers were told, but no request is.
+/// In `Phase::Ending` idle connections are closed before their announced time, but requests are still
+/// answered.
 #[tokio::test]
-async fn last_moment() {
+async fn ending_phase() {
     let mut server = server(DelayedHandler::new(Duration::from_millis(200))).await;
     let mut idle = Caller::connect(server.addr).await;
     let mut busy = Caller::connect(server.addr).await;
@@ -139,7 +141,7 @@
     server.server.ended().await;
 }
 
-/// While callers come, the listener stays open; a handshake that crosses its close is reset.
+/// The listener stays open while callers connect: closing it resets handshakes in progress.
 #[tokio::test]
 async fn not_quiet() {
     let mut server = server(DelayedHandler::new(Duration::from_millis(300))).await;
@@ -167,7 +169,7 @@
     server.server.ended().await;
 }
 
-/// A stream that is still under way does not hold the listener open until callers come again.
+/// An open stream does not keep the server from counting as quiet.
 #[tokio::test]
 async fn quiet_beside_stream() {
     let mut server = server(DelayedHandler::new(Duration::from_secs(60))).await;
@@ -182,7 +184,7 @@
     server.server.ended().await;
 }
 
-/// Callers that come a few times a second are seen before the listener closes.
+/// The server does not count as quiet between callers that connect a few times per second.
 #[tokio::test]
 async fn quiet_between_callers() {
     let server = server(DelayedHandler::default()).await;
--- a/crates/serve/tests/handshakes.rs
+++ b/crates/serve/tests/handshakes.rs
@@ -11,11 +11,11 @@
 use common::{DelayedHandler, GET, server};
 use wagtailreel_serve::Phase;
 
-/// Times that a listener is closed.
+/// How many listeners are closed.
 const ROUNDS: u32 = 20;
 
-/// Connects again and again until the port is closed; returns how many requests got no answer.
-fn press(addr: SocketAddr) -> u32 {
+/// Connects in a loop until the port is closed; returns how many requests were not answered.
+fn connect_repeatedly(addr: SocketAddr) -> u32 {
     let mut lost = 0;
     while let Ok(mut stream) = TcpStream::connect(addr) {
         let mut buf = [0; 512];
@@ -28,15 +28,15 @@
     lost
 }
 
-/// Who has connected gets an answer.
+/// Every caller whose connection was established gets a response.
 #[tokio::test(flavor = "multi_thread", worker_threads = 1)]
-async fn pressed() {
+async fn connect_during_close() {
     let mut lost = 0;
     for _ in 0..ROUNDS {
         let mut server = server(DelayedHandler::default()).await;
         let addr = server.addr;
         let callers: Vec<_> = (0..2)
-            .map(|_| std::thread::spawn(move || press(addr)))
+            .map(|_| std::thread::spawn(move || connect_repeatedly(addr)))
             .collect();
         server.accepted(5).await;
         server.server.enter(Phase::Leaving);
--- a/crates/serve/tests/heads.rs
+++ b/crates/serve/tests/heads.rs
@@ -1,4 +1,4 @@
-//! Requests of which the server has read a part when it ends.
+//! Requests that the server has read in part when it shuts down.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[allow(dead_code, reason = "shared by the tests of this crate")]
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use wagtailreel_serve::Phase;
 
-/// The first half of a head was read when the connections are closed.
+/// A request whose head was read by half at the shutdown is answered.
 #[rstest]
 #[case::alone(Duration::ZERO, false)]
 #[case::behind_another(Duration::from_millis(200), true)]
@@ -39,8 +39,8 @@
     server.server.ended().await;
 }
 
-/// The rest of a head that does not come in the last moment is not waited for until the process ends, which would
-/// answer it by a reset.
+/// A head that stays incomplete in `Phase::Ending` is refused with 503. Waiting until the process exits would
+/// reset the connection.
 #[rstest]
 #[case::in_its_first_line(10)]
 #[case::before_its_last_line(GET.len() - 2)]
@@ -58,10 +58,10 @@
     let after = since.elapsed();
     assert_eq!(head.status, 503, "{head:?}");
     assert!(head.closes, "{head:?}");
-    // The last moment of an entry with a usual grace is 300 ms long.
+    // `Phase::Ending` of an entry with a usual grace period lasts 300 ms.
     assert!(after < Duration::from_millis(300), "after {after:?}");
     caller.ended().await;
-    // The rest meets no reset while there is a process.
+    // The rest of the head causes no reset while the process runs.
     caller.send(second);
     server.settle().await;
     caller.ended().await;
@@ -69,7 +69,7 @@
     server.server.ended().await;
 }
 
-/// A whole request behind one whose answer didn't say that the connection ends.
+/// A pipelined request is answered if the response before it did not carry `Connection: close`.
 #[tokio::test]
 async fn pipelined() {
     let mut server = server(DelayedHandler::new(Duration::from_millis(200))).await;
@@ -85,7 +85,7 @@
     server.server.ended().await;
 }
 
-/// More requests at once than the HTTP library answers in one turn.
+/// More pipelined requests than the HTTP library answers in one poll.
 #[tokio::test]
 async fn many_pipelined() {
     let mut server = server(DelayedHandler::default()).await;
@@ -99,7 +99,7 @@
     server.server.ended().await;
 }
 
-/// An empty line behind a request begins no other: the connection is idle.
+/// An empty line after a request does not start a head: the connection counts as idle.
 #[tokio::test]
 async fn empty_line() {
     let mut server = server(DelayedHandler::default()).await;
--- a/crates/serve/tests/lines.rs
+++ b/crates/serve/tests/lines.rs
@@ -1,4 +1,4 @@
-//! A connection that ends with its process has a line too.
+//! A connection that is still open when the process exits is logged too.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[allow(dead_code, reason = "shared by the tests of this crate")]
@@ -13,27 +13,27 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use wagtailreel_serve::Phase;
 
-/// A line's pairs.
+/// Fields of a log record.
 #[derive(Clone, Debug, Default)]
-struct Line(BTreeMap<String, String>);
+struct Fields(BTreeMap<String, String>);
 
-impl<'kvs> VisitSource<'kvs> for Line {
+impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         self.0.insert(key.to_string(), value.to_string());
         Ok(())
     }
 }
 
-/// Keeps the lines of connections that ended.
-struct Kept(Mutex<Vec<Line>>);
+/// Logger that records the connection-ended events.
+struct EndEvents(Mutex<Vec<Fields>>);
 
-impl Log for Kept {
+impl Log for EndEvents {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &Record<'_>) {
-        let mut line = Line::default();
+        let mut line = Fields::default();
         record.key_values().visit(&mut line).unwrap();
         if line.0.get("event").is_some_and(|event| event == "6301") {
             let mut lines = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -44,12 +44,12 @@
     fn flush(&self) {}
 }
 
-static KEPT: Kept = Kept(Mutex::new(Vec::new()));
+static END_EVENTS: EndEvents = EndEvents(Mutex::new(Vec::new()));
 
-/// One has a request under way, the other was refused and is held open by its caller.
+/// One connection has a request in progress; the other was refused and is kept open by its caller.
 #[test]
-fn with_the_process() {
-    log::set_logger(&KEPT).unwrap();
+fn process_exit() {
+    log::set_logger(&END_EVENTS).unwrap();
     log::set_max_level(LevelFilter::Info);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -60,27 +60,27 @@
         let mut busy = Caller::connect(server.addr).await;
         busy.send(GET);
         busy.head().await;
-        let mut begun = Caller::connect(server.addr).await;
+        let mut refused = Caller::connect(server.addr).await;
         server.accepted(2).await;
-        begun.send(&GET[..10]);
+        refused.send(&GET[..10]);
         server.settle().await;
         server.server.enter(Phase::Ending);
-        assert_eq!(begun.head().await.status, 503);
-        begun.ended().await;
-        begun.send(&GET[10..]);
+        assert_eq!(refused.head().await.status, 503);
+        refused.ended().await;
+        refused.send(&GET[10..]);
         server.settle().await;
-        (busy, begun)
+        (busy, refused)
     });
     drop(runtime);
     drop(callers);
-    let lines = KEPT.0.lock().unwrap().clone();
+    let lines = END_EVENTS.0.lock().unwrap().clone();
     let found = |why: &str| {
         let mut found = lines.iter().map(|line| &line.0);
         let line = found.find(|line| line["why"] == why);
-        line.unwrap_or_else(|| panic!("no line with {why}: {lines:?}"))
+        line.unwrap_or_else(|| panic!("no event with {why}: {lines:?}"))
     };
-    let (cut, begun) = (found("cut"), found("begun"));
+    let (cut, refused) = (found("cut"), found("begun"));
     assert_eq!(cut["open"], "1", "{cut:?}");
-    assert_eq!(begun["open"], "0", "{begun:?}");
-    assert_eq!(begun["crossed"], (GET.len() - 10).to_string(), "{begun:?}");
+    assert_eq!(refused["open"], "0", "{refused:?}");
+    assert_eq!(refused["crossed"], (GET.len() - 10).to_string(), "{refused:?}");
 }
--- a/crates/serve/tests/notice.rs
+++ b/crates/serve/tests/notice.rs
@@ -1,4 +1,4 @@
-//! What callers are told of how long a connection is kept.
+//! The `Keep-Alive` and `Connection` headers announce how long a connection is kept open.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[allow(dead_code, reason = "shared by the tests of this crate")]
@@ -9,7 +9,7 @@
 use common::{Caller, DelayedHandler, GET, server};
 use wagtailreel_serve::Phase;
 
-/// A caller that ends the connection isn't told that it is kept.
+/// A request with `Connection: close` gets no `Keep-Alive` header.
 #[tokio::test]
 async fn caller_closes() {
     let server = server(DelayedHandler::default()).await;
@@ -21,7 +21,7 @@
     assert_eq!(answer.keep_alive, None, "{answer:?}");
 }
 
-/// A caller of HTTP/1.0 that doesn't ask for it isn't told that the connection is kept.
+/// An HTTP/1.0 request without `Connection: keep-alive` gets no `Keep-Alive` header.
 #[tokio::test]
 async fn old_caller() {
     let server = server(DelayedHandler::default()).await;
@@ -33,17 +33,17 @@
     caller.ended().await;
 }
 
-/// A caller of HTTP/1.0 that asks for it keeps its connection, until the server leaves.
+/// An HTTP/1.0 caller with `Connection: keep-alive` keeps its connection until `Phase::Leaving`.
 #[tokio::test]
 async fn old_caller_keeps() {
-    let ask = "GET / HTTP/1.0\r\nhost: shop.example\r\nconnection: keep-alive\r\n\r\n";
+    let keep_alive_req = "GET / HTTP/1.0\r\nhost: shop.example\r\nconnection: keep-alive\r\n\r\n";
     let server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
-    caller.send(ask);
+    caller.send(keep_alive_req);
     let answer = caller.answer().await;
     assert!(answer.keep_alive.is_some(), "{answer:?}");
     server.server.enter(Phase::Leaving);
-    caller.send(ask);
+    caller.send(keep_alive_req);
     let answer = caller.answer().await;
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.closes, "{answer:?}");
@@ -51,7 +51,7 @@
     caller.ended().await;
 }
 
-/// A connection isn't closed sooner than its caller was told, also where the idle time is short.
+/// A connection is not closed before the announced time, also if the idle limit is short.
 #[tokio::test]
 async fn short_idle() {
     let handler = DelayedHandler::default().with_idle(Duration::from_millis(1200));
@@ -66,7 +66,8 @@
     assert!(after > kept, "closed after {after:?}, told {kept:?}");
 }
 
-/// A request whose body the front doesn't read: the caller hears that the connection ends, or it doesn't.
+/// If the handler does not read a request body, the response carries `Connection: close` or the connection
+/// stays usable.
 #[tokio::test]
 async fn unread_body() {
     let server = server(DelayedHandler::new(Duration::from_millis(50))).await;
@@ -84,7 +85,7 @@
     }
 }
 
-/// A caller that reads slowly counts from when it has read the answer.
+/// A slow caller counts the keep-alive time from when it has read the response.
 #[tokio::test]
 async fn slow_caller() {
     let server = server(DelayedHandler::new(Duration::from_millis(50))).await;
@@ -94,7 +95,7 @@
     assert!(!head.closes, "{head:?}");
     server.server.enter(Phase::Leaving);
     let kept = head.keep_alive.unwrap();
-    // The answer lies in the caller's socket for longer than the connection is kept unused.
+    // The response stays in the caller's socket for longer than the keep-alive time.
     tokio::time::sleep(kept + kept / 2).await;
     caller.body(&head).await;
     caller.send(GET);
--- a/crates/serve/tests/spin.rs
+++ b/crates/serve/tests/spin.rs
@@ -1,4 +1,4 @@
-//! A connection that can't be closed yet waits without using the processor.
+//! A connection that can't be closed yet waits without a busy loop.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::net::SocketAddr;
@@ -13,10 +13,11 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use wagtailreel_serve::{ConnectionCounters, Handler, Phase, RequestBody, ResponseBody, Server};
 
-/// How long the body of the request is held.
-const HELD: Duration = Duration::from_millis(400);
+/// Time for which the request body is not read.
+const BODY_HOLD: Duration = Duration::from_millis(400);
 
-/// Answers before it has read the request's body, and leaves the request's body to another task, as a relay does.
+/// Handler that answers before the request body is read, and passes the body to another task, as a relay
+/// does.
 #[derive(Debug)]
 struct EarlyAnswer {
     bodies: UnboundedSender<RequestBody>,
@@ -28,7 +29,7 @@
         req: Request<RequestBody>,
     ) -> impl Future<Output = Response<impl ResponseBody + use<>>> + Send + use<> {
         self.bodies.send(req.into_body()).unwrap();
-        let pause = HELD / 4;
+        let pause = BODY_HOLD / 4;
         async move {
             tokio::time::sleep(pause).await;
             Response::new(Full::new(Bytes::from_static(b"early")))
@@ -36,25 +37,25 @@
     }
 }
 
-/// Returns for how long this thread has used the processor.
-fn used() -> Duration {
+/// Returns the CPU time of this thread.
+fn cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap();
     let ns = text.split(' ').next().unwrap();
     Duration::from_nanos(ns.parse().unwrap())
 }
 
-async fn begin(addr: SocketAddr) -> TcpStream {
+async fn send_upload(addr: SocketAddr) -> TcpStream {
     let mut caller = TcpStream::connect(addr).await.unwrap();
     let head = "POST / HTTP/1.1\r\nhost: shop.example\r\ncontent-length: 1000000\r\n\r\n";
     caller.write_all(head.as_bytes()).await.unwrap();
-    // More than the HTTP library reads unless it is asked for.
+    // More than the HTTP library reads before the body is polled.
     caller.write_all(&vec![b'x'; 900_000]).await.unwrap();
     let mut buf = [0; 512];
     assert_ne!(caller.read(&mut buf).await.unwrap(), 0);
     caller
 }
 
-/// The body of a request that is answered already is not read for a while.
+/// The body of an answered request stays unread for a while.
 #[tokio::test]
 async fn early_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -62,14 +63,17 @@
     let counters = ConnectionCounters::register(&Registry::new()).unwrap();
     let (bodies, mut held) = unbounded_channel();
     let mut server = Server::start("callers", listener, EarlyAnswer { bodies }, counters);
-    let caller = tokio::spawn(begin(addr));
+    let caller = tokio::spawn(send_upload(addr));
     let body = held.recv().await.unwrap();
     let caller = caller.await.unwrap();
     server.enter(Phase::Ending);
-    let before = used();
-    tokio::time::sleep(HELD).await;
-    let spent = used().saturating_sub(before);
-    assert!(spent < HELD / 4, "{spent:?} of {HELD:?} were spent");
+    let before = cpu_time();
+    tokio::time::sleep(BODY_HOLD).await;
+    let spent = cpu_time().saturating_sub(before);
+    assert!(
+        spent < BODY_HOLD / 4,
+        "{spent:?} of {BODY_HOLD:?} were spent"
+    );
     drop(body);
     drop(caller);
     server.ended().await;
--- a/crates/telemetry/tests/last_lines.rs
+++ b/crates/telemetry/tests/last_lines.rs
@@ -1,4 +1,4 @@
-//! The last lines of a process are written before it ends.
+//! The last log lines of a process are written before it exits.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::io::{self, Write};
@@ -9,16 +9,16 @@
 use rstest::rstest;
 use wagtailreel_telemetry::LogWriter;
 
-/// An output that holds each write until it is let go.
-struct Held {
+/// Output that blocks each write until the test releases it.
+struct BlockedOutput {
     gate: Receiver<()>,
     reached: SyncSender<()>,
     out: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Held {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        // A test that has ended neither watches nor holds it any more.
+        // Errors mean that the test has ended.
         let _ = self.reached.send(());
         let _ = self.gate.recv();
         self.out.lock().unwrap().extend_from_slice(buf);
@@ -30,21 +30,21 @@
     }
 }
 
-/// The test's side of a held output.
+/// Test side of a [`BlockedOutput`].
 struct Gate {
-    /// Lets one write go.
+    /// Releases one write.
     open: SyncSender<()>,
-    /// Tells of writes under way.
+    /// Receives a message for each write in progress.
     under_way: Receiver<()>,
     /// What was written.
     out: Arc<Mutex<Vec<u8>>>,
 }
 
-fn held() -> (Held, Gate) {
+fn output() -> (BlockedOutput, Gate) {
     let (open, gate) = sync_channel(16);
     let (reached, under_way) = sync_channel(16);
     let out = Arc::new(Mutex::new(Vec::new()));
-    let held = Held {
+    let output = BlockedOutput {
         gate,
         reached,
         out: Arc::clone(&out),
@@ -54,10 +54,10 @@
         under_way,
         out,
     };
-    (held, gate)
+    (output, gate)
 }
 
-/// Lets the output go just before the guard is dropped.
+/// Releases the output just before the guard is dropped.
 struct OpenAtEnd(SyncSender<()>);
 
 impl Drop for OpenAtEnd {
@@ -72,13 +72,13 @@
 #[case::by_return(false)]
 #[case::by_panic(true)]
 fn written_before_end(#[case] by_panic: bool) {
-    let (held, gate) = held();
+    let (output, gate) = output();
     let Gate {
         open,
         under_way,
         out,
     } = gate;
-    let (mut lines, guard) = LogWriter::start(held).unwrap();
+    let (mut lines, guard) = LogWriter::start(output).unwrap();
     lines.write_all(b"first\n").unwrap();
     under_way.recv().unwrap();
     lines.write_all(b"last\n").unwrap();
@@ -94,11 +94,11 @@
 
 #[rstest]
 fn stuck_output() {
-    let (held, gate) = held();
-    let (mut lines, guard) = LogWriter::start(held).unwrap();
+    let (output, gate) = output();
+    let (mut lines, guard) = LogWriter::start(output).unwrap();
     lines.write_all(b"first\n").unwrap();
     gate.under_way.recv().unwrap();
-    // Returns, though nothing is ever let through.
+    // Returns although no write is ever released.
     drop(guard);
     assert!(gate.out.lock().unwrap().is_empty());
 }
