--- a/crates/serve/tests/lines.rs
+++ b/crates/serve/tests/lines.rs
@@ -82,5 +82,9 @@
     let (cut, refused) = (found("cut"), found("begun"));
     assert_eq!(cut["open"], "1", "{cut:?}");
     assert_eq!(refused["open"], "0", "{refused:?}");
-    assert_eq!(refused["crossed"], (GET.len() - 10).to_string(), "{refused:?}");
+    assert_eq!(
+        refused["crossed"],
+        (GET.len() - 10).to_string(),
+        "{refused:?}"
+    );
 }
