--- a/crates/serve/tests/drain.rs
+++ b/crates/serve/tests/drain.rs
@@ -103,7 +103,7 @@
     server.server.enter(Phase::Closing);
     caller.ended().await;
     let after = since.elapsed();
-    assert!(after > kept, "closed after {after:?}, kept for {kept:?}");
+    assert!(after > kept, "closed after {after:?}, announced {kept:?}");
     server.server.ended().await;
 }
 
--- a/crates/serve/tests/notice.rs
+++ b/crates/serve/tests/notice.rs
@@ -63,7 +63,7 @@
     caller.ended().await;
     let after = since.elapsed();
     let kept = answer.keep_alive.unwrap_or_default();
-    assert!(after > kept, "closed after {after:?}, told {kept:?}");
+    assert!(after > kept, "closed after {after:?}, announced {kept:?}");
 }
 
 /// If the handler does not read a request body, the response carries `Connection: close` or the connection
