--- a/crates/direct/src/front.rs
+++ b/crates/direct/src/front.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt as _, Either, Full, StreamBody};
 use wagtailreel_adapters::discard;
 use wagtailreel_route::direct::{Ending, Next};
-use wagtailreel_serve::{Answered, Front, Limits, RequestBody};
+use wagtailreel_serve::{Handler, Limits, RequestBody, ResponseBody};
 
 use crate::admit::{admit, strip_hop_by_hop};
 use crate::attempt::{Call, Template};
@@ -44,7 +44,7 @@
     }
 }
 
-impl<D> Front for CallerHandler<D>
+impl<D> Handler for CallerHandler<D>
 where
     D: Dialect,
 {
@@ -60,13 +60,13 @@
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<D>>> + Send + use<D> {
+    ) -> impl Future<Output = Response<impl ResponseBody + use<D>>> + Send + use<D> {
         handle(Arc::clone(&self.cx), req)
     }
 }
 
 /// Handles one request, from admission to its log line.
-async fn handle<D>(cx: Arc<Shared<D>>, req: Request<RequestBody>) -> Response<impl Answered>
+async fn handle<D>(cx: Arc<Shared<D>>, req: Request<RequestBody>) -> Response<impl ResponseBody>
 where
     D: Dialect,
 {
--- a/crates/serve/src/body.rs
+++ b/crates/serve/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers, for as long as which a connection is busy.
+//! Bodies of requests and responses. Their connection counts as busy until they are dropped.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use crate::activity::OpenRequest;
 
-/// The body of a request; its connection is busy for as long as it exists.
+/// The body of a request. Its connection counts as busy until the body is dropped.
 #[derive(Debug)]
 pub struct RequestBody {
     body: Incoming,
@@ -21,7 +21,7 @@
 impl RequestBody {
     pub(crate) fn new(body: Incoming, open: Arc<OpenRequest>) -> Self {
         if body.is_end_stream() {
-            open.read();
+            open.on_body_read();
         }
         Self { body, open }
     }
@@ -37,7 +37,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if frame.is_none() || self.body.is_end_stream() {
-            self.open.read();
+            self.open.on_body_read();
         }
         Poll::Ready(frame)
     }
@@ -52,21 +52,21 @@
 }
 
 pin_project! {
-    /// The body of an answer; its request is open for as long as it exists.
-    pub(crate) struct AnswerBody<B> {
+    /// The body of a response. Its request counts as open until the body is dropped.
+    pub(crate) struct TrackedBody<B> {
         #[pin]
         body: B,
         _open: Arc<OpenRequest>,
     }
 }
 
-impl<B> AnswerBody<B> {
+impl<B> TrackedBody<B> {
     pub(crate) fn new(body: B, open: Arc<OpenRequest>) -> Self {
         Self { body, _open: open }
     }
 }
 
-impl<B> Body for AnswerBody<B>
+impl<B> Body for TrackedBody<B>
 where
     B: Body<Data = Bytes>,
 {
--- a/crates/serve/src/connection.rs
+++ b/crates/serve/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, from its first request to its end.
+//! Serves one connection until it is closed.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,56 +12,61 @@
 use tokio::net::TcpStream;
 
 use crate::activity::Activity;
-use crate::body::{AnswerBody, RequestBody};
-use crate::closing::{KEPT, closable};
+use crate::body::{RequestBody, TrackedBody};
+use crate::closing::{KEEP_ALIVE_TIMEOUT, closable};
 use crate::events;
-use crate::front::{Answered, Front};
+use crate::handler::{Handler, ResponseBody};
 use crate::options::connection_options;
 use crate::phase::{Phase, PhaseWatch};
 use crate::server::Shared;
 use crate::socket::{Socket, linger, refuse, unread};
 
-/// The smallest buffer that the HTTP library takes, in bytes.
-const LEAST_BUF: usize = 8 * 1024;
+/// Smallest buffer size that the HTTP library accepts, in bytes.
+const MIN_BUF: usize = 8 * 1024;
 
-/// Name of the header that tells how long a connection is kept.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Number of a connection, in the order in which its server accepted them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, derive_more::Display)]
 pub struct ConnectionNumber(pub u64);
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(crate) async fn serve<F>(cx: Arc<Shared<F>>, stream: TcpStream, number: ConnectionNumber)
 where
-    F: Front,
+    F: Handler,
 {
-    // A connection that can't be set up so is still served, only later.
+    // Without TCP_NODELAY the connection still works, with a higher latency.
     let _ = stream.set_nodelay(true);
     let stream = Arc::new(stream);
     let open = cx.counters.open.with_label_values(&[&cx.listener]);
     open.inc();
     let activity = Arc::new(Activity::new());
-    let limits = cx.front.limits();
-    let kept = kept(limits.idle);
+    let limits = cx.handler.limits();
+    let keep_alive = keep_alive(limits.idle);
     let service = service_fn(|req| {
-        let kept = kept.clone();
-        answer(Arc::clone(&cx), Arc::clone(&activity), number, kept, req)
+        let keep_alive = keep_alive.clone();
+        answer(
+            Arc::clone(&cx),
+            Arc::clone(&activity),
+            number,
+            keep_alive,
+            req,
+        )
     });
     let socket = Socket::new(Arc::clone(&stream), Arc::clone(&activity));
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle)
-        .max_buf_size(limits.head.max(LEAST_BUF))
+        .max_buf_size(limits.head.max(MIN_BUF))
         .serve_connection(TokioIo::new(socket), service);
     let mut conn = std::pin::pin!(conn);
-    // Dropped before the connection, whose open requests it counts.
+    // Declared after `conn` so that it is dropped first: it logs the number of open requests.
     let mut end = End::new(&cx.listener, &cx.phase, &stream, &activity, number);
-    let look = || unread(&stream).unwrap_or(0);
+    let unread_len = || unread(&stream).unwrap_or(0);
     let (closing, ended) = tokio::select! {
         biased;
         ended = conn.as_mut() => (None, ended),
-        why = closable(&cx.phase, &activity, look) => (Some(why), Ok(())),
+        why = closable(&cx.phase, &activity, unread_len) => (Some(why), Ok(())),
     };
     let failure = ended.err().map(|e| e.to_string());
     let why = match closing {
@@ -87,38 +92,38 @@
     cx: Arc<Shared<F>>,
     activity: Arc<Activity>,
     number: ConnectionNumber,
-    kept: Option<HeaderValue>,
+    keep_alive: Option<HeaderValue>,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody<impl Answered>>, Infallible>
+) -> Result<Response<TrackedBody<impl ResponseBody>>, Infallible>
 where
-    F: Front,
+    F: Handler,
 {
-    let open = activity.begin();
-    let is_kept = keeps(&req);
+    let open = activity.on_request();
+    let is_keep_alive = allows_keep_alive(&req);
     let (mut parts, body) = req.into_parts();
     parts.extensions.insert(number);
     let body = RequestBody::new(body, Arc::clone(&open));
-    let mut response = cx.front.answer(Request::from_parts(parts, body)).await;
+    let mut response = cx.handler.answer(Request::from_parts(parts, body)).await;
     let headers = response.headers_mut();
     headers.remove(KEEP_ALIVE);
-    // The library closes a connection on which a body was not read to its end.
+    // The HTTP library closes a connection whose request body was not read to its end.
     if cx.phase.now() >= Phase::Leaving || !open.is_read() {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
-    } else if let Some(kept) = kept.filter(|_| is_kept) {
-        headers.insert(KEEP_ALIVE, kept);
+    } else if let Some(keep_alive) = keep_alive.filter(|_| is_keep_alive) {
+        headers.insert(KEEP_ALIVE, keep_alive);
     }
-    Ok(response.map(|body| AnswerBody::new(body, open)))
+    Ok(response.map(|body| TrackedBody::new(body, open)))
 }
 
-/// Returns how long callers are told that an idle connection is kept; none where that is under a second.
-fn kept(idle: Duration) -> Option<HeaderValue> {
-    let seconds = KEPT.min(idle).as_secs();
+/// Returns the value of the `Keep-Alive` header, or `None` if the idle time is under one second.
+fn keep_alive(idle: Duration) -> Option<HeaderValue> {
+    let seconds = KEEP_ALIVE_TIMEOUT.min(idle).as_secs();
     let text = (seconds > 0).then(|| format!("timeout={seconds}"))?;
     HeaderValue::try_from(text).ok()
 }
 
-/// Says whether the caller lets its connection be kept after `req`.
-fn keeps(req: &Request<Incoming>) -> bool {
+/// Returns whether the caller allows its connection to stay open after `req`.
+fn allows_keep_alive(req: &Request<Incoming>) -> bool {
     let has =
         |option| connection_options(req.headers()).any(|named| named.eq_ignore_ascii_case(option));
     if req.version() < Version::HTTP_11 {
@@ -128,28 +133,29 @@
     }
 }
 
-/// How a connection ended. Dropping it writes a line, also where the process ends before the connection does.
+/// Logs how a connection ended. The event is written on drop, so also if the process exits before the
+/// connection is closed.
 struct End<'a> {
     listener: &'a str,
     phase: &'a PhaseWatch,
     stream: &'a TcpStream,
     activity: &'a Activity,
     number: ConnectionNumber,
-    /// None while the connection is served.
+    /// `None` while the connection is served.
     closed: Option<Closed>,
-    /// Bytes that came after it was closed.
+    /// Bytes received after the connection was closed here.
     crossed: u64,
 }
 
-/// What a connection was as it was closed.
+/// State of a connection at the time it was closed.
 struct Closed {
     why: &'static str,
-    /// What failed.
+    /// Error text, empty if nothing failed.
     reason: String,
     requests: u64,
     open: u32,
     quiet_ms: u128,
-    /// Bytes that lay in the socket.
+    /// Bytes left in the receive buffer of the socket.
     unread: Option<u64>,
     phase: Phase,
 }
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Takes that the connection is served no more.
+    /// Records that the connection is no longer served.
     fn close(&mut self, why: &'static str, reason: String) {
         self.closed = Some(self.closed_now(why, reason));
     }
@@ -192,7 +198,7 @@
 }
 
 impl Drop for End<'_> {
-    /// Writes a line, but for a connection that ended in good order.
+    /// Logs the end of the connection, unless it was closed normally.
     fn drop(&mut self) {
         let closed = self.closed.take();
         let closed = closed.unwrap_or_else(|| self.closed_now("cut", String::new()));
@@ -201,7 +207,7 @@
             return;
         }
         let peer = self.stream.peer_addr().map(|peer| peer.to_string());
-        // A connection that was reset has no peer any more.
+        // A connection that was reset has no peer address.
         let peer = peer.unwrap_or_default();
         let unread = closed
             .unread
--- a/crates/serve/src/front.rs
+++ b/crates/serve/src/handler.rs
@@ -1,4 +1,4 @@
-//! What answers the requests of a server.
+//! Handlers of the requests of a server.
 
 use std::error::Error;
 use std::time::Duration;
@@ -12,44 +12,44 @@
 
 use crate::body::RequestBody;
 
-/// Time for which a connection may be idle, or take for a head, if nothing else is configured.
-const USUAL_IDLE: Duration = Duration::from_secs(60);
+/// Default time for which a connection can be idle, or take to send a head.
+const DEFAULT_IDLE: Duration = Duration::from_secs(60);
 
-/// Longest head if nothing else is configured, in bytes; what the HTTP library takes by itself.
-const USUAL_HEAD: usize = 408 * 1024;
+/// Default maximum size of a head; the default of the HTTP library.
+const DEFAULT_HEAD_BYTES: usize = 408 * 1024;
 
-/// Bounds of one connection.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest time for which the connection may be idle, or take for a head.
+    /// Longest time for which the connection can be idle, or take to send a head.
     pub idle: Duration,
-    /// Longest head, in bytes.
+    /// Maximum size of a head, in bytes.
     pub head: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            idle: USUAL_IDLE,
-            head: USUAL_HEAD,
+            idle: DEFAULT_IDLE,
+            head: DEFAULT_HEAD_BYTES,
         }
     }
 }
 
-/// The body of an answer.
-pub trait Answered:
+/// The body of a response.
+pub trait ResponseBody:
     Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Send + 'static
 {
 }
 
-impl<B> Answered for B where
+impl<B> ResponseBody for B where
     B: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Send + 'static
 {
 }
 
-/// What answers the requests of a server.
-pub trait Front: Send + Sync + 'static {
-    /// Returns the bounds of a connection that has just been accepted.
+/// Answers the requests of a server.
+pub trait Handler: Send + Sync + 'static {
+    /// Returns the limits of a connection that has just been accepted.
     fn limits(&self) -> Limits {
         Limits::default()
     }
@@ -58,17 +58,17 @@
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<Self>>> + Send + use<Self>;
+    ) -> impl Future<Output = Response<impl ResponseBody + use<Self>>> + Send + use<Self>;
 }
 
-/// Answers requests by a router.
+/// Handler that passes requests to a router.
 #[derive(Clone, Debug)]
 pub struct Routes {
     router: TowerToHyperService<Router>,
 }
 
 impl Routes {
-    /// Makes the front of `router`.
+    /// Creates a handler for `router`.
     pub fn new(router: Router) -> Self {
         Self {
             router: TowerToHyperService::new(router),
@@ -76,11 +76,11 @@
     }
 }
 
-impl Front for Routes {
+impl Handler for Routes {
     fn answer(
         &self,
         req: Request<RequestBody>,
-    ) -> impl Future<Output = Response<impl Answered + use<>>> + Send + use<> {
+    ) -> impl Future<Output = Response<impl ResponseBody + use<>>> + Send + use<> {
         let answering = self.router.call(req);
         async move {
             let Ok(response) = answering.await;
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,15 +1,16 @@
-//! Serves HTTP/1.1 connections, and ends them without losing a request.
+//! Serves HTTP/1.1 connections, and closes them without losing a request.
 //!
-//! A [`Server`] accepts connections on one listener and serves each with a [`Front`]. When its process
-//! is to end, it goes through the phases of a [`Phase`]; each connection, and the listener, writes one
-//! line that says how many requests it had, what was unread, and why it ended.
+//! A [`Server`] accepts connections on one listener and serves each with a [`Handler`]. When its process
+//! shuts down, the server goes through the phases of [`Phase`]. The listener logs one event when it is
+//! closed, and so does each connection that was not closed normally: how many requests it had, how many bytes
+//! were unread, and why it ended.
 
 mod activity;
 mod body;
 mod closing;
 mod connection;
 pub mod events;
-mod front;
+mod handler;
 mod handshakes;
 mod listener;
 mod metrics;
@@ -19,9 +20,9 @@
 mod socket;
 
 pub use body::RequestBody;
-pub use closing::LONGEST_UNUSED;
+pub use closing::MAX_IDLE;
 pub use connection::ConnectionNumber;
-pub use front::{Answered, Front, Limits, Routes};
+pub use handler::{Handler, Limits, ResponseBody, Routes};
 pub use metrics::ConnectionCounters;
 pub use options::connection_options;
 pub use phase::Phase;
--- a/crates/serve/src/listener.rs
+++ b/crates/serve/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections until the listener is closed.
 
 use std::io;
 use std::sync::Arc;
@@ -12,24 +12,25 @@
 
 use crate::connection::{ConnectionNumber, serve};
 use crate::events;
-use crate::front::Front;
+use crate::handler::Handler;
 use crate::handshakes::refuse_handshakes;
 use crate::phase::Phase;
 use crate::server::Shared;
 
-/// Pause after a connection could not be accepted, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, for example without free file descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Tries to take a connection of the backlog that fails, as when descriptors have run out.
+/// How many failed accepts are retried while the backlog is emptied, for example without free file
+/// descriptors.
 const BACKLOG_TRIES: u32 = 50;
 
-/// How long handshakes that are under way are waited for as the listener closes: some round trips.
-pub(crate) const HANDSHAKE: Duration = Duration::from_millis(30);
+/// Time to wait for handshakes in progress before the listener closes: several round trips.
+pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Accepts connections until the server closes its listener.
 pub(crate) async fn accept<F>(cx: Arc<Shared<F>>, listener: Arc<TcpListener>, tasks: TaskTracker)
 where
-    F: Front,
+    F: Handler,
 {
     let begin = |stream: TcpStream| {
         cx.accepted.send_modify(|count| *count += 1);
@@ -46,12 +47,12 @@
             Err(e) => {
                 let reason = e.to_string();
                 events::ACCEPT_FAILED.emit(&[("listener", &cx.listener), ("reason", &reason)]);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
-    // Handshakes have been waited for already where the server was quiet before.
-    let wait = (!cx.refuses.load(Ordering::Relaxed)).then_some(HANDSHAKE);
+    // `Server::quiet` has already waited for the handshakes if it refuses new ones.
+    let wait = (!cx.refuses_handshakes.load(Ordering::Relaxed)).then_some(HANDSHAKE_TIMEOUT);
     let taken = take_backlog(&listener, wait, begin).await;
     drop(listener);
     let accepted = cx.accepted.borrow().to_string();
@@ -62,8 +63,8 @@
     ]);
 }
 
-/// Takes the connections that the kernel has accepted, which the close of the listener would reset, and those
-/// whose handshake ends within `wait`; returns how many these were.
+/// Accepts the connections in the backlog, which closing the listener would reset, and those whose handshake
+/// completes within `wait`. Returns how many connections were accepted.
 async fn take_backlog<F>(listener: &TcpListener, wait: Option<Duration>, begin: F) -> u64
 where
     F: Fn(TcpStream),
@@ -80,7 +81,7 @@
     }
     let mut tries_left = BACKLOG_TRIES;
     loop {
-        // The kernel is asked itself: the runtime may not have heard of a connection yet.
+        // Calls accept on the socket itself: the runtime may not have been notified of a connection yet.
         let accepted = SockRef::from(listener).accept().and_then(|(socket, _)| {
             socket.set_nonblocking(true)?;
             TcpStream::from_std(socket.into())
@@ -91,10 +92,10 @@
                 begin(stream);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return taken,
-            // Connections that end give their descriptors back.
+            // Connections that are closed in the meantime free their descriptors.
             Err(_) if tries_left > 0 => {
                 tries_left -= 1;
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
             Err(_) => return taken,
         }
--- a/crates/serve/tests/drain.rs
+++ b/crates/serve/tests/drain.rs
@@ -1,21 +1,21 @@
-//! No request is lost when a server ends.
+//! No request is lost when a server shuts down.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{Caller, GET, Sleepy, server};
+use common::{Caller, DelayedHandler, GET, server};
 use rstest::rstest;
 use wagtailreel_serve::Phase;
 
-/// A request that lies in the socket of a kept connection when the connections are closed.
+/// A request that is unread in the socket of an idle connection at the shutdown is answered.
 #[rstest]
 #[case::closing(Phase::Closing)]
 #[case::ending(Phase::Ending)]
 #[tokio::test]
 async fn unread_request(#[case] phase: Phase) {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     assert_eq!(caller.answer().await.status, 200);
@@ -27,13 +27,14 @@
     server.server.ended().await;
 }
 
-/// A connection on which nothing was read yet, with its request in the socket or just behind it.
+/// The first request of a new connection is answered, whether sent just before or just after the shutdown
+/// begins.
 #[rstest]
 #[case::sent(true)]
 #[case::under_way(false)]
 #[tokio::test]
 async fn new_connection(#[case] is_sent: bool) {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     server.accepted(1).await;
     if is_sent {
@@ -49,14 +50,14 @@
     server.server.ended().await;
 }
 
-/// Connections that the kernel has accepted and the server has not.
+/// Connections in the backlog of the kernel are served.
 #[tokio::test]
 async fn backlog() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     server.settle().await;
     let mut callers = Vec::new();
     for _ in 0..5 {
-        // Without a pause in which the server could accept it.
+        // Does not yield, so the server can't accept the connection yet.
         let mut caller = Caller::connect_at_once(server.addr);
         caller.send(GET);
         callers.push(caller);
@@ -69,10 +70,10 @@
     server.server.ended().await;
 }
 
-/// An answer that began before its caller could be told that the connection ends.
+/// A connection stays usable if its response head was sent before the shutdown, without `Connection: close`.
 #[tokio::test]
 async fn answer_without_notice() {
-    let mut server = server(Sleepy::new(Duration::from_millis(300))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_millis(300))).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     let head = caller.head().await;
@@ -87,29 +88,29 @@
     server.server.ended().await;
 }
 
-/// A connection is closed only once it was idle for longer than callers were told that it is kept.
+/// An idle connection is closed only after the time announced in `Keep-Alive`.
 #[tokio::test]
 async fn idle_connection() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     caller.send(GET);
     let answer = caller.answer().await;
     let kept = answer
         .keep_alive
-        .expect("callers are told how long a connection is kept");
+        .expect("the response has a Keep-Alive header");
     let since = Instant::now();
     server.server.enter(Phase::Leaving);
     server.server.enter(Phase::Closing);
     caller.ended().await;
     let after = since.elapsed();
-    assert!(after > kept, "closed after {after:?}, kept for {kept:?}");
+    assert!(after > kept, "closed after {after:?}, announced {kept:?}");
     server.server.ended().await;
 }
 
-/// Bytes that nobody reads don't reset the connection before the last answer is read.
+/// Unread bytes in the socket do not reset the connection before the caller reads the last response.
 #[tokio::test]
 async fn last_answer() {
-    let mut server = server(Sleepy::default()).await;
+    let mut server = server(DelayedHandler::default()).await;
     let mut caller = Caller::connect(server.addr).await;
     server.server.enter(Phase::Leaving);
     caller.send(GET);
@@ -123,10 +124,11 @@
     server.server.ended().await;
 }
 
-/// The process is about to end: connections are closed whatever callers were told, but no request is.
+/// In `Phase::Ending` idle connections are closed before their announced time, but requests are still
+/// answered.
 #[tokio::test]
-async fn last_moment() {
-    let mut server = server(Sleepy::new(Duration::from_millis(200))).await;
+async fn ending_phase() {
+    let mut server = server(DelayedHandler::new(Duration::from_millis(200))).await;
     let mut idle = Caller::connect(server.addr).await;
     let mut busy = Caller::connect(server.addr).await;
     server.accepted(2).await;
@@ -139,10 +141,10 @@
     server.server.ended().await;
 }
 
-/// While callers come, the listener stays open; a handshake that crosses its close is reset.
+/// The listener stays open while callers connect: closing it resets handshakes in progress.
 #[tokio::test]
 async fn not_quiet() {
-    let mut server = server(Sleepy::new(Duration::from_millis(300))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_millis(300))).await;
     let mut early = Caller::connect(server.addr).await;
     early.send(GET);
     let head = early.head().await;
@@ -167,10 +169,10 @@
     server.server.ended().await;
 }
 
-/// A stream that is still under way does not hold the listener open until callers come again.
+/// An open stream does not keep the server from counting as quiet.
 #[tokio::test]
 async fn quiet_beside_stream() {
-    let mut server = server(Sleepy::new(Duration::from_secs(60))).await;
+    let mut server = server(DelayedHandler::new(Duration::from_secs(60))).await;
     let mut stream = Caller::connect(server.addr).await;
     stream.send(GET);
     stream.head().await;
@@ -182,10 +184,10 @@
     server.server.ended().await;
 }
 
-/// Callers that come a few times a second are seen before the listener closes.
+/// The server does not count as quiet between callers that connect a few times per second.
 #[tokio::test]
 async fn quiet_between_callers() {
-    let server = server(Sleepy::default()).await;
+    let server = server(DelayedHandler::default()).await;
     server.server.enter(Phase::Leaving);
     let mut quiet = std::pin::pin!(server.server.quiet());
     let mut ticks = tokio::time::interval(Duration::from_millis(180));
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -1,4 +1,4 @@
-//! Lines on standard output that never hold up whoever writes them.
+//! Non-blocking log lines on standard output.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,26 +6,27 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that wait for standard output. At 400 bytes a line they hold 400 KB.
-const MOST_WAITING: usize = 1024;
+/// Maximum number of lines queued for standard output: 400 KB at 400 bytes per line.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Lines in a second. An entry that answers 100 requests a second, each with two lines, stays
-/// below; what a storm of failures writes beyond it is counted and left out.
-const MOST_PER_SECOND: u32 = 400;
+/// Maximum number of lines per second. An entry that answers 100 requests per second, with two lines each,
+/// stays below. Lines over the limit, as after many failures at once, are counted and dropped.
+const MAX_LINES_PER_SECOND: u32 = 400;
 
-/// Longest wait at the end of a process for lines that are not written yet. A reader of standard
-/// output that is stuck holds up the end no longer; the shortest grace that is configured is 8 s.
-const LAST_LINES: Duration = Duration::from_secs(1);
+/// Longest wait at the exit of a process for lines that are not written yet.
+///
+/// A stuck reader of standard output must not use up the grace period; the shortest one configured is 8 s.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Lines that were left out since the start.
+/// Number of lines dropped since the process started.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines were left out since the process started.
+/// Returns how many lines were dropped since the process started.
 pub fn lines_dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// The lines of the second under way.
+/// Rate limit of lines, counted in windows of one second.
 #[derive(Debug)]
 struct Budget {
     since: Instant,
@@ -39,14 +40,14 @@
             self.lines = 0;
         }
         self.lines = self.lines.saturating_add(1);
-        self.lines <= MOST_PER_SECOND
+        self.lines <= MAX_LINES_PER_SECOND
     }
 }
 
-/// How far the thread that writes has come.
+/// Progress of the writer thread.
 #[derive(Debug, Default)]
 struct Progress {
-    taken: AtomicU64,
+    queued: AtomicU64,
     written: Mutex<u64>,
     changed: Condvar,
 }
@@ -58,19 +59,20 @@
         self.changed.notify_all();
     }
 
-    /// Waits until all lines that were taken so far are written, or `longest` has passed.
-    fn wait(&self, longest: Duration) {
-        let taken = self.taken.load(Ordering::Acquire);
+    /// Waits until all lines that were taken so far are written, or `timeout` has passed.
+    fn wait(&self, timeout: Duration) {
+        let queued = self.queued.load(Ordering::Acquire);
         let written = self.written.lock().unwrap_or_else(PoisonError::into_inner);
-        // After the bound the rest is lost: nobody reads standard output.
+        // After the time-out the rest is lost: standard output is not being read.
         let _ = self
             .changed
-            .wait_timeout_while(written, longest, |written| *written < taken);
+            .wait_timeout_while(written, timeout, |written| *written < queued);
     }
 }
 
-/// Keeps the last lines of a process: when it is dropped, at an orderly end as well as by a panic,
-/// it waits until the lines that were taken are written.
+/// Guard that flushes the last lines of a process.
+///
+/// On drop, at a normal exit as well as by a panic, the guard waits until the queued lines are written.
 #[derive(Debug, Default)]
 #[must_use = "the last lines are lost if the guard is dropped before the process has done its work"]
 pub struct LogGuard {
@@ -82,34 +84,34 @@
         let Some((tx, progress)) = self.lines.take() else {
             return;
         };
-        // Wakes the thread, so that it also tells of lines that were left out last. A full queue
-        // wakes it as well.
+        // Wakes the writer thread so that it also reports the lines dropped last. If the queue is full,
+        // the thread is awake already.
         if tx.try_send(Vec::new()).is_ok() {
-            progress.taken.fetch_add(1, Ordering::Release);
+            progress.queued.fetch_add(1, Ordering::Release);
         }
-        progress.wait(LAST_LINES);
+        progress.wait(FLUSH_TIMEOUT);
     }
 }
 
-/// Hands lines to a thread that writes them; leaves out what is too much.
+/// Writer that queues lines for a thread, and drops lines over the limits.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LogWriter {
     tx: SyncSender<Vec<u8>>,
     progress: Arc<Progress>,
     budget: Budget,
 }
 
-impl Lines {
-    /// Starts the thread that writes to `out`, and returns the guard of the last lines with it.
+impl LogWriter {
+    /// Starts the thread that writes to `out`. Returns the writer and the guard that flushes the last lines.
     ///
     /// # Errors
     ///
-    /// Returns what the system says if the thread can't be started.
+    /// Returns the system's error if the thread can't be started.
     pub fn start<W>(out: W) -> io::Result<(Self, LogGuard)>
     where
         W: Write + Send + 'static,
     {
-        let (tx, rx) = sync_channel(MOST_WAITING);
+        let (tx, rx) = sync_channel(MAX_QUEUED_LINES);
         let progress = Arc::new(Progress::default());
         let done = Arc::clone(&progress);
         std::thread::Builder::new()
@@ -131,7 +133,7 @@
     }
 }
 
-impl Write for Lines {
+impl Write for LogWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if !self.budget.allows(Instant::now()) {
             DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -139,7 +141,7 @@
         }
         match self.tx.try_send(buf.to_vec()) {
             Ok(()) => {
-                self.progress.taken.fetch_add(1, Ordering::Release);
+                self.progress.queued.fetch_add(1, Ordering::Release);
             }
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -153,12 +155,12 @@
     }
 }
 
-/// Writes lines as they come, several at once if several wait; tells how many were left out.
+/// Writes queued lines, several at once if several wait, and reports how many were dropped.
 fn write_all<W>(rx: &Receiver<Vec<u8>>, mut out: W, progress: &Progress)
 where
     W: Write,
 {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(mut buf) = rx.recv() {
         let mut lines = 1;
         while let Ok(more) = rx.try_recv() {
@@ -166,13 +168,13 @@
             lines += 1;
         }
         let dropped = lines_dropped();
-        if dropped > told {
-            told = dropped;
+        if dropped > reported {
+            reported = dropped;
             buf.extend_from_slice(
                 format!("{{\"message\":\"lines-left-out\",\"total\":{dropped}}}\n").as_bytes(),
             );
         }
-        // Where the output is gone there is nobody to tell.
+        // A failed write has no other place to be reported.
         let _ = out.write_all(&buf).and_then(|()| out.flush());
         progress.add_written(lines);
     }
