--- a/crates/wire/tests/round_trip.rs
+++ b/crates/wire/tests/round_trip.rs
@@ -217,12 +217,12 @@
 #[rstest]
 #[case::address(|to: &mut wire::report::Builder<'_>| to.set_data("nowhere"), "`data` is `nowhere`")]
 #[case::digest(|to: &mut wire::report::Builder<'_>| to.set_open_weights(&[1, 2]), "has 2 bytes")]
-fn bad_field(#[case] spoil: fn(&mut wire::report::Builder<'_>), #[case] message: &str) {
+fn bad_field(#[case] corrupt: fn(&mut wire::report::Builder<'_>), #[case] message: &str) {
     let error = over_wire::<wire::report::Owned, _>(
         |to| {
             let mut root = to.init_root();
             write_report(&report(true), root.reborrow());
-            spoil(&mut root);
+            corrupt(&mut root);
         },
         |from| read_report(from).unwrap_err(),
     );
