--- a/crates/control/tests/demand.rs
+++ b/crates/control/tests/demand.rs
@@ -14,19 +14,19 @@
     BTreeMap::from([(SERVICE.to_owned(), customers)])
 }
 
-fn heard(by: &Entry) -> DemandViews {
+fn demands_at(by: &Entry) -> DemandViews {
     let views = by.control.demands();
     Arc::clone(&views.borrow())
 }
 
-fn hears(by: &Entry, of: &str, rate: f64) -> bool {
-    heard(by)
+fn has_demand(by: &Entry, of: &str, rate: f64) -> bool {
+    demands_at(by)
         .get(of)
         .is_some_and(|view| view.demand == demand(rate))
 }
 
-fn last(by: &Entry, of: &str) -> Instant {
-    heard(by)[of].received
+fn received_at(by: &Entry, of: &str) -> Instant {
+    demands_at(by)[of].received
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -44,26 +44,29 @@
         entries.iter().all(|by| {
             let others = [1.0, 2.0, 3.0].into_iter().zip(&entries);
             let mut others = others.filter(|(_, of)| of.vm.vm != by.vm.vm);
-            others.all(|(rate, of)| hears(by, &of.vm.vm, rate)) && heard(by).len() == 2
+            others.all(|(rate, of)| has_demand(by, &of.vm.vm, rate)) && demands_at(by).len() == 2
         })
     })
     .await;
     let there = &entries[2];
     // Demand that stays the same is heard again all the same.
-    let before = last(there, "qh-e2");
-    until("the same is heard later", || last(there, "qh-e2") > before).await;
+    let before = received_at(there, "qh-e2");
+    until("the same is heard later", || {
+        received_at(there, "qh-e2") > before
+    })
+    .await;
     // Of a data centre that is cut off the last word stays, with its time.
     entries[0].control.stop();
     entries[1].control.stop();
-    let mut cut = last(there, "qh-e2");
+    let mut cut = received_at(there, "qh-e2");
     let mut since = Instant::now();
     until("nothing more is heard", || {
-        let now = last(there, "qh-e2");
+        let now = received_at(there, "qh-e2");
         if now > cut {
             (cut, since) = (now, Instant::now());
         }
         since.elapsed().as_secs() >= 2
     })
     .await;
-    assert!(hears(there, "qh-e2", 2.0));
+    assert!(has_demand(there, "qh-e2", 2.0));
 }
--- a/crates/control/tests/fleet/mod.rs
+++ b/crates/control/tests/fleet/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) const THERE: &str = "guayaquil-hall";
 pub(crate) const LEASE: Duration = Duration::from_millis(800);
 /// Bound on every wait.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -213,7 +213,7 @@
 pub(crate) async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "not in time: {what}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -10,7 +10,7 @@
 use wagtailreel_control::pull_state;
 use wagtailreel_core::*;
 
-const PULL: Duration = Duration::from_secs(10);
+const PULL_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn peer_learns() {
@@ -22,7 +22,9 @@
     until("the state is learned", || *learned.borrow() == state(10, 1)).await;
     // A lower state reverts nothing.
     behind.control.set_state(state(5, 1));
-    let pulled = pull_state(behind.control.addr(), PULL).await.unwrap();
+    let pulled = pull_state(behind.control.addr(), PULL_TIMEOUT)
+        .await
+        .unwrap();
     assert_eq!(pulled, state(10, 1));
 }
 
@@ -36,7 +38,7 @@
     })
     .await;
     for addr in [entry.control.addr(), agent.control.addr()] {
-        assert_eq!(pull_state(addr, PULL).await.unwrap(), state(10, 1));
+        assert_eq!(pull_state(addr, PULL_TIMEOUT).await.unwrap(), state(10, 1));
     }
 }
 
@@ -50,7 +52,7 @@
         .unwrap_err();
     assert!(error.to_string().contains("did not answer within 50 ms"));
     drop(silent);
-    let error = pull_state(addr, PULL).await.unwrap_err();
+    let error = pull_state(addr, PULL_TIMEOUT).await.unwrap_err();
     assert!(error.to_string().contains("can't connect"));
 }
 
