--- a/crates/control/src/agent/reporter.rs
+++ b/crates/control/src/agent/reporter.rs
@@ -29,7 +29,7 @@
 
 /// What the agent has seen of one entry over the present connection.
 #[derive(Default)]
-struct Memory {
+struct ConnectionState {
     seen: Cell<Seen>,
     peers: RefCell<Vec<VmEntry>>,
 }
@@ -39,16 +39,16 @@
     shell: Rc<Shell>,
     vm: VmId,
     link: Link<entry::Client>,
-    memory: Memory,
+    state: ConnectionState,
 }
 
 /// A reporter's tasks; they end when this is dropped.
-struct Running {
+struct ReporterTasks {
     addr: SocketAddr,
     tasks: [JoinHandle<()>; 2],
 }
 
-impl Drop for Running {
+impl Drop for ReporterTasks {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -59,7 +59,7 @@
 /// Reports to each of the entries that are set, until no handle is left.
 pub(crate) async fn run_reporters(shell: Rc<Shell>) {
     let mut entries = shell.entries();
-    let mut running: BTreeMap<VmId, Running> = BTreeMap::new();
+    let mut running: BTreeMap<VmId, ReporterTasks> = BTreeMap::new();
     loop {
         let wanted: BTreeMap<VmId, SocketAddr> =
             entries.borrow_and_update().iter().cloned().collect();
@@ -75,19 +75,19 @@
     }
 }
 
-fn start(shell: &Rc<Shell>, vm: &VmId, addr: SocketAddr) -> Running {
+fn start(shell: &Rc<Shell>, vm: &VmId, addr: SocketAddr) -> ReporterTasks {
     let link = Link::new(vm.clone(), addr, MAX_BACKOFF, shell.metrics().clone());
     let reporter = Rc::new(Reporter {
         shell: Rc::clone(shell),
         vm: vm.clone(),
         link,
-        memory: Memory::default(),
+        state: ConnectionState::default(),
     });
-    Running {
+    ReporterTasks {
         addr,
         tasks: [
             spawn_local(send_reports(Rc::clone(&reporter))),
-            spawn_local(watch_for_news(reporter)),
+            spawn_local(watch_entry(reporter)),
         ],
     }
 }
@@ -127,7 +127,7 @@
 }
 
 /// Keeps one hanging call at the entry, so that its news come without delay.
-async fn watch_for_news(reporter: Rc<Reporter>) {
+async fn watch_entry(reporter: Rc<Reporter>) {
     let mut reports = reporter.shell.reports();
     loop {
         reporter.wait_for_link().await;
@@ -139,7 +139,7 @@
         };
         if reporter.watch(&vm, incarnation).await.is_err() {
             // What was seen may be of another start of the entry.
-            reporter.forget();
+            reporter.reset_state();
         }
     }
 }
@@ -153,13 +153,13 @@
 impl Reporter {
     /// Waits out the pause after a failure.
     async fn wait_for_link(&self) {
-        while let Some(until) = self.link.pause() {
+        while let Some(until) = self.link.retry_at() {
             sleep_until(until.into()).await;
         }
     }
 
     async fn report(&self, report: &Report) -> Result<(), ControlError> {
-        let seen = self.memory.seen.get();
+        let seen = self.state.seen.get();
         // Taken before anything is sent: the lease of the answer runs from here.
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
@@ -176,12 +176,12 @@
             Ok(read_directive(response.get_directive()?)?)
         };
         let message = self.link.call(REPORT_TIMEOUT, call).await?;
-        self.take(sent_at, message);
+        self.on_directive(sent_at, message);
         Ok(())
     }
 
     async fn watch(&self, vm: &str, incarnation: u64) -> Result<(), ControlError> {
-        let seen = self.memory.seen.get();
+        let seen = self.state.seen.get();
         let wait = self.shell.cfg.report_every;
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
@@ -201,18 +201,18 @@
             Ok(read_directive(response.get_directive()?)?)
         };
         let message = self.link.call(wait + WATCH_SLACK, call).await?;
-        self.take(sent_at, message);
+        self.on_directive(sent_at, message);
         Ok(())
     }
 
     /// Hands a directive to the agent, with the whole list of peers, and notes what was seen.
-    fn take(&self, sent_at: Instant, message: DirectiveMessage) {
+    fn on_directive(&self, sent_at: Instant, message: DirectiveMessage) {
         let DirectiveMessage {
             mut directive,
             peers_version,
             has_peers,
         } = message;
-        let before = self.memory.seen.get();
+        let before = self.state.seen.get();
         let mut seen = Seen {
             close_below: directive.close_below,
             open: directive.open,
@@ -221,10 +221,10 @@
             peers_version: before.peers_version,
         };
         if has_peers {
-            self.memory.peers.replace(directive.peers);
+            self.state.peers.replace(directive.peers);
             seen.peers_version = peers_version;
         }
-        directive.peers = self.memory.peers.borrow().clone();
+        directive.peers = self.state.peers.borrow().clone();
         if let Some(state) = &directive.state {
             seen.revision = seen.revision.max(state.revision);
         }
@@ -235,12 +235,12 @@
         });
         // What the agent didn't take is to be sent again.
         if taken {
-            self.memory.seen.set(seen);
+            self.state.seen.set(seen);
         }
     }
 
-    fn forget(&self) {
-        self.memory.seen.set(Seen::default());
-        self.memory.peers.replace(Vec::new());
+    fn reset_state(&self) {
+        self.state.seen.set(Seen::default());
+        self.state.peers.replace(Vec::new());
     }
 }
--- a/crates/control/src/counted.rs
+++ b/crates/control/src/counted.rs
@@ -13,13 +13,13 @@
 
 /// A TCP stream that counts what goes through it.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedStream {
     stream: Compat<TcpStream>,
     bytes_in: IntCounter,
     bytes_out: IntCounter,
 }
 
-impl Counted {
+impl CountedStream {
     pub(crate) fn new(stream: TcpStream, metrics: &Metrics) -> Self {
         // Messages are small and wait for answers. Without the option they only come later.
         let _ = stream.set_nodelay(true);
@@ -31,7 +31,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -43,7 +43,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/control/src/entry/publish.rs
+++ b/crates/control/src/entry/publish.rs
@@ -11,7 +11,7 @@
 use super::{AgentViews, DemandViews};
 
 /// Time between publications of what may wait: load and counts.
-const PUBLISH_EVERY: Duration = Duration::from_millis(20);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The ends that the control thread writes to.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
     loop {
         tokio::select! {
             () = shell.publish_due() => {}
-            () = sleep(PUBLISH_EVERY) => {}
+            () = sleep(PUBLISH_INTERVAL) => {}
         }
         shell.publish_agents();
     }
--- a/crates/control/src/entry/remote.rs
+++ b/crates/control/src/entry/remote.rs
@@ -17,9 +17,9 @@
 use crate::metrics::Kind;
 
 /// Time between questions to each other data centre.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest time for an answer; below the time between questions, so that they don't pile up.
-const ASK_TIMEOUT: Duration = Duration::from_millis(450);
+const POLL_TIMEOUT: Duration = Duration::from_millis(450);
 /// Longest pause between attempts to connect to an entry of another data centre.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
@@ -31,12 +31,12 @@
     let links: RefCell<EntryLinks> = RefCell::default();
     // Which entry of a data centre is asked; it moves on when that one fails.
     let mut turns: BTreeMap<DataCentre, usize> = BTreeMap::new();
-    let mut ticks = interval(ASK_EVERY);
+    let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let remote = shell.remote_entries();
-        forget_links(&mut links.borrow_mut(), &remote);
+        prune_links(&mut links.borrow_mut(), &remote);
         let asked = remote.iter().map(|(data_centre, entries)| {
             let turn = turns.get(data_centre).copied().unwrap_or(0) % entries.len().max(1);
             let link = entries
@@ -45,7 +45,7 @@
             let shell = &shell;
             async move {
                 let answered = match link {
-                    Some(link) => ask(shell, &link).await,
+                    Some(link) => poll_entry(shell, &link).await,
                     None => true,
                 };
                 (data_centre.clone(), if answered { turn } else { turn + 1 })
@@ -56,7 +56,7 @@
     }
 }
 
-fn forget_links(links: &mut EntryLinks, remote: &BTreeMap<DataCentre, Vec<VmEntry>>) {
+fn prune_links(links: &mut EntryLinks, remote: &BTreeMap<DataCentre, Vec<VmEntry>>) {
     let known: BTreeMap<&VmId, &VmEntry> = remote
         .values()
         .flatten()
@@ -84,8 +84,8 @@
 }
 
 /// Asks an entry for its agents. Returns whether it answered.
-async fn ask(shell: &Shell, link: &Link<entry::Client>) -> bool {
-    if link.pause().is_some() {
+async fn poll_entry(shell: &Shell, link: &Link<entry::Client>) -> bool {
+    if link.retry_at().is_some() {
         return false;
     }
     let call = |client: entry::Client| async move {
@@ -104,7 +104,7 @@
             .collect::<Result<Vec<_>, _>>()?;
         Ok((agents, demands))
     };
-    let result: Result<Answer, ControlError> = link.call(ASK_TIMEOUT, call).await;
+    let result: Result<Answer, ControlError> = link.call(POLL_TIMEOUT, call).await;
     match result {
         Ok((agents, demands)) => {
             shell.on_remote_agents(agents);
--- a/crates/control/src/entry/rounds.rs
+++ b/crates/control/src/entry/rounds.rs
@@ -19,31 +19,31 @@
 use crate::metrics::Kind;
 
 /// Shortest time between rounds that changes call for, so that changes gather.
-const MIN_GAP: Duration = Duration::from_millis(1);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(1);
 /// Calls to one peer that may be under way at once. More than one, because a lost call must not
 /// keep the next round from reaching the peer.
-const MAX_CALLS: u32 = 4;
+const MAX_CALLS_PER_PEER: u32 = 4;
 /// Longest time that a peer may take to hand over its configuration.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Calls to one peer.
 struct PeerCalls {
     link: Rc<Link<entry::Client>>,
-    under_way: Rc<Cell<u32>>,
+    in_flight: Rc<Cell<u32>>,
     pulling: Rc<Cell<bool>>,
 }
 
 /// Counts itself among what is under way, until it is dropped.
-struct Guard(Rc<Cell<u32>>);
+struct InFlightGuard(Rc<Cell<u32>>);
 
-impl Guard {
+impl InFlightGuard {
     fn new(count: &Rc<Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
     }
 }
 
-impl Drop for Guard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -62,7 +62,7 @@
         for peer in peers.borrow().values() {
             start_call(&mut calls, &shell, peer, started);
         }
-        sleep(MIN_GAP).await;
+        sleep(MIN_ROUND_INTERVAL).await;
         let next = started + every;
         loop {
             tokio::select! {
@@ -88,7 +88,7 @@
             let link = Link::new(vm, addr, max_backoff, shell.metrics().clone());
             PeerCalls {
                 link: Rc::new(link),
-                under_way: Rc::default(),
+                in_flight: Rc::default(),
                 pulling: Rc::default(),
             }
         });
@@ -96,10 +96,10 @@
 }
 
 fn start_call(calls: &mut JoinSet<()>, shell: &Rc<Shell>, peer: &PeerCalls, started: Instant) {
-    if peer.under_way.get() >= MAX_CALLS || peer.link.pause().is_some() {
+    if peer.in_flight.get() >= MAX_CALLS_PER_PEER || peer.link.retry_at().is_some() {
         return;
     }
-    let guard = Guard::new(&peer.under_way);
+    let guard = InFlightGuard::new(&peer.in_flight);
     let shell = Rc::clone(shell);
     let link = Rc::clone(&peer.link);
     let pulling = Rc::clone(&peer.pulling);
@@ -151,6 +151,6 @@
     let result: Result<StateView, ControlError> = link.call(PULL_TIMEOUT, call).await;
     // A failure is no loss: the next round sees the peer ahead again.
     if let Ok(state) = result {
-        shell.learn(link.vm(), &state);
+        shell.merge_state(link.vm(), &state);
     }
 }
--- a/crates/control/src/entry/server.rs
+++ b/crates/control/src/entry/server.rs
@@ -30,7 +30,7 @@
 
 impl EntryServer {
     /// Answers a hanging call once there is news, or after `wait`.
-    async fn wait_for_news(
+    async fn wait_for_change(
         &self,
         vm: VmId,
         incarnation: u64,
@@ -38,7 +38,7 @@
         wait: Duration,
     ) -> DirectiveMessage {
         // Subscribed before the first look, so that no change between the two is missed.
-        let mut news = self.shell.news();
+        let mut directive_changes = self.shell.directive_changes();
         // A lease runs from when the agent sent the call: the wait has to leave most of it.
         let wait = wait.min(self.shell.timing().lease() / 4);
         let deadline = Instant::now() + wait;
@@ -49,11 +49,14 @@
         loop {
             let (message, differs) = self.shell.directive(&vm, &service, &seen);
             if differs {
-                return self.shell.granted(message);
+                return self.shell.count_grant(message);
             }
-            if timeout_at(deadline.into(), news.changed()).await.is_err() {
+            if timeout_at(deadline.into(), directive_changes.changed())
+                .await
+                .is_err()
+            {
                 let (message, _) = self.shell.directive(&vm, &service, &seen);
-                return self.shell.granted(message);
+                return self.shell.count_grant(message);
             }
         }
     }
@@ -102,7 +105,7 @@
         let seen = read_seen(params.get_seen()?);
         let wait = Duration::from_micros(params.get_wait_micros());
         let message = self
-            .wait_for_news(vm, params.get_incarnation(), seen, wait)
+            .wait_for_change(vm, params.get_incarnation(), seen, wait)
             .await;
         write_directive(&message, results.get().init_directive())?;
         let words = results.get().into_reader().total_size()?.word_count;
@@ -131,13 +134,13 @@
         _: entry::AgentsParams,
         mut results: entry::AgentsResults,
     ) -> Result<(), Error> {
-        let demands = self.shell.own_demands();
+        let demands = self.shell.local_demands();
         let length = u32::try_from(demands.len()).unwrap_or(u32::MAX);
         let mut list = results.get().init_entries(length);
         for (index, it) in (0..length).zip(&demands) {
             write_entry_demand(&it.vm, &it.demand, it.age, list.reborrow().get(index));
         }
-        let agents = self.shell.own_agents();
+        let agents = self.shell.local_agents();
         let length = u32::try_from(agents.len()).unwrap_or(u32::MAX);
         let mut list = results.get().init_agents(length);
         for (index, (report, age)) in (0..length).zip(&agents) {
--- a/crates/control/src/entry/shell.rs
+++ b/crates/control/src/entry/shell.rs
@@ -23,11 +23,11 @@
 use crate::urgent::is_urgent;
 
 /// How long an agent that fell silent stays in the published map.
-const FORGET_AGENT: Duration = Duration::from_secs(60);
+const AGENT_TTL: Duration = Duration::from_secs(60);
 
 /// How long the demand of an entry that fell silent stays published. Who deals shares by it keeps
 /// the last share of such an entry by itself.
-const FORGET_DEMAND: Duration = Duration::from_secs(60);
+const DEMAND_TTL: Duration = Duration::from_secs(60);
 
 /// Links to entries, by VM.
 pub(crate) type EntryLinks = BTreeMap<VmId, Rc<Link<entry::Client>>>;
@@ -59,7 +59,7 @@
     /// The entries of this data centre among them, whose demand other data centres are told.
     demands_here: RefCell<BTreeSet<VmId>>,
     /// Counts up to wake the agents' hanging calls.
-    news: watch::Sender<u64>,
+    directive_changes: watch::Sender<u64>,
     round_due: Notify,
     publish_due: Notify,
 }
@@ -93,7 +93,7 @@
             demand: RefCell::default(),
             demands: RefCell::default(),
             demands_here: RefCell::default(),
-            news: watch::Sender::new(0),
+            directive_changes: watch::Sender::new(0),
             round_due: Notify::new(),
             publish_due: Notify::new(),
         }
@@ -122,17 +122,17 @@
     }
 
     /// Returns the channel that changes when hanging calls have to look again.
-    pub(crate) fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub(crate) fn directive_changes(&self) -> watch::Receiver<u64> {
+        self.directive_changes.subscribe()
     }
 
     pub(crate) fn set_state(&self, state: &StateView) {
-        self.act(|opener, now| opener.on_state(now, state));
+        self.apply(|opener, now| opener.on_state(now, state));
     }
 
     /// Takes in configuration that a peer gave, and hands it to the entry's fold.
-    pub(crate) fn learn(&self, from: &str, state: &StateView) {
-        if !self.act(|opener, now| opener.on_state(now, state)) {
+    pub(crate) fn merge_state(&self, from: &str, state: &StateView) {
+        if !self.apply(|opener, now| opener.on_state(now, state)) {
             return;
         }
         let offset = state.offset.to_string();
@@ -146,7 +146,7 @@
 
     pub(crate) fn set_entries(&self, entries: &[VmEntry]) {
         *self.entries.borrow_mut() = entries.to_vec();
-        self.act(|opener, now| opener.on_entries(now, entries));
+        self.apply(|opener, now| opener.on_entries(now, entries));
         self.round_due.notify_one();
     }
 
@@ -163,7 +163,7 @@
     }
 
     pub(crate) fn set_vms(&self, vms: &[VmEntry]) {
-        self.act(|opener, now| opener.on_vms(now, vms));
+        self.apply(|opener, now| opener.on_vms(now, vms));
         let mut by_service: BTreeMap<ServiceName, Vec<VmEntry>> = BTreeMap::new();
         for vm in vms {
             if let Some(service) = &vm.service {
@@ -183,7 +183,7 @@
             }
         }
         drop(lists);
-        self.wake();
+        self.wake_watchers();
     }
 
     pub(crate) fn set_demand(&self, demand: &Demand) {
@@ -194,16 +194,16 @@
     pub(crate) fn on_report(&self, report: Report, seen: &Seen) -> DirectiveMessage {
         let vm = report.vm.clone();
         let service = report.service.clone();
-        if !self.act(|opener, now| opener.on_report(now, &report)) {
+        if !self.apply(|opener, now| opener.on_report(now, &report)) {
             return self.refusal();
         }
-        self.view(report);
-        self.granted(self.message(&vm, &service, seen))
+        self.store_report(report);
+        self.count_grant(self.message(&vm, &service, seen))
     }
 
     /// Notes that an agent waits for news. Returns its service if it is known.
     pub(crate) fn on_watch(&self, vm: &str, incarnation: Incarnation) -> Option<ServiceName> {
-        if !self.act(|opener, now| opener.on_watch(now, vm, incarnation)) {
+        if !self.apply(|opener, now| opener.on_watch(now, vm, incarnation)) {
             return None;
         }
         let views = self.views.borrow();
@@ -228,7 +228,7 @@
     }
 
     /// Counts a directive that goes out.
-    pub(crate) fn granted(&self, message: DirectiveMessage) -> DirectiveMessage {
+    pub(crate) fn count_grant(&self, message: DirectiveMessage) -> DirectiveMessage {
         if message.directive.open.is_some() {
             self.metrics.lease_grants.inc();
         }
@@ -247,7 +247,7 @@
     /// Starts a sync round and returns the peers to call.
     pub(crate) fn start_round(&self, now: Instant) -> BTreeMap<VmId, SocketAddr> {
         self.metrics.sync_rounds.inc();
-        self.act(|opener, _| opener.on_round(now));
+        self.apply(|opener, _| opener.on_round(now));
         let opener = self.opener.borrow();
         let peers = opener.peers();
         self.metrics
@@ -257,18 +257,18 @@
     }
 
     pub(crate) fn on_peer_answer(&self, started: Instant, state: &PeerState) {
-        self.act(|opener, now| opener.on_peer_answer(now, started, state));
+        self.apply(|opener, now| opener.on_peer_answer(now, started, state));
         self.on_peer_demand(state);
     }
 
     pub(crate) fn on_peer_call(&self, state: &PeerState) {
-        self.act(|opener, now| opener.on_peer_call(now, state));
+        self.apply(|opener, now| opener.on_peer_call(now, state));
         self.on_peer_demand(state);
     }
 
     pub(crate) fn on_peer_failure(&self, started: Instant, vm: &str) {
         self.metrics.sync_failures.inc();
-        self.act(|opener, now| opener.on_peer_failure(now, started, vm));
+        self.apply(|opener, now| opener.on_peer_failure(now, started, vm));
     }
 
     /// Says whether a peer at `offset` has configuration that this entry lacks.
@@ -284,7 +284,7 @@
     }
 
     /// Returns the latest reports of the agents of this data centre, with their ages.
-    pub(crate) fn own_agents(&self) -> Vec<(Arc<Report>, Duration)> {
+    pub(crate) fn local_agents(&self) -> Vec<(Arc<Report>, Duration)> {
         let now = Instant::now();
         self.views
             .borrow()
@@ -322,7 +322,7 @@
     }
 
     /// Returns the demand of the entries of this data centre, this one included.
-    pub(crate) fn own_demands(&self) -> Vec<EntryDemand> {
+    pub(crate) fn local_demands(&self) -> Vec<EntryDemand> {
         let now = Instant::now();
         let here = self.demands_here.borrow();
         let demands = self.demands.borrow();
@@ -345,7 +345,7 @@
         let now = Instant::now();
         for EntryDemand { vm, demand, age } in demands {
             if !self.demands_here.borrow().contains(vm) {
-                self.note_demand(vm, demand, now.checked_sub(*age).unwrap_or(now));
+                self.store_demand(vm, demand, now.checked_sub(*age).unwrap_or(now));
             }
         }
         self.publish_demands();
@@ -358,7 +358,7 @@
         }
         let now = Instant::now();
         let mut views = self.views.borrow_mut();
-        views.retain(|_, view| now.saturating_duration_since(view.received) < FORGET_AGENT);
+        views.retain(|_, view| now.saturating_duration_since(view.received) < AGENT_TTL);
         self.metrics
             .agents
             .set(i64::try_from(views.len()).unwrap_or(i64::MAX));
@@ -367,11 +367,11 @@
 
     fn on_peer_demand(&self, state: &PeerState) {
         self.demands_here.borrow_mut().insert(state.vm.clone());
-        self.note_demand(&state.vm, &state.demand, Instant::now());
+        self.store_demand(&state.vm, &state.demand, Instant::now());
         self.publish_demands();
     }
 
-    fn note_demand(&self, vm: &VmId, demand: &Demand, received: Instant) {
+    fn store_demand(&self, vm: &VmId, demand: &Demand, received: Instant) {
         let mut demands = self.demands.borrow_mut();
         // What came over another entry may be older than what is known.
         let is_old = demands.get(vm).is_some_and(|it| it.received >= received);
@@ -388,12 +388,12 @@
     fn publish_demands(&self) {
         let now = Instant::now();
         let mut demands = self.demands.borrow_mut();
-        demands.retain(|_, it| now.saturating_duration_since(it.received) < FORGET_DEMAND);
+        demands.retain(|_, it| now.saturating_duration_since(it.received) < DEMAND_TTL);
         self.outputs.demands.send_replace(Arc::new(demands.clone()));
     }
 
     /// Lets the opener take an input, and sends out what it changed.
-    fn act<T>(&self, input: impl FnOnce(&mut Opener, Instant) -> T) -> T {
+    fn apply<T>(&self, input: impl FnOnce(&mut Opener, Instant) -> T) -> T {
         let mut opener = self.opener.borrow_mut();
         let now = Instant::now();
         let result = input(&mut opener, now);
@@ -404,7 +404,7 @@
         self.log_settled(opener.may_grant(now));
         drop(opener);
         if !changes.services.is_empty() {
-            self.wake();
+            self.wake_watchers();
         }
         if changes.peers {
             self.round_due.notify_one();
@@ -429,7 +429,7 @@
         }
     }
 
-    fn view(&self, report: Report) {
+    fn store_report(&self, report: Report) {
         let mut views = self.views.borrow_mut();
         let urgent = views
             .get(&report.vm)
@@ -446,8 +446,8 @@
         }
     }
 
-    fn wake(&self) {
-        self.news.send_modify(|news| *news += 1);
+    fn wake_watchers(&self) {
+        self.directive_changes.send_modify(|version| *version += 1);
     }
 
     fn log_epochs(&self, service: &str, epochs: (Option<Epoch>, Epoch)) {
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -17,7 +17,7 @@
 use wagtailreel_wire::reader_options;
 
 use crate::ControlError;
-use crate::counted::Counted;
+use crate::counted::CountedStream;
 use crate::error::{CallSnafu, ConnectSnafu, TimeoutSnafu};
 use crate::events;
 use crate::metrics::Metrics;
@@ -25,11 +25,11 @@
 /// Shortest pause after a failed connection.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 /// Longest time that the listener pauses after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 /// Connections that a listener serves at once; far above the agents and entries of a data centre.
 const MAX_CONNECTIONS: usize = 4096;
 /// Calls in a row without an answer after which the connection is made anew.
-const MAX_SILENT_CALLS: u32 = 4;
+const MAX_UNANSWERED_CALLS: u32 = 4;
 
 /// A connection's task; it ends when this is dropped.
 struct Connection<C> {
@@ -54,7 +54,7 @@
     connecting: Mutex<()>,
     backoff: Cell<Duration>,
     not_before: Cell<Option<Instant>>,
-    silent_calls: Cell<u32>,
+    unanswered_calls: Cell<u32>,
     lost: Cell<bool>,
 }
 
@@ -73,7 +73,7 @@
             connecting: Mutex::new(()),
             backoff: Cell::new(MIN_BACKOFF),
             not_before: Cell::new(None),
-            silent_calls: Cell::new(0),
+            unanswered_calls: Cell::new(0),
             lost: Cell::new(false),
         }
     }
@@ -87,7 +87,7 @@
     }
 
     /// Returns when the next attempt may be made, if a pause is under way.
-    pub(crate) fn pause(&self) -> Option<Instant> {
+    pub(crate) fn retry_at(&self) -> Option<Instant> {
         self.not_before
             .get()
             .filter(|not_before| *not_before > Instant::now())
@@ -120,7 +120,7 @@
             }
             .fail(),
         };
-        self.note(&result);
+        self.record_result(&result);
         result
     }
 
@@ -138,7 +138,7 @@
         let stream = TcpStream::connect(addr)
             .await
             .context(ConnectSnafu { addr })?;
-        let (client, task) = connect::<C>(Counted::new(stream, &self.metrics));
+        let (client, task) = connect::<C>(CountedStream::new(stream, &self.metrics));
         self.connection.replace(Some(Connection {
             client: client.clone(),
             task,
@@ -146,22 +146,22 @@
         Ok(client)
     }
 
-    fn note<T>(&self, result: &Result<T, ControlError>) {
+    fn record_result<T>(&self, result: &Result<T, ControlError>) {
         match result {
-            Ok(_) => self.note_answer(),
+            Ok(_) => self.record_answer(),
             // A peer that is silent may be frozen: its connection is kept, for a while.
             Err(ControlError::Timeout { .. }) => {
-                self.silent_calls.set(self.silent_calls.get() + 1);
-                if self.silent_calls.get() >= MAX_SILENT_CALLS {
-                    self.note_loss();
+                self.unanswered_calls.set(self.unanswered_calls.get() + 1);
+                if self.unanswered_calls.get() >= MAX_UNANSWERED_CALLS {
+                    self.record_loss();
                 }
             }
-            Err(_) => self.note_loss(),
+            Err(_) => self.record_loss(),
         }
     }
 
-    fn note_answer(&self) {
-        self.silent_calls.set(0);
+    fn record_answer(&self) {
+        self.unanswered_calls.set(0);
         self.backoff.set(MIN_BACKOFF);
         self.not_before.set(None);
         if self.lost.replace(false) {
@@ -169,13 +169,13 @@
         }
     }
 
-    fn note_loss(&self) {
+    fn record_loss(&self) {
         self.reset();
-        self.silent_calls.set(0);
+        self.unanswered_calls.set(0);
         let backoff = self.backoff.get();
         // Jitter keeps peers of a process that went away from coming back all at once.
-        let pause = backoff.mul_f64(rand::random_range(0.5..1.0));
-        self.not_before.set(Some(Instant::now() + pause));
+        let delay = backoff.mul_f64(rand::random_range(0.5..1.0));
+        self.not_before.set(Some(Instant::now() + delay));
         self.backoff.set((backoff * 2).min(self.max_backoff));
         if !self.lost.replace(true) {
             self.emit(&events::PEER_LOST);
@@ -188,7 +188,7 @@
 }
 
 /// Speaks the protocol over `stream` as its client. The task ends with the connection.
-pub(crate) fn connect<C>(stream: Counted) -> (C, JoinHandle<()>)
+pub(crate) fn connect<C>(stream: CountedStream) -> (C, JoinHandle<()>)
 where
     C: FromClientHook,
 {
@@ -217,7 +217,7 @@
         };
         match stream {
             Ok((stream, _)) => {
-                let (rx, tx) = Counted::new(stream, &metrics).split();
+                let (rx, tx) = CountedStream::new(stream, &metrics).split();
                 let network = twoparty::VatNetwork::new(rx, tx, Side::Server, reader_options());
                 let system = RpcSystem::new(Box::new(network), Some(bootstrap.clone()));
                 connections.spawn_local(async move {
@@ -227,7 +227,7 @@
             }
             Err(error) => {
                 events::ACCEPT_FAILED.emit(&[("error", &error.to_string())]);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -7,7 +7,7 @@
 use crate::error::MetricsSnafu;
 
 /// Bytes of one word of a message.
-const WORD: u64 = 8;
+const WORD_BYTES: u64 = 8;
 
 /// Kinds of messages, as the metrics name them.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
         self.sent.with_label_values(&[kind.name()]).inc();
         self.sent_payload
             .with_label_values(&[kind.name()])
-            .inc_by(words * WORD);
+            .inc_by(words * WORD_BYTES);
     }
 
     /// Counts a message that came in, of `words` words without its envelope.
@@ -77,7 +77,7 @@
         self.received.with_label_values(&[kind.name()]).inc();
         self.received_payload
             .with_label_values(&[kind.name()])
-            .inc_by(words * WORD);
+            .inc_by(words * WORD_BYTES);
     }
 
     fn make() -> prometheus::Result<Self> {
