--- a/crates/wire/src/directive.rs
+++ b/crates/wire/src/directive.rs
@@ -1,4 +1,4 @@
-//! Directives to agents, and what an agent has seen of them.
+//! Directives to agents, and the acknowledgement of what an agent has received.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::state::{read_service_state, write_service_state};
 use crate::vm::{read_vms, write_vms};
 
-/// What an agent last heard from the entry that it asks.
+/// What an agent last received from the entry that it calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
     /// `Directive::close_below`.
@@ -21,20 +21,20 @@
     pub open: Option<Epoch>,
     /// `Directive::swap_to`.
     pub swap_to: Option<Epoch>,
-    /// Revision of the service that the agent has taken.
+    /// Revision of the service that the agent has applied.
     pub revision: Offset,
     /// Version of the list of peers, as this entry counts it; 0 for none.
     pub peers_version: u64,
 }
 
-/// A directive on its way. Its peers are left out if the agent has seen them.
+/// A directive as it is sent. Its peers are left out if the agent has the present list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectiveMessage {
     /// The directive; `peers` is empty if `has_peers` is not set.
     pub directive: Directive,
     /// Version of the list of peers, as this entry counts it.
     pub peers_version: u64,
-    /// The directive carries the list of peers.
+    /// Whether the directive carries the list of peers.
     pub has_peers: bool,
 }
 
@@ -47,7 +47,7 @@
     to.set_peers_version(seen.peers_version);
 }
 
-/// Reads what an agent has seen.
+/// Reads what an agent has received.
 pub fn read_seen(from: seen::Reader<'_>) -> Seen {
     Seen {
         close_below: from.get_close_below(),
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -9,10 +9,10 @@
     /// The message is malformed or over a limit.
     #[snafu(display("malformed message: {source}; run the same version on both ends"))]
     Malformed {
-        /// What the codec says.
+        /// Error of the codec.
         source: capnp::Error,
     },
-    /// A number stands for no value of an enumeration.
+    /// A number is not a value of its enumeration.
     #[snafu(display("`{field}` has unknown value {value}; run the same version on both ends"))]
     UnknownValue {
         /// Name of the field.
@@ -25,7 +25,7 @@
     NotText {
         /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The error of the parser.
         source: std::str::Utf8Error,
     },
     /// A text is not an address.
@@ -35,10 +35,10 @@
         field: &'static str,
         /// The text.
         text: String,
-        /// What is wrong with it.
+        /// The error of the parser.
         source: std::net::AddrParseError,
     },
-    /// A digest has not 32 bytes.
+    /// A digest does not have 32 bytes.
     #[snafu(display("`{field}` has {length} bytes; a digest has 32"))]
     NotDigest {
         /// Name of the field.
@@ -51,13 +51,13 @@
     Document {
         /// Name of the service.
         service: String,
-        /// What is wrong with it.
+        /// The error of the parser.
         source: serde_json::Error,
     },
 }
 
 impl From<WireError> for capnp::Error {
-    /// Lets a server refuse a call whose message it can't read.
+    /// Lets a server reject a call whose message can't be read.
     fn from(error: WireError) -> Self {
         Self::failed(error.to_string())
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control protocol between processes as Cap'n Proto messages.
 //!
-//! The schema is `control.capnp`; the code made from it is committed, so that a build needs no
+//! The schema is `control.capnp`; the code generated from it is committed, so that a build needs no
 //! generator. Each `write_` function fills a message from a type of `wagtailreel-core`, each
-//! `read_` function makes the type from a message, which may come from anyone and is checked.
+//! `read_` function makes the type from a message. Messages are untrusted, so each is validated.
 
 // Generated code keeps the generator's style and carries no doc comments.
 #[allow(
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a peer may send.
+//! Limits on messages from peers.
 
 use capnp::message::ReaderOptions;
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entries of one data centre tell each other.
+//! State that the entries of one data centre send each other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Reads what a peer entry says.
+/// Reads the state of a peer entry.
 ///
 /// # Errors
 ///
@@ -60,7 +60,7 @@
     })
 }
 
-/// Fills a message from what was asked of the entry `vm`, which was heard `age` ago.
+/// Fills a message from the demand of the entry `vm`, which was received `age` ago.
 pub fn write_entry_demand(
     vm: &str,
     demand: &BTreeMap<ServiceName, BTreeMap<CustomerId, f64>>,
@@ -76,18 +76,18 @@
     }
 }
 
-/// What was asked of one entry, and how long ago that was heard.
+/// Demand at one entry, and how long ago it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryDemand {
     /// Name of the entry's VM.
     pub vm: VmId,
-    /// Requests a second by service and customer.
+    /// Requests per second, by service and customer.
     pub demand: BTreeMap<ServiceName, BTreeMap<CustomerId, f64>>,
-    /// Time since it was heard, as of when the message was written.
+    /// Time from the receipt of the demand to the writing of the message.
     pub age: Duration,
 }
 
-/// Reads what was asked of one entry.
+/// Reads the demand of one entry.
 ///
 /// # Errors
 ///
