--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -21,10 +21,10 @@
 use self::reporter::run_reporters;
 use self::shell::{Inputs, Shell};
 
-/// Directives that may wait for the agent; more are dropped, since newer ones follow.
+/// Capacity of the agent's queue of directives. Directives beyond it are dropped, since newer ones follow.
 const DIRECTIVE_QUEUE: usize = 256;
 
-/// What an agent's control needs to start.
+/// Configuration of an agent's control thread.
 #[derive(Clone, Debug)]
 pub struct AgentControlConfig {
     /// Name of the agent's VM.
@@ -35,7 +35,7 @@
     pub report_every: Duration,
 }
 
-/// A directive, with what the gate needs to count its lease.
+/// A directive, with what the gate needs to compute the end of its lease.
 #[derive(Clone, Debug)]
 pub struct FromEntry {
     /// Entry that gave the directive.
@@ -46,7 +46,7 @@
     pub directive: Directive,
 }
 
-/// Handle of the agent's control thread; clones share it, and the thread ends with the last.
+/// Handle of the agent's control thread. Clones share it, and the thread ends when the last one is dropped.
 #[derive(Clone, Debug)]
 pub struct AgentControl {
     addr: SocketAddr,
@@ -89,8 +89,8 @@
 
     /// Sets what the agent reports. `sequence` is filled in here.
     ///
-    /// A change of epoch, phase, revision, trouble or leaving goes out at once, load and counts
-    /// with the next regular report.
+    /// A change of epoch, phase, revision, trouble or leaving is sent at once, load and counts are
+    /// sent with the next regular report.
     pub fn set_report(&self, report: Report) {
         self.inputs.report.send_replace(Some(report));
     }
@@ -100,7 +100,7 @@
         self.inputs.state.send_replace(state);
     }
 
-    /// Returns the directives from now on. The newest receiver gets them all.
+    /// Returns a receiver of the directives from now on. Earlier receivers get no more of them.
     pub fn directives(&self) -> mpsc::Receiver<FromEntry> {
         let (tx, rx) = mpsc::channel(DIRECTIVE_QUEUE);
         self.inputs.directives.send_replace(Some(tx));
@@ -113,7 +113,7 @@
     }
 }
 
-/// Runs everything of one agent until the thread is stopped.
+/// Runs the server and the reporters of one agent until the thread is stopped.
 async fn run(shell: Rc<Shell>, listener: TcpListener, addr: SocketAddr) {
     let listener = match adopt(listener) {
         Ok(listener) => listener,
--- a/crates/control/src/agent/reporter.rs
+++ b/crates/control/src/agent/reporter.rs
@@ -1,4 +1,4 @@
-//! Reports to each entry, and the directives that come back.
+//! Sends reports to each entry and receives directives in answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,14 +20,14 @@
 use crate::metrics::Kind;
 use crate::urgent::is_urgent;
 
-/// Longest time for an answer to a report.
+/// Time-out of a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for an answer to a hanging call, above the wait that it asks for.
+/// Time-out of a hanging call, in addition to the wait that the call asks for.
 const WATCH_SLACK: Duration = Duration::from_millis(500);
-/// Longest pause between attempts to connect to an entry.
+/// Longest backoff between attempts to connect to an entry.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What the agent has seen of one entry over the present connection.
+/// What the agent has received from one entry over the present connection.
 #[derive(Default)]
 struct ConnectionState {
     seen: Cell<Seen>,
@@ -42,7 +42,7 @@
     state: ConnectionState,
 }
 
-/// A reporter's tasks; they end when this is dropped.
+/// A reporter's tasks, aborted on drop.
 struct ReporterTasks {
     addr: SocketAddr,
     tasks: [JoinHandle<()>; 2],
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reports to each of the entries that are set, until no handle is left.
+/// Sends reports to each of the configured entries until the last handle is dropped.
 pub(crate) async fn run_reporters(shell: Rc<Shell>) {
     let mut entries = shell.entries();
     let mut running: BTreeMap<VmId, ReporterTasks> = BTreeMap::new();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Reports at each interval, and at once when something urgent changes.
+/// Sends a report at each interval, and at once after an urgent change.
 async fn send_reports(reporter: Rc<Reporter>) {
     let mut reports = reporter.shell.reports();
     loop {
@@ -105,7 +105,7 @@
             continue;
         };
         let due = Instant::now() + reporter.shell.cfg.report_every;
-        // A failure is noted by the link; the next report follows all the same.
+        // The link records a failure; the next report is sent in any case.
         let _ = reporter.report(&report).await;
         wait_until_urgent(&mut reports, &report, due).await;
     }
@@ -122,11 +122,11 @@
             .as_ref()
             .is_some_and(|report| is_urgent(sent, report))
     });
-    // Either way it is time for the next report.
+    // The next report is due in both cases.
     let _ = timeout_at(due.into(), urgent).await;
 }
 
-/// Keeps one hanging call at the entry, so that its news come without delay.
+/// Keeps one hanging call open at the entry, so that new directives arrive without delay.
 async fn watch_entry(reporter: Rc<Reporter>) {
     let mut reports = reporter.shell.reports();
     loop {
@@ -138,7 +138,7 @@
             continue;
         };
         if reporter.watch(&vm, incarnation).await.is_err() {
-            // What was seen may be of another start of the entry.
+            // The entry may have restarted, so what was received from it may be out of date.
             reporter.reset_state();
         }
     }
@@ -151,7 +151,7 @@
 }
 
 impl Reporter {
-    /// Waits out the pause after a failure.
+    /// Waits until the backoff after a failure has passed.
     async fn wait_for_link(&self) {
         while let Some(until) = self.link.retry_at() {
             sleep_until(until.into()).await;
@@ -160,7 +160,7 @@
 
     async fn report(&self, report: &Report) -> Result<(), ControlError> {
         let seen = self.state.seen.get();
-        // Taken before anything is sent: the lease of the answer runs from here.
+        // Read before the message is sent: the lease in the answer starts at this time.
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
         let call = |client: entry::Client| async move {
@@ -205,7 +205,7 @@
         Ok(())
     }
 
-    /// Hands a directive to the agent, with the whole list of peers, and notes what was seen.
+    /// Passes a directive to the agent, with the whole list of peers, and records what was received.
     fn on_directive(&self, sent_at: Instant, message: DirectiveMessage) {
         let DirectiveMessage {
             mut directive,
@@ -233,7 +233,7 @@
             sent_at,
             directive,
         });
-        // What the agent didn't take is to be sent again.
+        // The entry must resend a directive that the agent's queue did not accept.
         if taken {
             self.state.seen.set(seen);
         }
--- a/crates/control/src/agent/server.rs
+++ b/crates/control/src/agent/server.rs
@@ -1,4 +1,4 @@
-//! The agent's server: gives the state that it has to a starting process.
+//! The agent's server: sends the agent's configuration to a starting process.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     shell: Rc<Shell>,
 }
 
-/// Returns the client that each connection starts from.
+/// Returns the bootstrap capability of each connection.
 pub(crate) fn bootstrap(shell: Rc<Shell>) -> capnp::capability::Client {
     let client: agent::Client = new_client(AgentServer { shell });
     client.client
--- a/crates/control/src/agent/shell.rs
+++ b/crates/control/src/agent/shell.rs
@@ -10,7 +10,7 @@
 use crate::events;
 use crate::metrics::Metrics;
 
-/// What the agent's other threads tell its control thread. Only the latest counts.
+/// Inputs of the control thread from the agent's other threads. Each holds the latest value only.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Inputs {
     pub(crate) entries: watch::Sender<Vec<(VmId, SocketAddr)>>,
@@ -67,14 +67,14 @@
     pub(crate) fn state(&self) -> StateView {
         let mut view = StateView::default();
         if let Some(state) = &*self.state.borrow() {
-            // The agent knows its own service alone, as of the revision that last changed it.
+            // The agent has the state of its own service only, as of the revision that last changed it.
             view.offset = state.revision;
             view.services.insert(state.service.clone(), state.clone());
         }
         view
     }
 
-    /// Hands a directive to the agent. Returns whether it was taken.
+    /// Passes a directive to the agent. Returns whether the queue accepted it.
     pub(crate) fn deliver(&self, from: FromEntry) -> bool {
         let Some(tx) = self.directives.borrow().clone() else {
             return false;
--- a/crates/control/src/counted.rs
+++ b/crates/control/src/counted.rs
@@ -1,4 +1,4 @@
-//! A TCP stream whose bytes are counted.
+//! A TCP stream that counts bytes read and written.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 
 use crate::metrics::Metrics;
 
-/// A TCP stream that counts what goes through it.
+/// A TCP stream that counts bytes read and written.
 #[derive(Debug)]
 pub(crate) struct CountedStream {
     stream: Compat<TcpStream>,
@@ -21,7 +21,7 @@
 
 impl CountedStream {
     pub(crate) fn new(stream: TcpStream, metrics: &Metrics) -> Self {
-        // Messages are small and wait for answers. Without the option they only come later.
+        // Messages are small and each waits for an answer. Nagle's algorithm would only delay them.
         let _ = stream.set_nodelay(true);
         Self {
             stream: stream.compat(),
--- a/crates/control/src/entry/inputs.rs
+++ b/crates/control/src/entry/inputs.rs
@@ -1,4 +1,4 @@
-//! What the entry's other threads tell its control thread. Only the latest counts.
+//! Inputs of the control thread from the entry's other threads. Each holds the latest value only.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use super::Demand;
 use super::shell::Shell;
 
-/// The ends that other threads write to.
+/// Senders, held by other threads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Inputs {
     pub(crate) state: watch::Sender<StateView>,
@@ -17,7 +17,7 @@
     pub(crate) demand: watch::Sender<Demand>,
 }
 
-/// The ends that the control thread reads from.
+/// Receivers, held by the control thread.
 #[derive(Debug)]
 pub(crate) struct Receivers {
     state: watch::Receiver<StateView>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Hands each new input to `shell`, until no handle is left.
+/// Passes each new input to `shell` until the last handle is dropped.
 pub(crate) async fn take_inputs(shell: Rc<Shell>, mut rx: Receivers) {
     loop {
         let changed = tokio::select! {
--- a/crates/control/src/entry/mod.rs
+++ b/crates/control/src/entry/mod.rs
@@ -32,12 +32,12 @@
 use self::rounds::run_rounds;
 use self::shell::Shell;
 
-/// What an entry's control needs to start.
+/// Configuration of an entry's control thread.
 #[derive(Clone, Debug)]
 pub struct EntryControlConfig {
     /// Name of the entry's VM.
     pub vm: VmId,
-    /// Start of the entry.
+    /// Incarnation of the entry: a number that differs at each start.
     pub incarnation: Incarnation,
     /// Data centre of the entry.
     pub data_centre: DataCentre,
@@ -52,33 +52,33 @@
 /// The latest report of one agent.
 #[derive(Clone, Debug)]
 pub struct AgentView {
-    /// What the agent said.
+    /// The report.
     pub report: Arc<Report>,
     /// When it was received by the entry that the agent reports to.
     pub received: Instant,
-    /// The agent is in another data centre, and the report came over an entry there.
+    /// Whether the agent is in another data centre, so that an entry there relayed the report.
     pub remote: bool,
 }
 
 /// All agents that an entry knows.
 pub type AgentViews = Arc<BTreeMap<VmId, AgentView>>;
 
-/// Requests that each customer asked of each service lately, a second.
+/// Recent request rate of each customer at each service, in requests per second.
 pub type Demand = BTreeMap<ServiceName, BTreeMap<CustomerId, f64>>;
 
-/// What was asked of another entry, of this data centre or another.
+/// Demand at another entry, of this data centre or another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DemandView {
     /// The entry's demand.
     pub demand: Demand,
-    /// When it was heard: by this entry, or by the one that told it.
+    /// When the demand was received, by this entry or by the one that relayed it.
     pub received: Instant,
 }
 
-/// The demand of all entries that an entry hears of.
+/// The demand of all other entries that an entry knows.
 pub type DemandViews = Arc<BTreeMap<VmId, DemandView>>;
 
-/// Handle of the entry's control thread; clones share it, and the thread ends with the last.
+/// Handle of the entry's control thread. Clones share it, and the thread ends when the last one is dropped.
 #[derive(Clone, Debug)]
 pub struct EntryControl {
     addr: SocketAddr,
@@ -125,8 +125,8 @@
 
     /// Sets the entries of all data centres, as the list of VMs and the seeds have them.
     ///
-    /// Those of this entry's data centre are synced with, whether they are live or leaving; of
-    /// each other data centre one is asked for its agents and its entries' demand.
+    /// This entry syncs with those of its own data centre, whether they are live or leaving. It polls
+    /// one entry of each other data centre for its agents and its entries' demand.
     pub fn set_entries(&self, entries: Vec<VmEntry>) {
         self.inputs.entries.send_replace(entries);
     }
@@ -136,7 +136,7 @@
         self.inputs.vms.send_replace(vms);
     }
 
-    /// Sets the demand that other entries are told of.
+    /// Sets this entry's demand, which is sent to other entries.
     pub fn set_demand(&self, demand: Demand) {
         self.inputs.demand.send_replace(demand);
     }
@@ -147,25 +147,25 @@
         self.outputs.agents.subscribe()
     }
 
-    /// Returns the demand of the other entries: those of the data centre as they say it, those of
-    /// other data centres as one entry of each does.
+    /// Returns the demand of the other entries. Those of this data centre send it themselves; one
+    /// entry of each other data centre relays it for all entries there.
     pub fn demands(&self) -> watch::Receiver<DemandViews> {
         self.outputs.demands.subscribe()
     }
 
-    /// Returns configuration that a peer entry has and this one lacked: it is to be merged into
+    /// Returns configuration that a peer entry had and this one lacked. The caller merges it into
     /// the fold's state.
     pub fn learned(&self) -> watch::Receiver<StateView> {
         self.outputs.learned.subscribe()
     }
 
-    /// Stops the control thread: no more leases, no more answers.
+    /// Stops the control thread. The entry then grants no leases and answers no calls.
     pub fn stop(&self) {
         self.stopper.stop();
     }
 }
 
-/// Runs everything of one entry until the thread is stopped.
+/// Runs the server, the sync rounds and the polls of one entry until the thread is stopped.
 async fn run(shell: Rc<Shell>, listener: TcpListener, inputs: inputs::Receivers) {
     let listener = match adopt(listener) {
         Ok(listener) => listener,
--- a/crates/control/src/entry/publish.rs
+++ b/crates/control/src/entry/publish.rs
@@ -1,4 +1,4 @@
-//! What the control thread tells the entry's other threads.
+//! Publishes the control thread's state to the entry's other threads.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use super::shell::Shell;
 use super::{AgentViews, DemandViews};
 
-/// Time between publications of what may wait: load and counts.
+/// Time between publications of changes that are not urgent: load and counts.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The ends that the control thread writes to.
+/// Senders, held by the control thread.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outputs {
     pub(crate) agents: watch::Sender<AgentViews>,
@@ -21,8 +21,8 @@
     pub(crate) learned: watch::Sender<StateView>,
 }
 
-/// Publishes the agents' reports: at once what routing depends on, the rest every few
-/// milliseconds, so that the map isn't copied with each report.
+/// Publishes the agents' reports. Changes that routing depends on are published at once, others every
+/// few milliseconds, so that the map isn't copied for each report.
 pub(crate) async fn publish(shell: Rc<Shell>) {
     loop {
         tokio::select! {
--- a/crates/control/src/entry/remote.rs
+++ b/crates/control/src/entry/remote.rs
@@ -1,4 +1,4 @@
-//! Agents of other data centres and the demand of their entries, as one entry of each tells.
+//! Polls one entry of each other data centre for the agents and the entries' demand there.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,20 +16,20 @@
 use crate::link::Link;
 use crate::metrics::Kind;
 
-/// Time between questions to each other data centre.
+/// Time between polls of each other data centre.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest time for an answer; below the time between questions, so that they don't pile up.
+/// Time-out of a poll, below the interval so that polls don't accumulate.
 const POLL_TIMEOUT: Duration = Duration::from_millis(450);
-/// Longest pause between attempts to connect to an entry of another data centre.
+/// Longest backoff between attempts to connect to an entry of another data centre.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What an entry tells of its data centre: reports with their ages, and demand.
+/// Answer of an entry for its data centre: reports with their ages, and demand.
 type Answer = (Vec<(Report, Duration)>, Vec<EntryDemand>);
 
-/// Asks one entry of each other data centre for its agents and its entries' demand, over and over.
+/// Polls one entry of each other data centre periodically for its agents and its entries' demand.
 pub(crate) async fn poll_remote(shell: Rc<Shell>) {
     let links: RefCell<EntryLinks> = RefCell::default();
-    // Which entry of a data centre is asked; it moves on when that one fails.
+    // Index of the entry to poll, by data centre. It advances when that entry fails.
     let mut turns: BTreeMap<DataCentre, usize> = BTreeMap::new();
     let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -83,7 +83,7 @@
     Rc::clone(link)
 }
 
-/// Asks an entry for its agents. Returns whether it answered.
+/// Polls an entry for its agents. Returns whether the entry answered.
 async fn poll_entry(shell: &Shell, link: &Link<entry::Client>) -> bool {
     if link.retry_at().is_some() {
         return false;
--- a/crates/control/src/entry/rounds.rs
+++ b/crates/control/src/entry/rounds.rs
@@ -18,22 +18,22 @@
 use crate::link::Link;
 use crate::metrics::Kind;
 
-/// Shortest time between rounds that changes call for, so that changes gather.
+/// Shortest time between rounds that are started by changes, so that changes are batched.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(1);
-/// Calls to one peer that may be under way at once. More than one, because a lost call must not
+/// Most calls to one peer in flight at once. More than one, because a lost call must not
 /// keep the next round from reaching the peer.
 const MAX_CALLS_PER_PEER: u32 = 4;
-/// Longest time that a peer may take to hand over its configuration.
+/// Time-out of pulling the configuration of a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls to one peer.
+/// Link to one peer, and the calls to it that are in flight.
 struct PeerCalls {
     link: Rc<Link<entry::Client>>,
     in_flight: Rc<Cell<u32>>,
     pulling: Rc<Cell<bool>>,
 }
 
-/// Counts itself among what is under way, until it is dropped.
+/// Counts one call as in flight until dropped.
 struct InFlightGuard(Rc<Cell<u32>>);
 
 impl InFlightGuard {
@@ -49,14 +49,14 @@
     }
 }
 
-/// Runs sync rounds, at their times and whenever there is something that peers must hear at once.
+/// Runs sync rounds at their interval, and at once when peers must learn of a change.
 pub(crate) async fn run_rounds(shell: Rc<Shell>) {
     let every = shell.timing().round_interval();
     let peers: RefCell<BTreeMap<VmId, PeerCalls>> = RefCell::default();
     let mut calls = JoinSet::new();
     loop {
         let started = Instant::now();
-        // The round is noted before any peer is called: freshness counts from here.
+        // The round is recorded before any peer is called: freshness is measured from its start.
         let listed = shell.start_round(started);
         update(&mut peers.borrow_mut(), &shell, listed);
         for peer in peers.borrow().values() {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Makes links to new peers and drops those to peers that are no longer known.
+/// Creates links to new peers and drops links to peers that are no longer listed.
 fn update(
     peers: &mut BTreeMap<VmId, PeerCalls>,
     shell: &Shell,
@@ -83,7 +83,7 @@
     peers.retain(|vm, peer| listed.get(vm) == Some(&peer.link.addr()));
     for (vm, addr) in listed {
         peers.entry(vm.clone()).or_insert_with(|| {
-            // An attempt has to be made often enough that the grace time counts real attempts.
+            // Attempts must be frequent enough for the grace time to include real attempts.
             let max_backoff = shell.timing().attempt_timeout();
             let link = Link::new(vm, addr, max_backoff, shell.metrics().clone());
             PeerCalls {
@@ -134,7 +134,7 @@
     link.call(shell.timing().attempt_timeout(), call).await
 }
 
-/// Takes over the configuration of a peer that is ahead of this entry.
+/// Pulls the configuration of a peer that is ahead of this entry.
 async fn pull(shell: &Shell, link: &Link<entry::Client>) {
     let call = |client: entry::Client| async move {
         let response = client
@@ -149,7 +149,7 @@
         Ok(read_state_view(response.get_state()?)?)
     };
     let result: Result<StateView, ControlError> = link.call(PULL_TIMEOUT, call).await;
-    // A failure is no loss: the next round sees the peer ahead again.
+    // A failure needs no handling: the next round finds the peer ahead again.
     if let Ok(state) = result {
         shell.merge_state(link.vm(), &state);
     }
--- a/crates/control/src/entry/server.rs
+++ b/crates/control/src/entry/server.rs
@@ -22,14 +22,14 @@
     shell: Rc<Shell>,
 }
 
-/// Returns the client that each connection starts from.
+/// Returns the bootstrap capability of each connection.
 pub(crate) fn bootstrap(shell: Rc<Shell>) -> capnp::capability::Client {
     let client: entry::Client = new_client(EntryServer { shell });
     client.client
 }
 
 impl EntryServer {
-    /// Answers a hanging call once there is news, or after `wait`.
+    /// Answers a hanging call once the directive has changed, or after `wait`.
     async fn wait_for_change(
         &self,
         vm: VmId,
@@ -37,9 +37,9 @@
         seen: Seen,
         wait: Duration,
     ) -> DirectiveMessage {
-        // Subscribed before the first look, so that no change between the two is missed.
+        // Subscribed before the first check, so that no change between the two is missed.
         let mut directive_changes = self.shell.directive_changes();
-        // A lease runs from when the agent sent the call: the wait has to leave most of it.
+        // A lease starts when the agent sends the call, so the wait is limited to a quarter of it.
         let wait = wait.min(self.shell.timing().lease() / 4);
         let deadline = Instant::now() + wait;
         let Some(service) = self.shell.on_watch(&vm, incarnation) else {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Logs a message that can't be read, and refuses the call.
+/// Logs a message that can't be read and rejects the call.
 fn checked<T>(kind: Kind, read: Result<T, WireError>) -> Result<T, Error> {
     read.map_err(|error| {
         let text = error.to_string();
--- a/crates/control/src/entry/shell.rs
+++ b/crates/control/src/entry/shell.rs
@@ -1,4 +1,4 @@
-//! State of an entry's control thread: the opener, and what goes with it.
+//! State of an entry's control thread: the opener, and the agents and demand that the entry knows.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,17 +22,17 @@
 use crate::metrics::Metrics;
 use crate::urgent::is_urgent;
 
-/// How long an agent that fell silent stays in the published map.
+/// How long an agent that sends no reports stays in the published map.
 const AGENT_TTL: Duration = Duration::from_secs(60);
 
-/// How long the demand of an entry that fell silent stays published. Who deals shares by it keeps
-/// the last share of such an entry by itself.
+/// How long the demand of an entry that sends no more of it stays published. Code that divides shares
+/// by demand keeps the last share of such an entry itself.
 const DEMAND_TTL: Duration = Duration::from_secs(60);
 
 /// Links to entries, by VM.
 pub(crate) type EntryLinks = BTreeMap<VmId, Rc<Link<entry::Client>>>;
 
-/// The VMs of a service, with a number that changes when they do.
+/// The VMs of a service, with a version that changes when they do.
 #[derive(Debug, Default)]
 struct PeerList {
     version: u64,
@@ -56,9 +56,9 @@
     demand: RefCell<Demand>,
     /// Demand of the other entries.
     demands: RefCell<BTreeMap<VmId, DemandView>>,
-    /// The entries of this data centre among them, whose demand other data centres are told.
+    /// Those of the other entries that are in this data centre. Their demand is sent to other data centres.
     demands_here: RefCell<BTreeSet<VmId>>,
-    /// Counts up to wake the agents' hanging calls.
+    /// Incremented to wake the agents' hanging calls.
     directive_changes: watch::Sender<u64>,
     round_due: Notify,
     publish_due: Notify,
@@ -121,7 +121,7 @@
         self.publish_due.notified().await;
     }
 
-    /// Returns the channel that changes when hanging calls have to look again.
+    /// Returns the channel that changes when hanging calls must check their directive again.
     pub(crate) fn directive_changes(&self) -> watch::Receiver<u64> {
         self.directive_changes.subscribe()
     }
@@ -130,7 +130,7 @@
         self.apply(|opener, now| opener.on_state(now, state));
     }
 
-    /// Takes in configuration that a peer gave, and hands it to the entry's fold.
+    /// Applies configuration from a peer and passes it to the entry's fold.
     pub(crate) fn merge_state(&self, from: &str, state: &StateView) {
         if !self.apply(|opener, now| opener.on_state(now, state)) {
             return;
@@ -190,7 +190,7 @@
         *self.demand.borrow_mut() = demand.clone();
     }
 
-    /// Takes in an agent's report and returns the directive that answers it.
+    /// Applies an agent's report and returns the directive that answers it.
     pub(crate) fn on_report(&self, report: Report, seen: &Seen) -> DirectiveMessage {
         let vm = report.vm.clone();
         let service = report.service.clone();
@@ -201,7 +201,7 @@
         self.count_grant(self.message(&vm, &service, seen))
     }
 
-    /// Notes that an agent waits for news. Returns its service if it is known.
+    /// Records that an agent has a hanging call. Returns the agent's service if the entry knows it.
     pub(crate) fn on_watch(&self, vm: &str, incarnation: Incarnation) -> Option<ServiceName> {
         if !self.apply(|opener, now| opener.on_watch(now, vm, incarnation)) {
             return None;
@@ -210,7 +210,7 @@
         views.get(vm).map(|view| view.report.service.clone())
     }
 
-    /// Returns the directive for an agent as of now, and whether it differs from what is seen.
+    /// Returns the directive for an agent as of now, and whether it differs from `seen`.
     pub(crate) fn directive(
         &self,
         vm: &str,
@@ -227,7 +227,7 @@
         (message, differs)
     }
 
-    /// Counts a directive that goes out.
+    /// Counts a directive that is sent.
     pub(crate) fn count_grant(&self, message: DirectiveMessage) -> DirectiveMessage {
         if message.directive.open.is_some() {
             self.metrics.lease_grants.inc();
@@ -271,12 +271,12 @@
         self.apply(|opener, now| opener.on_peer_failure(now, started, vm));
     }
 
-    /// Says whether a peer at `offset` has configuration that this entry lacks.
+    /// Returns whether a peer at `offset` has configuration that this entry lacks.
     pub(crate) fn lacks(&self, offset: u64) -> bool {
         offset > self.opener.borrow().state().offset
     }
 
-    /// Returns what this entry tells the others of its data centre.
+    /// Returns the state that this entry sends to the others of its data centre.
     pub(crate) fn peer_state(&self) -> PeerState {
         let mut state = self.opener.borrow().peer_state(Instant::now());
         state.demand = self.demand.borrow().clone();
@@ -297,13 +297,13 @@
             .collect()
     }
 
-    /// Takes in the reports of another data centre's agents, with their ages.
+    /// Applies the reports of another data centre's agents, with their ages.
     pub(crate) fn on_remote_agents(&self, agents: Vec<(Report, Duration)>) {
         let now = Instant::now();
         let mut views = self.views.borrow_mut();
         for (report, age) in agents {
             let vm = report.vm.clone();
-            // Another entry was asked last time, which may have heard more.
+            // The last poll may have gone to another entry, with newer reports.
             let known = views.get(&vm).is_some_and(|view| {
                 let known = (view.report.incarnation, view.report.sequence);
                 known > (report.incarnation, report.sequence)
@@ -340,7 +340,7 @@
         std::iter::once(own).chain(others).collect()
     }
 
-    /// Takes in the demand of another data centre's entries.
+    /// Applies the demand of another data centre's entries.
     pub(crate) fn on_remote_demands(&self, demands: &[EntryDemand]) {
         let now = Instant::now();
         for EntryDemand { vm, demand, age } in demands {
@@ -351,7 +351,7 @@
         self.publish_demands();
     }
 
-    /// Publishes the agents' reports if there is anything new.
+    /// Publishes the agents' reports if any has changed.
     pub(crate) fn publish_agents(&self) {
         if !self.views_changed.replace(false) {
             return;
@@ -373,7 +373,7 @@
 
     fn store_demand(&self, vm: &VmId, demand: &Demand, received: Instant) {
         let mut demands = self.demands.borrow_mut();
-        // What came over another entry may be older than what is known.
+        // Demand relayed by another entry may be older than the demand that is stored.
         let is_old = demands.get(vm).is_some_and(|it| it.received >= received);
         if *vm == self.cfg.vm || is_old {
             return;
@@ -392,7 +392,7 @@
         self.outputs.demands.send_replace(Arc::new(demands.clone()));
     }
 
-    /// Lets the opener take an input, and sends out what it changed.
+    /// Applies an input to the opener and publishes the resulting changes.
     fn apply<T>(&self, input: impl FnOnce(&mut Opener, Instant) -> T) -> T {
         let mut opener = self.opener.borrow_mut();
         let now = Instant::now();
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the control protocol's shells.
+//! Errors of the control protocol's server and client.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,28 +6,28 @@
 
 use snafu::Snafu;
 
-/// The control protocol can't be started or spoken.
+/// The control protocol can't be started, or a call failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
     /// The listener can't be opened.
     #[snafu(display("can't listen on {addr}: {source}; set a free address for `listen.control`"))]
     Listen {
-        /// The address that was asked for.
+        /// The configured address.
         addr: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The thread of the control protocol can't be started.
     #[snafu(display("can't start the control thread: {source}; raise the VM's thread limit"))]
     Thread {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A metric is registered twice.
     #[snafu(display("can't register metrics: {source}; give each process one registry"))]
     Metrics {
-        /// What the registry says.
+        /// Error of the metrics registry.
         source: prometheus::Error,
     },
     /// The peer can't be reached.
@@ -35,7 +35,7 @@
     Connect {
         /// Address of the peer.
         addr: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The peer did not answer in time.
@@ -43,15 +43,15 @@
     Timeout {
         /// Address of the peer.
         addr: SocketAddr,
-        /// How long was waited.
+        /// The time-out.
         timeout: Duration,
     },
-    /// The peer broke off the call or refused it.
+    /// The peer closed the connection or rejected the call.
     #[snafu(display("the call to {addr} failed: {source}; ask another"))]
     Call {
         /// Address of the peer.
         addr: SocketAddr,
-        /// What the library says.
+        /// Error of the RPC library.
         source: capnp::Error,
     },
     /// The control thread has ended.
--- a/crates/control/src/events.rs
+++ b/crates/control/src/events.rs
@@ -11,13 +11,13 @@
     remedy: "Nothing.",
 };
 
-/// The listener refuses to accept.
+/// A connection could not be accepted.
 pub const ACCEPT_FAILED: Event = Event {
     id: 3001,
     name: "control-accept-failed",
     level: Level::Warn,
     meaning: "A connection to the control listener could not be accepted.",
-    remedy: "Look at the limit on open files if it goes on.",
+    remedy: "Check the limit on open files if the event recurs.",
 };
 
 /// A message was refused.
@@ -26,7 +26,7 @@
     name: "control-message-refused",
     level: Level::Warn,
     meaning: "A message of kind `kind` was malformed or over a limit and was refused.",
-    remedy: "Run the same version on both ends; look for a stranger on the control network.",
+    remedy: "Run the same version on both ends; check the control network for unknown senders.",
 };
 
 /// A peer can't be reached.
@@ -35,7 +35,7 @@
     name: "peer-lost",
     level: Level::Warn,
     meaning: "The process `vm` at `addr` can't be reached or doesn't answer.",
-    remedy: "Nothing if its VM is being replaced; look at the VM or the network otherwise.",
+    remedy: "Nothing if the VM is being replaced; otherwise check the VM and the network.",
 };
 
 /// A peer can be reached again.
@@ -61,11 +61,11 @@
     id: 3021,
     name: "entry-unsettled",
     level: Level::Warn,
-    meaning: "The entry stood still for too long: it grants no leases until it is in touch again.",
-    remedy: "Look at the VM's load or host if it comes often.",
+    meaning: "The entry was suspended for too long: it grants no leases until it has synced with its peers again.",
+    remedy: "Check the load of the VM and its host if the event is frequent.",
 };
 
-/// A switch was begun.
+/// A switch has started.
 pub const CLOSE_BEGUN: Event = Event {
     id: 3030,
     name: "close-begun",
@@ -89,7 +89,7 @@
     name: "state-learned",
     level: Level::Info,
     meaning: "Configuration up to `offset` came from the entry `vm`, ahead of the log.",
-    remedy: "Look at the log service if the entry itself can't read it.",
+    remedy: "Check the log service if the entry itself can't read the log.",
 };
 
 /// A directive had to be dropped.
@@ -97,8 +97,8 @@
     id: 3050,
     name: "directive-dropped",
     level: Level::Warn,
-    meaning: "The agent was too slow to take a directive of `entry`; it is asked for again.",
-    remedy: "Look at the VM's load if it comes often.",
+    meaning: "The agent's queue was full and a directive of `entry` was dropped; it is requested again.",
+    remedy: "Check the VM's load if the event is frequent.",
 };
 
 /// All events of this crate.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! The shells of the control protocol: the entry's server and the agent's client.
+//! I/O of the control protocol: the entry's server and the agent's client.
 //!
 //! [`EntryControl`] and [`AgentControl`] each run a thread of their own for `capnp-rpc` and talk to
-//! the rest of the process by channels. The entry's carries out what the opener of
-//! `wagtailreel-switch` decides: sync rounds among the entries of a data centre, and a directive
+//! the rest of the process by channels. The entry's thread executes the decisions of the opener of
+//! `wagtailreel-switch`: sync rounds among the entries of a data centre, and a directive
 //! for each report of an agent. [`pull_state`] takes the configuration from a peer.
 
 mod agent;
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, made again with a jittered backoff when they break.
+//! Connections to peers, re-established with a jittered backoff when they break.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,16 +22,16 @@
 use crate::events;
 use crate::metrics::Metrics;
 
-/// Shortest pause after a failed connection.
+/// First backoff after a failed connection.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest time that the listener pauses after it could not accept.
+/// Backoff of the listener after a failure to accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// Connections that a listener serves at once; far above the agents and entries of a data centre.
+/// Most connections that a listener serves at once, far above the agents and entries of a data centre.
 const MAX_CONNECTIONS: usize = 4096;
-/// Calls in a row without an answer after which the connection is made anew.
+/// Consecutive unanswered calls after which the connection is re-established.
 const MAX_UNANSWERED_CALLS: u32 = 4;
 
-/// A connection's task; it ends when this is dropped.
+/// A connection's client and its task, which is aborted on drop.
 struct Connection<C> {
     client: C,
     task: JoinHandle<()>,
@@ -50,7 +50,7 @@
     metrics: Metrics,
     max_backoff: Duration,
     connection: RefCell<Option<Connection<C>>>,
-    /// Held while a connection is being made, so that only one is.
+    /// Held while connecting, so that only one connection is made.
     connecting: Mutex<()>,
     backoff: Cell<Duration>,
     not_before: Cell<Option<Instant>>,
@@ -62,7 +62,7 @@
 where
     C: FromClientHook + Clone + 'static,
 {
-    /// Makes a link that pauses at most `max_backoff` between attempts to connect.
+    /// Creates a link that waits at most `max_backoff` between attempts to connect.
     pub(crate) fn new(vm: VmId, addr: SocketAddr, max_backoff: Duration, metrics: Metrics) -> Self {
         Self {
             vm,
@@ -86,18 +86,18 @@
         self.addr
     }
 
-    /// Returns when the next attempt may be made, if a pause is under way.
+    /// Returns when the next attempt to connect may be made, or `None` if there is no backoff.
     pub(crate) fn retry_at(&self) -> Option<Instant> {
         self.not_before
             .get()
             .filter(|not_before| *not_before > Instant::now())
     }
 
-    /// Calls the peer, connecting first if need be. The whole takes at most `limit`.
+    /// Calls the peer, connecting first if necessary. Both together take at most `limit`.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlError`] if the peer can't be reached, breaks off the call or doesn't
+    /// Returns a [`ControlError`] if the peer can't be reached, closes the connection or doesn't
     /// answer in time.
     pub(crate) async fn call<T, F>(
         &self,
@@ -124,7 +124,7 @@
         result
     }
 
-    /// Breaks off the connection, so that the next call makes a new one.
+    /// Closes the connection, so that the next call makes a new one.
     pub(crate) fn reset(&self) {
         self.connection.replace(None);
     }
@@ -149,7 +149,7 @@
     fn record_result<T>(&self, result: &Result<T, ControlError>) {
         match result {
             Ok(_) => self.record_answer(),
-            // A peer that is silent may be frozen: its connection is kept, for a while.
+            // A peer that doesn't answer may be suspended: its connection is kept for a few calls.
             Err(ControlError::Timeout { .. }) => {
                 self.unanswered_calls.set(self.unanswered_calls.get() + 1);
                 if self.unanswered_calls.get() >= MAX_UNANSWERED_CALLS {
@@ -173,7 +173,7 @@
         self.reset();
         self.unanswered_calls.set(0);
         let backoff = self.backoff.get();
-        // Jitter keeps peers of a process that went away from coming back all at once.
+        // Jitter keeps the peers of a failed process from reconnecting all at once.
         let delay = backoff.mul_f64(rand::random_range(0.5..1.0));
         self.not_before.set(Some(Instant::now() + delay));
         self.backoff.set((backoff * 2).min(self.max_backoff));
@@ -187,7 +187,7 @@
     }
 }
 
-/// Speaks the protocol over `stream` as its client. The task ends with the connection.
+/// Starts an RPC client over `stream`. The task ends with the connection.
 pub(crate) fn connect<C>(stream: CountedStream) -> (C, JoinHandle<()>)
 where
     C: FromClientHook,
@@ -197,7 +197,7 @@
     let mut system = RpcSystem::new(Box::new(network), None);
     let client = system.bootstrap(Side::Server);
     let task = spawn_local(async move {
-        // The calls under way see the error themselves.
+        // Each call in flight returns the error itself.
         let _ = system.await;
     });
     (client, task)
@@ -221,7 +221,7 @@
                 let network = twoparty::VatNetwork::new(rx, tx, Side::Server, reader_options());
                 let system = RpcSystem::new(Box::new(network), Some(bootstrap.clone()));
                 connections.spawn_local(async move {
-                    // A broken connection is the client's to make again.
+                    // The client re-establishes a broken connection.
                     let _ = system.await;
                 });
             }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -9,7 +9,7 @@
 /// Bytes of one word of a message.
 const WORD_BYTES: u64 = 8;
 
-/// Kinds of messages, as the metrics name them.
+/// Kinds of messages, the values of the metrics' `kind` label.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Kind {
     Report,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Metrics of either side; each process registers them once.
+/// Metrics of the entry's and the agent's side. Each process registers them once.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     sent: IntCounterVec,
@@ -59,12 +59,12 @@
         Ok(metrics)
     }
 
-    /// Makes metrics that nobody reads, for a single call.
+    /// Creates metrics that are not exported, for a single call.
     pub(crate) fn unregistered() -> Result<Self, ControlError> {
         Self::make().context(MetricsSnafu)
     }
 
-    /// Counts a message that goes out, of `words` words without its envelope.
+    /// Counts a sent message of `words` words without its envelope.
     pub(crate) fn sent(&self, kind: Kind, words: u64) {
         self.sent.with_label_values(&[kind.name()]).inc();
         self.sent_payload
@@ -72,7 +72,7 @@
             .inc_by(words * WORD_BYTES);
     }
 
-    /// Counts a message that came in, of `words` words without its envelope.
+    /// Counts a received message of `words` words without its envelope.
     pub(crate) fn received(&self, kind: Kind, words: u64) {
         self.received.with_label_values(&[kind.name()]).inc();
         self.received_payload
--- a/crates/control/src/pull.rs
+++ b/crates/control/src/pull.rs
@@ -1,4 +1,4 @@
-//! Taking the configuration from a peer.
+//! Pulls the configuration from a peer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 
 /// Asks the entry or agent at `addr` for its configuration.
 ///
-/// The call runs on a thread of its own, since the protocol's types stay on one thread. It is
-/// meant for a process that starts while the platform is away.
+/// The call runs on a thread of its own, since the types of `capnp-rpc` are not `Send`. It is
+/// meant for a process that starts while the platform is unreachable.
 ///
 /// # Errors
 ///
 /// Returns a [`ControlError`] if the peer can't be reached, does not answer within `timeout` or
-/// breaks off the call, or if no thread can be started.
+/// closes the connection, or if no thread can be started.
 pub async fn pull_state(addr: SocketAddr, timeout: Duration) -> Result<StateView, ControlError> {
     let (tx, rx) = oneshot::channel();
     spawn("pull-state", std::future::pending(), move || async move {
-        // The caller may have gone away meanwhile.
+        // The caller may have dropped the receiver.
         let _ = tx.send(pull(addr, timeout).await);
     })?;
     match rx.await {
--- a/crates/control/src/thread.rs
+++ b/crates/control/src/thread.rs
@@ -1,4 +1,4 @@
-//! The thread on which `capnp-rpc` runs, since its types stay on one thread.
+//! The thread on which `capnp-rpc` runs, since its types are not `Send`.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -13,7 +13,7 @@
 use crate::ControlError;
 use crate::error::{ListenSnafu, ThreadSnafu};
 
-/// Tells a control thread to stop; clones share it.
+/// Stop signal of a control thread. Clones share it.
 #[derive(Clone, Debug)]
 pub(crate) struct Stopper(watch::Sender<bool>);
 
@@ -30,7 +30,7 @@
     pub(crate) fn stopped(&self) -> impl Future<Output = ()> + use<> {
         let mut rx = self.0.subscribe();
         async move {
-            // An error means that no handle is left, which stops the thread as well.
+            // An error means that the last handle was dropped, which stops the thread as well.
             let _ = rx.wait_for(|stop| *stop).await;
         }
     }
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Hands a listener to the runtime of the thread that calls this.
+/// Registers a listener with the runtime of the calling thread.
 pub(crate) fn adopt(listener: StdListener) -> io::Result<TcpListener> {
     TcpListener::from_std(listener)
 }
--- a/crates/control/src/urgent.rs
+++ b/crates/control/src/urgent.rs
@@ -1,8 +1,8 @@
-//! Which changes of a report can't wait.
+//! Which changes of a report are urgent.
 
 use wagtailreel_core::Report;
 
-/// Says whether routing or a switch depends on what changed in a report.
+/// Returns whether routing or a switch depends on a changed field of a report.
 pub(crate) fn is_urgent(before: &Report, after: &Report) -> bool {
     before.incarnation != after.incarnation
         || before.data != after.data
