--- a/crates/control/tests/demand.rs
+++ b/crates/control/tests/demand.rs
@@ -1,4 +1,4 @@
-//! The demand of all entries, over data centres too.
+//! Exchange of demand among entries, within and between data centres.
 
 mod fleet;
 
@@ -40,7 +40,7 @@
         entry.control.set_demand(demand(rate));
     }
     introduce(&entries.each_ref());
-    until("every entry hears the demand of the two others", || {
+    until("every entry has the demand of the two others", || {
         entries.iter().all(|by| {
             let others = [1.0, 2.0, 3.0].into_iter().zip(&entries);
             let mut others = others.filter(|(_, of)| of.vm.vm != by.vm.vm);
@@ -49,18 +49,18 @@
     })
     .await;
     let there = &entries[2];
-    // Demand that stays the same is heard again all the same.
+    // Unchanged demand is received again, with a newer time.
     let before = received_at(there, "qh-e2");
-    until("the same is heard later", || {
+    until("unchanged demand is received again", || {
         received_at(there, "qh-e2") > before
     })
     .await;
-    // Of a data centre that is cut off the last word stays, with its time.
+    // The last demand of an unreachable data centre stays, with its time.
     entries[0].control.stop();
     entries[1].control.stop();
     let mut cut = received_at(there, "qh-e2");
     let mut since = Instant::now();
-    until("nothing more is heard", || {
+    until("no more demand is received", || {
         let now = received_at(there, "qh-e2");
         if now > cut {
             (cut, since) = (now, Instant::now());
--- a/crates/control/tests/fleet/mod.rs
+++ b/crates/control/tests/fleet/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) const HERE: &str = "quito-hall";
 pub(crate) const THERE: &str = "guayaquil-hall";
 pub(crate) const LEASE: Duration = Duration::from_millis(800);
-/// Bound on every wait.
+/// Time-out of every wait.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn loopback() -> SocketAddr {
@@ -69,7 +69,7 @@
     }
 }
 
-/// An agent whose engine has every bundle as soon as it is asked for.
+/// An agent whose engine has every bundle as soon as it is requested.
 pub(crate) struct Agent {
     pub(crate) control: AgentControl,
     pub(crate) gate: Arc<Mutex<Gate>>,
@@ -209,7 +209,7 @@
     }
 }
 
-/// Waits until `condition` holds, and fails if it doesn't in good time.
+/// Waits until `condition` holds, and fails after the time-out.
 pub(crate) async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
--- a/crates/control/tests/flip.rs
+++ b/crates/control/tests/flip.rs
@@ -1,4 +1,4 @@
-//! A data centre of two entries and three agents over loopback.
+//! Switches of epochs in a data centre of two entries and three agents over loopback.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
@@ -12,7 +12,7 @@
 use fleet::{Agent, Entry, HERE, introduce, metric, state, until};
 use wagtailreel_core::Epoch;
 
-/// Looks at all gates all the time, and keeps the first pair of epochs seen admitted at once.
+/// Checks all gates continuously and keeps the first pair of epochs that were admitted at once.
 fn watch_gates(
     agents: &[Agent],
     stop: &Arc<AtomicBool>,
@@ -21,7 +21,7 @@
     let stop = Arc::clone(stop);
     thread::spawn(move || {
         while !stop.load(Ordering::Relaxed) {
-            // All locked at once: what is seen is one instant.
+            // All are locked together, so that the check is of a single instant.
             let gates: Vec<_> = gates.iter().map(|gate| gate.lock().unwrap()).collect();
             let now = Instant::now();
             let mut open = gates.iter().filter_map(|gate| gate.admit(now, None).ok());
@@ -67,8 +67,8 @@
         "two epochs were admitted at once"
     );
     for entry in &entries {
-        // An agent opens a message earlier than its entries hear of it.
-        until("the entry sees it", || {
+        // An agent opens an epoch one message before its entries learn of that.
+        until("the entry receives the report", || {
             let view = entry.view();
             view.len() == 3 && view.values().all(|agent| agent.report.open == Some(30))
         })
@@ -80,7 +80,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_dies() {
-    // Long enough that a busy machine doesn't let a lease lapse.
+    // Long enough that no lease expires on a busy machine.
     let lease = Duration::from_secs(2);
     let entries = ["qh-e1", "qh-e2"].map(|vm| Entry::with_lease(vm, HERE, lease));
     let refs: Vec<&Entry> = entries.iter().collect();
@@ -94,7 +94,7 @@
     }
     until("the first epoch is open", || all_admit(&agents, 10)).await;
     entries[0].control.stop();
-    // The other keeps the leases alive all the while, and then switches alone.
+    // The other entry renews the leases meanwhile, and then switches alone.
     let start = Instant::now();
     while start.elapsed() < lease * 2 {
         assert!(all_admit(&agents, 10), "an agent lost its lease");
@@ -128,7 +128,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_peer() {
-    // It accepts connections and says nothing, as a process that stands still does.
+    // The listener accepts connections and sends nothing, as a suspended process does.
     let silent = std::net::TcpListener::bind(fleet::loopback()).unwrap();
     let entry = Entry::start("qh-e1", HERE);
     let mut frozen = Entry::start("qh-e2", HERE);
--- a/crates/control/tests/state.rs
+++ b/crates/control/tests/state.rs
@@ -1,4 +1,4 @@
-//! How configuration, lists and reports get from one process to another.
+//! Transfer of configuration, lists and reports between processes.
 
 mod fleet;
 
@@ -19,8 +19,11 @@
     introduce(&[&ahead, &behind]);
     ahead.control.set_state(state(10, 1));
     let learned = behind.control.learned();
-    until("the state is learned", || *learned.borrow() == state(10, 1)).await;
-    // A lower state reverts nothing.
+    until("the state is received from the peer", || {
+        *learned.borrow() == state(10, 1)
+    })
+    .await;
+    // A state with a lower offset changes nothing.
     behind.control.set_state(state(5, 1));
     let pulled = pull_state(behind.control.addr(), PULL_TIMEOUT)
         .await
@@ -44,7 +47,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_peer() {
-    // It accepts connections and says nothing, as a frozen process does.
+    // The listener accepts connections and sends nothing, as a suspended process does.
     let silent = std::net::TcpListener::bind(loopback()).unwrap();
     let addr = silent.local_addr().unwrap();
     let error = pull_state(addr, Duration::from_millis(50))
@@ -69,12 +72,15 @@
     let ours = upstream("qh-u1", SERVICE);
     let list = vec![ours.clone(), upstream("qh-u9", "proof-desk")];
     entry.control.set_vms(list);
-    until("the peers come", || {
+    until("the agent has its peers", || {
         *agent.peers.lock().unwrap() == [ours.clone()]
     })
     .await;
     entry.control.set_vms(Vec::new());
-    until("the peers go", || agent.peers.lock().unwrap().is_empty()).await;
+    until("the agent has no peers", || {
+        agent.peers.lock().unwrap().is_empty()
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -90,10 +96,10 @@
         view.get("qh-u1").is_some_and(|agent| agent.remote)
     })
     .await;
-    // An entry serves the agents of its own data centre alone.
+    // An entry serves only the agents of its own data centre.
     let stray = Agent::start("qh-u2", &[&there]);
     there.control.set_state(state(10, 1));
-    until("the stray reports", || {
+    until("the agent of the other data centre reports", || {
         metric(
             &there.registry,
             "wagtailreel_control_messages_received_total",
