--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -160,7 +160,7 @@
     let cfg = AgentControlConfig {
         vm: settings.vm.clone(),
         listen: settings.listen.control,
-        report_every: settings.report,
+        report_interval: settings.report,
     };
     AgentControl::start(cfg, registry).context(ControlSnafu)
 }
--- a/crates/control/src/agent/mod.rs
+++ b/crates/control/src/agent/mod.rs
@@ -32,7 +32,7 @@
     /// Address to listen on; port 0 takes any.
     pub listen: SocketAddr,
     /// Time between reports when nothing changes.
-    pub report_every: Duration,
+    pub report_interval: Duration,
 }
 
 /// A directive, with what the gate needs to compute the end of its lease.
--- a/crates/control/src/agent/reporter.rs
+++ b/crates/control/src/agent/reporter.rs
@@ -104,7 +104,7 @@
             }
             continue;
         };
-        let due = Instant::now() + reporter.shell.cfg.report_every;
+        let due = Instant::now() + reporter.shell.cfg.report_interval;
         // The link records a failure; the next report is sent in any case.
         let _ = reporter.report(&report).await;
         wait_until_urgent(&mut reports, &report, due).await;
@@ -182,7 +182,7 @@
 
     async fn watch(&self, vm: &str, incarnation: u64) -> Result<(), ControlError> {
         let seen = self.state.seen.get();
-        let wait = self.shell.cfg.report_every;
+        let wait = self.shell.cfg.report_interval;
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
         let call = |client: entry::Client| async move {
--- a/crates/control/tests/fleet/mod.rs
+++ b/crates/control/tests/fleet/mod.rs
@@ -89,7 +89,7 @@
         let cfg = AgentControlConfig {
             vm: vm.to_owned(),
             listen: loopback(),
-            report_every: Duration::from_millis(100),
+            report_interval: Duration::from_millis(100),
         };
         let control = AgentControl::start(cfg, &Registry::new()).unwrap();
         let gate = Arc::new(Mutex::new(Gate::new()));
--- a/crates/entry/tests/common/agent.rs
+++ b/crates/entry/tests/common/agent.rs
@@ -101,7 +101,7 @@
         let cfg = AgentControlConfig {
             vm: vm.to_owned(),
             listen: unused_addr(),
-            report_every: Duration::from_millis(100),
+            report_interval: Duration::from_millis(100),
         };
         let control = AgentControl::start(cfg, &Registry::new()).unwrap();
         let inner = Arc::new(Inner {
