--- a/crates/control/src/agent/reporter.rs
+++ b/crates/control/src/agent/reporter.rs
@@ -39,7 +39,7 @@
     shell: Rc<Shell>,
     vm: VmId,
     link: Link<entry::Client>,
-    state: ConnectionState,
+    conn: ConnectionState,
 }
 
 /// A reporter's tasks, aborted on drop.
@@ -81,7 +81,7 @@
         shell: Rc::clone(shell),
         vm: vm.clone(),
         link,
-        state: ConnectionState::default(),
+        conn: ConnectionState::default(),
     });
     ReporterTasks {
         addr,
@@ -139,7 +139,7 @@
         };
         if reporter.watch(&vm, incarnation).await.is_err() {
             // The entry may have restarted, so what was received from it may be out of date.
-            reporter.reset_state();
+            reporter.reset_conn();
         }
     }
 }
@@ -159,7 +159,7 @@
     }
 
     async fn report(&self, report: &Report) -> Result<(), ControlError> {
-        let seen = self.state.seen.get();
+        let seen = self.conn.seen.get();
         // Read before the message is sent: the lease in the answer starts at this time.
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
@@ -181,7 +181,7 @@
     }
 
     async fn watch(&self, vm: &str, incarnation: u64) -> Result<(), ControlError> {
-        let seen = self.state.seen.get();
+        let seen = self.conn.seen.get();
         let wait = self.shell.cfg.report_interval;
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
@@ -212,7 +212,7 @@
             peers_version,
             has_peers,
         } = message;
-        let before = self.state.seen.get();
+        let before = self.conn.seen.get();
         let mut seen = Seen {
             close_below: directive.close_below,
             open: directive.open,
@@ -221,10 +221,10 @@
             peers_version: before.peers_version,
         };
         if has_peers {
-            self.state.peers.replace(directive.peers);
+            self.conn.peers.replace(directive.peers);
             seen.peers_version = peers_version;
         }
-        directive.peers = self.state.peers.borrow().clone();
+        directive.peers = self.conn.peers.borrow().clone();
         if let Some(state) = &directive.state {
             seen.revision = seen.revision.max(state.revision);
         }
@@ -235,12 +235,12 @@
         });
         // The entry must resend a directive that the agent's queue did not accept.
         if taken {
-            self.state.seen.set(seen);
+            self.conn.seen.set(seen);
         }
     }
 
-    fn reset_state(&self) {
-        self.state.seen.set(Seen::default());
-        self.state.peers.replace(Vec::new());
+    fn reset_conn(&self) {
+        self.conn.seen.set(Seen::default());
+        self.conn.peers.replace(Vec::new());
     }
 }
--- a/crates/control/src/entry/shell.rs
+++ b/crates/control/src/entry/shell.rs
@@ -447,7 +447,8 @@
     }
 
     fn wake_watchers(&self) {
-        self.directive_changes.send_modify(|version| *version += 1);
+        self.directive_changes
+            .send_modify(|directive_changes| *directive_changes += 1);
     }
 
     fn log_epochs(&self, service: &str, epochs: (Option<Epoch>, Epoch)) {
--- a/crates/control/src/events.rs
+++ b/crates/control/src/events.rs
@@ -61,7 +61,7 @@
     id: 3021,
     name: "entry-unsettled",
     level: Level::Warn,
-    meaning: "The entry was suspended for too long: it grants no leases until it has synced with its peers again.",
+    meaning: "The entry was suspended for too long: it grants no leases until it syncs with its peers.",
     remedy: "Check the load of the VM and its host if the event is frequent.",
 };
 
