--- a/crates/control/src/agent/reporter.rs
+++ b/crates/control/src/agent/reporter.rs
@@ -1,4 +1,4 @@
-//! Reports to each entry, and the directives that come back.
+//! Sends reports to each entry and receives directives in answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,16 +20,16 @@
 use crate::metrics::Kind;
 use crate::urgent::is_urgent;
 
-/// Longest time for an answer to a report.
+/// Time-out of a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for an answer to a hanging call, above the wait that it asks for.
+/// Time-out of a hanging call, in addition to the wait that the call asks for.
 const WATCH_SLACK: Duration = Duration::from_millis(500);
-/// Longest pause between attempts to connect to an entry.
+/// Longest backoff between attempts to connect to an entry.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What the agent has seen of one entry over the present connection.
+/// What the agent has received from one entry over the present connection.
 #[derive(Default)]
-struct Memory {
+struct ConnectionState {
     seen: Cell<Seen>,
     peers: RefCell<Vec<VmEntry>>,
 }
@@ -39,16 +39,16 @@
     shell: Rc<Shell>,
     vm: VmId,
     link: Link<entry::Client>,
-    memory: Memory,
+    conn: ConnectionState,
 }
 
-/// A reporter's tasks; they end when this is dropped.
-struct Running {
+/// A reporter's tasks, aborted on drop.
+struct ReporterTasks {
     addr: SocketAddr,
     tasks: [JoinHandle<()>; 2],
 }
 
-impl Drop for Running {
+impl Drop for ReporterTasks {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -56,10 +56,10 @@
     }
 }
 
-/// Reports to each of the entries that are set, until no handle is left.
+/// Sends reports to each of the configured entries until the last handle is dropped.
 pub(crate) async fn run_reporters(shell: Rc<Shell>) {
     let mut entries = shell.entries();
-    let mut running: BTreeMap<VmId, Running> = BTreeMap::new();
+    let mut running: BTreeMap<VmId, ReporterTasks> = BTreeMap::new();
     loop {
         let wanted: BTreeMap<VmId, SocketAddr> =
             entries.borrow_and_update().iter().cloned().collect();
@@ -75,24 +75,24 @@
     }
 }
 
-fn start(shell: &Rc<Shell>, vm: &VmId, addr: SocketAddr) -> Running {
+fn start(shell: &Rc<Shell>, vm: &VmId, addr: SocketAddr) -> ReporterTasks {
     let link = Link::new(vm.clone(), addr, MAX_BACKOFF, shell.metrics().clone());
     let reporter = Rc::new(Reporter {
         shell: Rc::clone(shell),
         vm: vm.clone(),
         link,
-        memory: Memory::default(),
+        conn: ConnectionState::default(),
     });
-    Running {
+    ReporterTasks {
         addr,
         tasks: [
             spawn_local(send_reports(Rc::clone(&reporter))),
-            spawn_local(watch_for_news(reporter)),
+            spawn_local(watch_entry(reporter)),
         ],
     }
 }
 
-/// Reports at each interval, and at once when something urgent changes.
+/// Sends a report at each interval, and at once after an urgent change.
 async fn send_reports(reporter: Rc<Reporter>) {
     let mut reports = reporter.shell.reports();
     loop {
@@ -104,8 +104,8 @@
             }
             continue;
         };
-        let due = Instant::now() + reporter.shell.cfg.report_every;
-        // A failure is noted by the link; the next report follows all the same.
+        let due = Instant::now() + reporter.shell.cfg.report_interval;
+        // The link records a failure; the next report is sent in any case.
         let _ = reporter.report(&report).await;
         wait_until_urgent(&mut reports, &report, due).await;
     }
@@ -122,12 +122,12 @@
             .as_ref()
             .is_some_and(|report| is_urgent(sent, report))
     });
-    // Either way it is time for the next report.
+    // The next report is due in both cases.
     let _ = timeout_at(due.into(), urgent).await;
 }
 
-/// Keeps one hanging call at the entry, so that its news come without delay.
-async fn watch_for_news(reporter: Rc<Reporter>) {
+/// Keeps one hanging call open at the entry, so that new directives arrive without delay.
+async fn watch_entry(reporter: Rc<Reporter>) {
     let mut reports = reporter.shell.reports();
     loop {
         reporter.wait_for_link().await;
@@ -138,8 +138,8 @@
             continue;
         };
         if reporter.watch(&vm, incarnation).await.is_err() {
-            // What was seen may be of another start of the entry.
-            reporter.forget();
+            // The entry may have restarted, so what was received from it may be out of date.
+            reporter.reset_conn();
         }
     }
 }
@@ -151,16 +151,16 @@
 }
 
 impl Reporter {
-    /// Waits out the pause after a failure.
+    /// Waits until the backoff after a failure has passed.
     async fn wait_for_link(&self) {
-        while let Some(until) = self.link.pause() {
+        while let Some(until) = self.link.retry_at() {
             sleep_until(until.into()).await;
         }
     }
 
     async fn report(&self, report: &Report) -> Result<(), ControlError> {
-        let seen = self.memory.seen.get();
-        // Taken before anything is sent: the lease of the answer runs from here.
+        let seen = self.conn.seen.get();
+        // Read before the message is sent: the lease in the answer starts at this time.
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
         let call = |client: entry::Client| async move {
@@ -176,13 +176,13 @@
             Ok(read_directive(response.get_directive()?)?)
         };
         let message = self.link.call(REPORT_TIMEOUT, call).await?;
-        self.take(sent_at, message);
+        self.on_directive(sent_at, message);
         Ok(())
     }
 
     async fn watch(&self, vm: &str, incarnation: u64) -> Result<(), ControlError> {
-        let seen = self.memory.seen.get();
-        let wait = self.shell.cfg.report_every;
+        let seen = self.conn.seen.get();
+        let wait = self.shell.cfg.report_interval;
         let sent_at = Instant::now();
         let metrics = self.shell.metrics();
         let call = |client: entry::Client| async move {
@@ -201,18 +201,18 @@
             Ok(read_directive(response.get_directive()?)?)
         };
         let message = self.link.call(wait + WATCH_SLACK, call).await?;
-        self.take(sent_at, message);
+        self.on_directive(sent_at, message);
         Ok(())
     }
 
-    /// Hands a directive to the agent, with the whole list of peers, and notes what was seen.
-    fn take(&self, sent_at: Instant, message: DirectiveMessage) {
+    /// Passes a directive to the agent, with the whole list of peers, and records what was received.
+    fn on_directive(&self, sent_at: Instant, message: DirectiveMessage) {
         let DirectiveMessage {
             mut directive,
             peers_version,
             has_peers,
         } = message;
-        let before = self.memory.seen.get();
+        let before = self.conn.seen.get();
         let mut seen = Seen {
             close_below: directive.close_below,
             open: directive.open,
@@ -221,10 +221,10 @@
             peers_version: before.peers_version,
         };
         if has_peers {
-            self.memory.peers.replace(directive.peers);
+            self.conn.peers.replace(directive.peers);
             seen.peers_version = peers_version;
         }
-        directive.peers = self.memory.peers.borrow().clone();
+        directive.peers = self.conn.peers.borrow().clone();
         if let Some(state) = &directive.state {
             seen.revision = seen.revision.max(state.revision);
         }
@@ -233,14 +233,14 @@
             sent_at,
             directive,
         });
-        // What the agent didn't take is to be sent again.
+        // The entry must resend a directive that the agent's queue did not accept.
         if taken {
-            self.memory.seen.set(seen);
+            self.conn.seen.set(seen);
         }
     }
 
-    fn forget(&self) {
-        self.memory.seen.set(Seen::default());
-        self.memory.peers.replace(Vec::new());
+    fn reset_conn(&self) {
+        self.conn.seen.set(Seen::default());
+        self.conn.peers.replace(Vec::new());
     }
 }
--- a/crates/control/src/entry/shell.rs
+++ b/crates/control/src/entry/shell.rs
@@ -1,4 +1,4 @@
-//! State of an entry's control thread: the opener, and what goes with it.
+//! State of an entry's control thread: the opener, and the agents and demand that the entry knows.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,17 +22,17 @@
 use crate::metrics::Metrics;
 use crate::urgent::is_urgent;
 
-/// How long an agent that fell silent stays in the published map.
-const FORGET_AGENT: Duration = Duration::from_secs(60);
+/// How long an agent that sends no reports stays in the published map.
+const AGENT_TTL: Duration = Duration::from_secs(60);
 
-/// How long the demand of an entry that fell silent stays published. Who deals shares by it keeps
-/// the last share of such an entry by itself.
-const FORGET_DEMAND: Duration = Duration::from_secs(60);
+/// How long the demand of an entry that sends no more of it stays published. Code that divides shares
+/// by demand keeps the last share of such an entry itself.
+const DEMAND_TTL: Duration = Duration::from_secs(60);
 
 /// Links to entries, by VM.
 pub(crate) type EntryLinks = BTreeMap<VmId, Rc<Link<entry::Client>>>;
 
-/// The VMs of a service, with a number that changes when they do.
+/// The VMs of a service, with a version that changes when they do.
 #[derive(Debug, Default)]
 struct PeerList {
     version: u64,
@@ -56,10 +56,10 @@
     demand: RefCell<Demand>,
     /// Demand of the other entries.
     demands: RefCell<BTreeMap<VmId, DemandView>>,
-    /// The entries of this data centre among them, whose demand other data centres are told.
+    /// Those of the other entries that are in this data centre. Their demand is sent to other data centres.
     demands_here: RefCell<BTreeSet<VmId>>,
-    /// Counts up to wake the agents' hanging calls.
-    news: watch::Sender<u64>,
+    /// Incremented to wake the agents' hanging calls.
+    directive_changes: watch::Sender<u64>,
     round_due: Notify,
     publish_due: Notify,
 }
@@ -93,7 +93,7 @@
             demand: RefCell::default(),
             demands: RefCell::default(),
             demands_here: RefCell::default(),
-            news: watch::Sender::new(0),
+            directive_changes: watch::Sender::new(0),
             round_due: Notify::new(),
             publish_due: Notify::new(),
         }
@@ -121,18 +121,18 @@
         self.publish_due.notified().await;
     }
 
-    /// Returns the channel that changes when hanging calls have to look again.
-    pub(crate) fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    /// Returns the channel that changes when hanging calls must check their directive again.
+    pub(crate) fn directive_changes(&self) -> watch::Receiver<u64> {
+        self.directive_changes.subscribe()
     }
 
     pub(crate) fn set_state(&self, state: &StateView) {
-        self.act(|opener, now| opener.on_state(now, state));
+        self.apply(|opener, now| opener.on_state(now, state));
     }
 
-    /// Takes in configuration that a peer gave, and hands it to the entry's fold.
-    pub(crate) fn learn(&self, from: &str, state: &StateView) {
-        if !self.act(|opener, now| opener.on_state(now, state)) {
+    /// Applies configuration from a peer and passes it to the entry's fold.
+    pub(crate) fn merge_state(&self, from: &str, state: &StateView) {
+        if !self.apply(|opener, now| opener.on_state(now, state)) {
             return;
         }
         let offset = state.offset.to_string();
@@ -146,7 +146,7 @@
 
     pub(crate) fn set_entries(&self, entries: &[VmEntry]) {
         *self.entries.borrow_mut() = entries.to_vec();
-        self.act(|opener, now| opener.on_entries(now, entries));
+        self.apply(|opener, now| opener.on_entries(now, entries));
         self.round_due.notify_one();
     }
 
@@ -163,7 +163,7 @@
     }
 
     pub(crate) fn set_vms(&self, vms: &[VmEntry]) {
-        self.act(|opener, now| opener.on_vms(now, vms));
+        self.apply(|opener, now| opener.on_vms(now, vms));
         let mut by_service: BTreeMap<ServiceName, Vec<VmEntry>> = BTreeMap::new();
         for vm in vms {
             if let Some(service) = &vm.service {
@@ -183,34 +183,34 @@
             }
         }
         drop(lists);
-        self.wake();
+        self.wake_watchers();
     }
 
     pub(crate) fn set_demand(&self, demand: &Demand) {
         *self.demand.borrow_mut() = demand.clone();
     }
 
-    /// Takes in an agent's report and returns the directive that answers it.
+    /// Applies an agent's report and returns the directive that answers it.
     pub(crate) fn on_report(&self, report: Report, seen: &Seen) -> DirectiveMessage {
         let vm = report.vm.clone();
         let service = report.service.clone();
-        if !self.act(|opener, now| opener.on_report(now, &report)) {
+        if !self.apply(|opener, now| opener.on_report(now, &report)) {
             return self.refusal();
         }
-        self.view(report);
-        self.granted(self.message(&vm, &service, seen))
+        self.store_report(report);
+        self.count_grant(self.message(&vm, &service, seen))
     }
 
-    /// Notes that an agent waits for news. Returns its service if it is known.
+    /// Records that an agent has a hanging call. Returns the agent's service if the entry knows it.
     pub(crate) fn on_watch(&self, vm: &str, incarnation: Incarnation) -> Option<ServiceName> {
-        if !self.act(|opener, now| opener.on_watch(now, vm, incarnation)) {
+        if !self.apply(|opener, now| opener.on_watch(now, vm, incarnation)) {
             return None;
         }
         let views = self.views.borrow();
         views.get(vm).map(|view| view.report.service.clone())
     }
 
-    /// Returns the directive for an agent as of now, and whether it differs from what is seen.
+    /// Returns the directive for an agent as of now, and whether it differs from `seen`.
     pub(crate) fn directive(
         &self,
         vm: &str,
@@ -227,8 +227,8 @@
         (message, differs)
     }
 
-    /// Counts a directive that goes out.
-    pub(crate) fn granted(&self, message: DirectiveMessage) -> DirectiveMessage {
+    /// Counts a directive that is sent.
+    pub(crate) fn count_grant(&self, message: DirectiveMessage) -> DirectiveMessage {
         if message.directive.open.is_some() {
             self.metrics.lease_grants.inc();
         }
@@ -247,7 +247,7 @@
     /// Starts a sync round and returns the peers to call.
     pub(crate) fn start_round(&self, now: Instant) -> BTreeMap<VmId, SocketAddr> {
         self.metrics.sync_rounds.inc();
-        self.act(|opener, _| opener.on_round(now));
+        self.apply(|opener, _| opener.on_round(now));
         let opener = self.opener.borrow();
         let peers = opener.peers();
         self.metrics
@@ -257,26 +257,26 @@
     }
 
     pub(crate) fn on_peer_answer(&self, started: Instant, state: &PeerState) {
-        self.act(|opener, now| opener.on_peer_answer(now, started, state));
+        self.apply(|opener, now| opener.on_peer_answer(now, started, state));
         self.on_peer_demand(state);
     }
 
     pub(crate) fn on_peer_call(&self, state: &PeerState) {
-        self.act(|opener, now| opener.on_peer_call(now, state));
+        self.apply(|opener, now| opener.on_peer_call(now, state));
         self.on_peer_demand(state);
     }
 
     pub(crate) fn on_peer_failure(&self, started: Instant, vm: &str) {
         self.metrics.sync_failures.inc();
-        self.act(|opener, now| opener.on_peer_failure(now, started, vm));
+        self.apply(|opener, now| opener.on_peer_failure(now, started, vm));
     }
 
-    /// Says whether a peer at `offset` has configuration that this entry lacks.
+    /// Returns whether a peer at `offset` has configuration that this entry lacks.
     pub(crate) fn lacks(&self, offset: u64) -> bool {
         offset > self.opener.borrow().state().offset
     }
 
-    /// Returns what this entry tells the others of its data centre.
+    /// Returns the state that this entry sends to the others of its data centre.
     pub(crate) fn peer_state(&self) -> PeerState {
         let mut state = self.opener.borrow().peer_state(Instant::now());
         state.demand = self.demand.borrow().clone();
@@ -284,7 +284,7 @@
     }
 
     /// Returns the latest reports of the agents of this data centre, with their ages.
-    pub(crate) fn own_agents(&self) -> Vec<(Arc<Report>, Duration)> {
+    pub(crate) fn local_agents(&self) -> Vec<(Arc<Report>, Duration)> {
         let now = Instant::now();
         self.views
             .borrow()
@@ -297,13 +297,13 @@
             .collect()
     }
 
-    /// Takes in the reports of another data centre's agents, with their ages.
+    /// Applies the reports of another data centre's agents, with their ages.
     pub(crate) fn on_remote_agents(&self, agents: Vec<(Report, Duration)>) {
         let now = Instant::now();
         let mut views = self.views.borrow_mut();
         for (report, age) in agents {
             let vm = report.vm.clone();
-            // Another entry was asked last time, which may have heard more.
+            // The last poll may have gone to another entry, with newer reports.
             let known = views.get(&vm).is_some_and(|view| {
                 let known = (view.report.incarnation, view.report.sequence);
                 known > (report.incarnation, report.sequence)
@@ -322,7 +322,7 @@
     }
 
     /// Returns the demand of the entries of this data centre, this one included.
-    pub(crate) fn own_demands(&self) -> Vec<EntryDemand> {
+    pub(crate) fn local_demands(&self) -> Vec<EntryDemand> {
         let now = Instant::now();
         let here = self.demands_here.borrow();
         let demands = self.demands.borrow();
@@ -340,25 +340,25 @@
         std::iter::once(own).chain(others).collect()
     }
 
-    /// Takes in the demand of another data centre's entries.
+    /// Applies the demand of another data centre's entries.
     pub(crate) fn on_remote_demands(&self, demands: &[EntryDemand]) {
         let now = Instant::now();
         for EntryDemand { vm, demand, age } in demands {
             if !self.demands_here.borrow().contains(vm) {
-                self.note_demand(vm, demand, now.checked_sub(*age).unwrap_or(now));
+                self.store_demand(vm, demand, now.checked_sub(*age).unwrap_or(now));
             }
         }
         self.publish_demands();
     }
 
-    /// Publishes the agents' reports if there is anything new.
+    /// Publishes the agents' reports if any has changed.
     pub(crate) fn publish_agents(&self) {
         if !self.views_changed.replace(false) {
             return;
         }
         let now = Instant::now();
         let mut views = self.views.borrow_mut();
-        views.retain(|_, view| now.saturating_duration_since(view.received) < FORGET_AGENT);
+        views.retain(|_, view| now.saturating_duration_since(view.received) < AGENT_TTL);
         self.metrics
             .agents
             .set(i64::try_from(views.len()).unwrap_or(i64::MAX));
@@ -367,13 +367,13 @@
 
     fn on_peer_demand(&self, state: &PeerState) {
         self.demands_here.borrow_mut().insert(state.vm.clone());
-        self.note_demand(&state.vm, &state.demand, Instant::now());
+        self.store_demand(&state.vm, &state.demand, Instant::now());
         self.publish_demands();
     }
 
-    fn note_demand(&self, vm: &VmId, demand: &Demand, received: Instant) {
+    fn store_demand(&self, vm: &VmId, demand: &Demand, received: Instant) {
         let mut demands = self.demands.borrow_mut();
-        // What came over another entry may be older than what is known.
+        // Demand relayed by another entry may be older than the demand that is stored.
         let is_old = demands.get(vm).is_some_and(|it| it.received >= received);
         if *vm == self.cfg.vm || is_old {
             return;
@@ -388,12 +388,12 @@
     fn publish_demands(&self) {
         let now = Instant::now();
         let mut demands = self.demands.borrow_mut();
-        demands.retain(|_, it| now.saturating_duration_since(it.received) < FORGET_DEMAND);
+        demands.retain(|_, it| now.saturating_duration_since(it.received) < DEMAND_TTL);
         self.outputs.demands.send_replace(Arc::new(demands.clone()));
     }
 
-    /// Lets the opener take an input, and sends out what it changed.
-    fn act<T>(&self, input: impl FnOnce(&mut Opener, Instant) -> T) -> T {
+    /// Applies an input to the opener and publishes the resulting changes.
+    fn apply<T>(&self, input: impl FnOnce(&mut Opener, Instant) -> T) -> T {
         let mut opener = self.opener.borrow_mut();
         let now = Instant::now();
         let result = input(&mut opener, now);
@@ -404,7 +404,7 @@
         self.log_settled(opener.may_grant(now));
         drop(opener);
         if !changes.services.is_empty() {
-            self.wake();
+            self.wake_watchers();
         }
         if changes.peers {
             self.round_due.notify_one();
@@ -429,7 +429,7 @@
         }
     }
 
-    fn view(&self, report: Report) {
+    fn store_report(&self, report: Report) {
         let mut views = self.views.borrow_mut();
         let urgent = views
             .get(&report.vm)
@@ -446,8 +446,9 @@
         }
     }
 
-    fn wake(&self) {
-        self.news.send_modify(|news| *news += 1);
+    fn wake_watchers(&self) {
+        self.directive_changes
+            .send_modify(|directive_changes| *directive_changes += 1);
     }
 
     fn log_epochs(&self, service: &str, epochs: (Option<Epoch>, Epoch)) {
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, made again with a jittered backoff when they break.
+//! Connections to peers, re-established with a jittered backoff when they break.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 use wagtailreel_wire::reader_options;
 
 use crate::ControlError;
-use crate::counted::Counted;
+use crate::counted::CountedStream;
 use crate::error::{CallSnafu, ConnectSnafu, TimeoutSnafu};
 use crate::events;
 use crate::metrics::Metrics;
 
-/// Shortest pause after a failed connection.
+/// First backoff after a failed connection.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest time that the listener pauses after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Connections that a listener serves at once; far above the agents and entries of a data centre.
+/// Backoff of the listener after a failure to accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
+/// Most connections that a listener serves at once, far above the agents and entries of a data centre.
 const MAX_CONNECTIONS: usize = 4096;
-/// Calls in a row without an answer after which the connection is made anew.
-const MAX_SILENT_CALLS: u32 = 4;
+/// Consecutive unanswered calls after which the connection is re-established.
+const MAX_UNANSWERED_CALLS: u32 = 4;
 
-/// A connection's task; it ends when this is dropped.
+/// A connection's client and its task, which is aborted on drop.
 struct Connection<C> {
     client: C,
     task: JoinHandle<()>,
@@ -50,11 +50,11 @@
     metrics: Metrics,
     max_backoff: Duration,
     connection: RefCell<Option<Connection<C>>>,
-    /// Held while a connection is being made, so that only one is.
+    /// Held while connecting, so that only one connection is made.
     connecting: Mutex<()>,
     backoff: Cell<Duration>,
     not_before: Cell<Option<Instant>>,
-    silent_calls: Cell<u32>,
+    unanswered_calls: Cell<u32>,
     lost: Cell<bool>,
 }
 
@@ -62,7 +62,7 @@
 where
     C: FromClientHook + Clone + 'static,
 {
-    /// Makes a link that pauses at most `max_backoff` between attempts to connect.
+    /// Creates a link that waits at most `max_backoff` between attempts to connect.
     pub(crate) fn new(vm: VmId, addr: SocketAddr, max_backoff: Duration, metrics: Metrics) -> Self {
         Self {
             vm,
@@ -73,7 +73,7 @@
             connecting: Mutex::new(()),
             backoff: Cell::new(MIN_BACKOFF),
             not_before: Cell::new(None),
-            silent_calls: Cell::new(0),
+            unanswered_calls: Cell::new(0),
             lost: Cell::new(false),
         }
     }
@@ -86,18 +86,18 @@
         self.addr
     }
 
-    /// Returns when the next attempt may be made, if a pause is under way.
-    pub(crate) fn pause(&self) -> Option<Instant> {
+    /// Returns when the next attempt to connect may be made, or `None` if there is no backoff.
+    pub(crate) fn retry_at(&self) -> Option<Instant> {
         self.not_before
             .get()
             .filter(|not_before| *not_before > Instant::now())
     }
 
-    /// Calls the peer, connecting first if need be. The whole takes at most `limit`.
+    /// Calls the peer, connecting first if necessary. Both together take at most `limit`.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlError`] if the peer can't be reached, breaks off the call or doesn't
+    /// Returns a [`ControlError`] if the peer can't be reached, closes the connection or doesn't
     /// answer in time.
     pub(crate) async fn call<T, F>(
         &self,
@@ -120,11 +120,11 @@
             }
             .fail(),
         };
-        self.note(&result);
+        self.record_result(&result);
         result
     }
 
-    /// Breaks off the connection, so that the next call makes a new one.
+    /// Closes the connection, so that the next call makes a new one.
     pub(crate) fn reset(&self) {
         self.connection.replace(None);
     }
@@ -138,7 +138,7 @@
         let stream = TcpStream::connect(addr)
             .await
             .context(ConnectSnafu { addr })?;
-        let (client, task) = connect::<C>(Counted::new(stream, &self.metrics));
+        let (client, task) = connect::<C>(CountedStream::new(stream, &self.metrics));
         self.connection.replace(Some(Connection {
             client: client.clone(),
             task,
@@ -146,22 +146,22 @@
         Ok(client)
     }
 
-    fn note<T>(&self, result: &Result<T, ControlError>) {
+    fn record_result<T>(&self, result: &Result<T, ControlError>) {
         match result {
-            Ok(_) => self.note_answer(),
-            // A peer that is silent may be frozen: its connection is kept, for a while.
+            Ok(_) => self.record_answer(),
+            // A peer that doesn't answer may be suspended: its connection is kept for a few calls.
             Err(ControlError::Timeout { .. }) => {
-                self.silent_calls.set(self.silent_calls.get() + 1);
-                if self.silent_calls.get() >= MAX_SILENT_CALLS {
-                    self.note_loss();
+                self.unanswered_calls.set(self.unanswered_calls.get() + 1);
+                if self.unanswered_calls.get() >= MAX_UNANSWERED_CALLS {
+                    self.record_loss();
                 }
             }
-            Err(_) => self.note_loss(),
+            Err(_) => self.record_loss(),
         }
     }
 
-    fn note_answer(&self) {
-        self.silent_calls.set(0);
+    fn record_answer(&self) {
+        self.unanswered_calls.set(0);
         self.backoff.set(MIN_BACKOFF);
         self.not_before.set(None);
         if self.lost.replace(false) {
@@ -169,13 +169,13 @@
         }
     }
 
-    fn note_loss(&self) {
+    fn record_loss(&self) {
         self.reset();
-        self.silent_calls.set(0);
+        self.unanswered_calls.set(0);
         let backoff = self.backoff.get();
-        // Jitter keeps peers of a process that went away from coming back all at once.
-        let pause = backoff.mul_f64(rand::random_range(0.5..1.0));
-        self.not_before.set(Some(Instant::now() + pause));
+        // Jitter keeps the peers of a failed process from reconnecting all at once.
+        let delay = backoff.mul_f64(rand::random_range(0.5..1.0));
+        self.not_before.set(Some(Instant::now() + delay));
         self.backoff.set((backoff * 2).min(self.max_backoff));
         if !self.lost.replace(true) {
             self.emit(&events::PEER_LOST);
@@ -187,8 +187,8 @@
     }
 }
 
-/// Speaks the protocol over `stream` as its client. The task ends with the connection.
-pub(crate) fn connect<C>(stream: Counted) -> (C, JoinHandle<()>)
+/// Starts an RPC client over `stream`. The task ends with the connection.
+pub(crate) fn connect<C>(stream: CountedStream) -> (C, JoinHandle<()>)
 where
     C: FromClientHook,
 {
@@ -197,7 +197,7 @@
     let mut system = RpcSystem::new(Box::new(network), None);
     let client = system.bootstrap(Side::Server);
     let task = spawn_local(async move {
-        // The calls under way see the error themselves.
+        // Each call in flight returns the error itself.
         let _ = system.await;
     });
     (client, task)
@@ -217,17 +217,17 @@
         };
         match stream {
             Ok((stream, _)) => {
-                let (rx, tx) = Counted::new(stream, &metrics).split();
+                let (rx, tx) = CountedStream::new(stream, &metrics).split();
                 let network = twoparty::VatNetwork::new(rx, tx, Side::Server, reader_options());
                 let system = RpcSystem::new(Box::new(network), Some(bootstrap.clone()));
                 connections.spawn_local(async move {
-                    // A broken connection is the client's to make again.
+                    // The client re-establishes a broken connection.
                     let _ = system.await;
                 });
             }
             Err(error) => {
                 events::ACCEPT_FAILED.emit(&[("error", &error.to_string())]);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
--- a/crates/control/tests/fleet/mod.rs
+++ b/crates/control/tests/fleet/mod.rs
@@ -17,8 +17,8 @@
 pub(crate) const HERE: &str = "quito-hall";
 pub(crate) const THERE: &str = "guayaquil-hall";
 pub(crate) const LEASE: Duration = Duration::from_millis(800);
-/// Bound on every wait.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out of every wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -69,7 +69,7 @@
     }
 }
 
-/// An agent whose engine has every bundle as soon as it is asked for.
+/// An agent whose engine has every bundle as soon as it is requested.
 pub(crate) struct Agent {
     pub(crate) control: AgentControl,
     pub(crate) gate: Arc<Mutex<Gate>>,
@@ -89,7 +89,7 @@
         let cfg = AgentControlConfig {
             vm: vm.to_owned(),
             listen: loopback(),
-            report_every: Duration::from_millis(100),
+            report_interval: Duration::from_millis(100),
         };
         let control = AgentControl::start(cfg, &Registry::new()).unwrap();
         let gate = Arc::new(Mutex::new(Gate::new()));
@@ -209,11 +209,11 @@
     }
 }
 
-/// Waits until `condition` holds, and fails if it doesn't in good time.
+/// Waits until `condition` holds, and fails after the time-out.
 pub(crate) async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "not in time: {what}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
