--- a/crates/agent/src/events.rs
+++ b/crates/agent/src/events.rs
@@ -2,7 +2,7 @@
 
 use wagtailreel_telemetry::{Event, Level};
 
-/// The agent serves.
+/// The agent has started.
 pub const AGENT_STARTED: Event = Event {
     id: 2000,
     name: "agent-started",
@@ -16,11 +16,11 @@
     id: 2001,
     name: "agent-leaving",
     level: Level::Info,
-    meaning: "The agent takes no new work and finishes what runs.",
+    meaning: "The agent accepts no new requests and finishes the running ones.",
     remedy: "Nothing; wait for `agent-stopped`.",
 };
 
-/// The agent has finished everything.
+/// The agent has stopped.
 pub const AGENT_STOPPED: Event = Event {
     id: 2002,
     name: "agent-stopped",
@@ -29,21 +29,21 @@
     remedy: "Nothing.",
 };
 
-/// The list of VMs says that the own VM leaves.
+/// The list of VMs marks this VM as leaving.
 pub const LISTED_LEAVING: Event = Event {
     id: 2003,
     name: "listed-leaving",
     level: Level::Info,
-    meaning: "The list of VMs marks this VM as leaving; the agent takes no new work.",
-    remedy: "Stop the agent; if the VM is to stay after all, restart it once the list says so.",
+    meaning: "The list of VMs marks this VM as leaving; the agent accepts no new requests.",
+    remedy: "Stop the agent. If the VM is to stay, restart the agent once the list no longer marks the VM.",
 };
 
-/// A higher revision of the service was taken.
+/// The agent has applied a higher revision of the service.
 pub const STATE_TAKEN: Event = Event {
     id: 2010,
     name: "state-taken",
     level: Level::Info,
-    meaning: "The agent has taken a higher revision of its service.",
+    meaning: "The agent has applied a higher revision of its service.",
     remedy: "Nothing.",
 };
 
@@ -79,16 +79,16 @@
     id: 2021,
     name: "load-failed",
     level: Level::Warn,
-    meaning: "The engine refused to load, or its answer was lost; the agent tries again.",
+    meaning: "The engine refused to load the bundle, or its answer was lost; the agent retries.",
     remedy: "If it repeats, read the field `why` and the engine's own log.",
 };
 
-/// The engine itself reports a bundle.
+/// The engine reports a bundle as loaded.
 pub const BUNDLE_LOADED: Event = Event {
     id: 2022,
     name: "bundle-loaded",
     level: Level::Info,
-    meaning: "The engine itself reports the digest of the bundle.",
+    meaning: "The engine reports the digest of the bundle in its own status.",
     remedy: "Nothing.",
 };
 
@@ -101,31 +101,31 @@
     remedy: "Nothing.",
 };
 
-/// The engine restarted by itself.
+/// The engine restarted without an order of the agent.
 pub const ENGINE_RESTARTED: Event = Event {
     id: 2024,
     name: "engine-restarted",
     level: Level::Warn,
-    meaning: "The engine has started anew and has lost its bundles; the agent loads them again.",
-    remedy: "Find out in the engine's own log why it restarted.",
+    meaning: "The engine has restarted and lost its bundles; the agent loads them again.",
+    remedy: "Find the reason for the restart in the engine's own log.",
 };
 
-/// The engine gives no status.
+/// The engine does not answer status requests.
 pub const ENGINE_AWAY: Event = Event {
     id: 2025,
     name: "engine-away",
     level: Level::Warn,
-    meaning: "The engine has not answered several questions for its status in a row.",
+    meaning: "The engine has not answered a status request.",
     remedy: "Check that the engine runs at `upstream.url`.",
 };
 
-/// The engine did not know a bundle that it had loaded.
+/// The engine no longer holds a bundle that it had loaded.
 pub const BUNDLE_MISSING: Event = Event {
     id: 2026,
     name: "bundle-missing",
     level: Level::Warn,
-    meaning: "The engine refused a request because it does not hold the bundle any more.",
-    remedy: "Nothing if the engine restarted; else read the engine's own log.",
+    meaning: "The engine refused a request because it no longer holds the bundle.",
+    remedy: "Nothing if the engine restarted; otherwise read the engine's own log.",
 };
 
 /// A stream of tokens was cut.
@@ -133,17 +133,17 @@
     id: 2030,
     name: "stream-cut",
     level: Level::Warn,
-    meaning: "The engine's stream broke off; the agent has broken off its own answer too.",
+    meaning: "The engine's stream broke off; the agent has cut its own answer too.",
     remedy: "Read the engine's own log.",
 };
 
-/// An answer came from other weights than the admitted ones.
+/// The engine answered from other weights than the admitted ones.
 pub const WRONG_WEIGHTS: Event = Event {
     id: 2031,
     name: "wrong-weights",
     level: Level::Error,
-    meaning: "The engine answered with another bundle than the request was admitted to.",
-    remedy: "Take the engine out of service and report the fault to its maker.",
+    meaning: "The engine answered from another bundle than the one that the request was admitted to.",
+    remedy: "Take the engine out of service and report the fault to its vendor.",
 };
 
 /// The ledger of requests is full.
@@ -151,16 +151,16 @@
     id: 2032,
     name: "ledger-full",
     level: Level::Error,
-    meaning: "The agent remembers as many requests as it can and refuses more; logged once.",
+    meaning: "The agent's ledger of request ids is full and the agent refuses more requests; logged once.",
     remedy: "Spread the load over more VMs.",
 };
 
-/// The list of VMs can't be had.
+/// The list of VMs can't be read.
 pub const VM_LIST_AWAY: Event = Event {
     id: 2040,
     name: "vm-list-away",
     level: Level::Warn,
-    meaning: "The list of VMs can't be had; the agent keeps to the entries it knows.",
+    meaning: "The list of VMs can't be read; the agent continues with the entries that it knows.",
     remedy: "Check the platform's list at `platform.vms`.",
 };
 
