--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -8,15 +8,15 @@
 };
 use wagtailreel_core::{EngineLoad, NotRunReason, Report, WeightsPhase};
 
-/// Bounds of the histogram of the agent's own delay before a request goes on, in seconds.
+/// Buckets of the agent's own delay before a request is sent to the upstream, in seconds.
 const ADMIT_BUCKETS: &[f64] = &[
     0.000_01, 0.000_02, 0.000_05, 0.000_1, 0.000_2, 0.000_5, 0.001, 0.005, 0.02,
 ];
 
-/// Bounds of the histogram of times to the first token, in seconds.
+/// Buckets of the time to the first token, in seconds.
 const FIRST_TOKEN_BUCKETS: &[f64] = &[0.01, 0.02, 0.05, 0.1, 0.2, 0.32, 0.5, 1.0, 2.0, 5.0];
 
-/// Labels of the phases.
+/// Metric labels of the phases.
 const PHASES: &[(WeightsPhase, &str)] = &[
     (WeightsPhase::Fetching, "fetching"),
     (WeightsPhase::Staged, "staged"),
@@ -40,7 +40,7 @@
 }
 
 impl Metrics {
-    /// Makes the metrics and registers them with `registry`.
+    /// Creates the metrics and registers them with `registry`.
     pub(crate) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let histogram = |name: &str, help: &str, buckets: &[f64]| {
             Histogram::with_opts(HistogramOpts::new(name, help).buckets(buckets.to_vec()))
@@ -53,16 +53,19 @@
                 ),
                 &["outcome", "reason"],
             )?,
-            tokens: IntCounter::new("wagtailreel_agent_tokens_total", "Tokens passed on")?,
+            tokens: IntCounter::new(
+                "wagtailreel_agent_tokens_total",
+                "Tokens forwarded to entries",
+            )?,
             cut: IntCounter::new(
                 "wagtailreel_agent_streams_cut_total",
                 "Streams of the engine that broke off",
             )?,
-            in_flight: IntGauge::new("wagtailreel_agent_in_flight", "Requests that run")?,
+            in_flight: IntGauge::new("wagtailreel_agent_in_flight", "Requests that are running")?,
             engine_load: IntGaugeVec::new(
                 Opts::new(
                     "wagtailreel_agent_engine_load",
-                    "Load as the engine last said",
+                    "Load as last reported by the engine",
                 ),
                 &["kind"],
             )?,
@@ -75,7 +78,7 @@
             )?,
             lease_ms: IntGauge::new(
                 "wagtailreel_agent_lease_milliseconds",
-                "Time that is left of the lease",
+                "Remaining time of the lease",
             )?,
             admit_delay: histogram(
                 "wagtailreel_agent_admit_seconds",
@@ -119,7 +122,7 @@
         self.count("unknown", reason);
     }
 
-    /// Counts a request that was answered whole.
+    /// Counts a request that was answered completely.
     pub(crate) fn count_answered(&self) {
         self.count("answered", "");
     }
@@ -128,7 +131,7 @@
         self.requests.with_label_values(&[outcome, reason]).inc();
     }
 
-    /// Counts tokens that were passed on.
+    /// Counts tokens that were forwarded.
     pub(crate) fn count_tokens(&self, tokens: u64) {
         self.tokens.inc_by(tokens);
     }
@@ -138,17 +141,17 @@
         self.cut.inc();
     }
 
-    /// Notes the time from a request's body to its dispatch.
+    /// Records the time from a request's body to its dispatch.
     pub(crate) fn observe_admit(&self, delay: Duration) {
         self.admit_delay.observe(delay.as_secs_f64());
     }
 
-    /// Notes the time from dispatch to the first token.
+    /// Records the time from dispatch to the first token.
     pub(crate) fn observe_first_token(&self, delay: Duration) {
         self.first_token.observe(delay.as_secs_f64());
     }
 
-    /// Takes over what a report says.
+    /// Sets the gauges that show the contents of a report.
     pub(crate) fn set_report(&self, report: &Report) {
         self.in_flight.set(i64::from(report.in_flight));
         if let Some(load) = report.load {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Sets the time that is left of the lease.
+    /// Sets the remaining time of the lease.
     pub(crate) fn set_lease(&self, left: Duration) {
         let left = i64::try_from(left.as_millis()).unwrap_or(i64::MAX);
         self.lease_ms.set(left);
