--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -1,4 +1,4 @@
-//! The agent process: starts the parts, and ends them in order.
+//! The agent process: starts its components and shuts them down in order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,14 +32,14 @@
 use crate::plain_app::{self, PlainApp};
 use crate::plain_watch::PlainWatch;
 
-/// How long the report that the agent is leaving may take to reach an entry.
-const LEAVING_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time-out for an entry to answer the report that the agent is leaving.
+const LEAVING_REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long connections are kept that a peer may still use.
-const LAST_USES: Duration = Duration::from_secs(3);
+/// How long connections stay open for peers after the last request has ended.
+const CLOSING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long answers that are already written may take to be read at the end.
-const LAST_ANSWERS: Duration = Duration::from_secs(30);
+/// How long clients may take to read answers that are already written, at the end of a shutdown.
+const ENDING_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running agent.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What the parts of one kind of upstream add.
+/// The routes and tasks that one kind of upstream adds.
 struct Upstream {
     router: Router,
     tasks: Vec<JoinHandle<()>>,
@@ -71,7 +71,7 @@
             addr: settings.listen.data,
         })?;
         let control = start_control(&settings, &registry)?;
-        let facts = facts_of(&settings, data, control.addr());
+        let facts = vm_facts(&settings, data, control.addr());
         let hub = Arc::new(Hub::new(facts, settings.upstream.capacity, metrics));
         let (peers_tx, peers_rx) = watch::channel(Vec::new());
         let (heard_tx, heard) = watch::channel(None);
@@ -116,8 +116,10 @@
         self.hub.facts.control
     }
 
-    /// Ends the agent: it says at once that it is leaving, takes no new work, finishes what runs,
-    /// and gives chunks until then.
+    /// Shuts the agent down gracefully.
+    ///
+    /// The agent reports at once that it is leaving, accepts no new requests and finishes the running
+    /// ones. Until then it serves chunks to its peers.
     pub async fn shutdown(mut self) {
         events::AGENT_LEAVING.emit(&[]);
         self.hub.leave();
@@ -127,19 +129,19 @@
         self.leaving_reported(left_at).await;
         self.hub.admitter.drained().await;
         self.server.enter(Phase::Closing);
-        // Every request has ended; what is left are answers that their readers have yet to take, and
+        // Every request has ended. What is left are answers that clients have yet to read and
         // connections that a peer may still use.
-        let _ = tokio::time::timeout(LAST_USES, self.server.ended()).await;
+        let _ = tokio::time::timeout(CLOSING_TIMEOUT, self.server.ended()).await;
         self.server.enter(Phase::Ending);
-        let _ = tokio::time::timeout(LAST_ANSWERS, self.server.ended()).await;
+        let _ = tokio::time::timeout(ENDING_TIMEOUT, self.server.ended()).await;
         events::AGENT_STOPPED.emit(&[]);
     }
 
     /// Waits until an entry has answered a report that says that the agent is leaving.
     async fn leaving_reported(&mut self, left_at: Instant) {
         let heard = self.heard.wait_for(|sent_at| *sent_at > Some(left_at));
-        // Without an entry there is nobody to tell.
-        let _ = tokio::time::timeout(LEAVING_TIMEOUT, heard).await;
+        // The wait times out if no entry is connected; the shutdown goes on all the same.
+        let _ = tokio::time::timeout(LEAVING_REPORT_TIMEOUT, heard).await;
     }
 }
 
@@ -165,7 +167,7 @@
     AgentControl::start(cfg, registry).context(ControlSnafu)
 }
 
-fn facts_of(settings: &AgentSettings, data: SocketAddr, control: SocketAddr) -> Facts {
+fn vm_facts(settings: &AgentSettings, data: SocketAddr, control: SocketAddr) -> Facts {
     let bundles = match settings.upstream.kind {
         ServiceKind::Engine => settings.upstream.bundles,
         ServiceKind::Plain => 0,
@@ -182,7 +184,8 @@
     }
 }
 
-/// Returns the time of the start in microseconds, which is higher for each later start.
+/// Returns the time of the start in microseconds since the Unix epoch, so that a later start has a
+/// higher incarnation.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let micros = since.unwrap_or_default().as_micros();
@@ -208,8 +211,8 @@
     registry: &Registry,
 ) -> Result<Upstream, AgentError> {
     let origin = settings.platform.origin.as_ref().context(NoOriginSnafu)?;
-    let origin = HttpOrigin::new(address("platform.origin", origin)?);
-    let engine = HttpEngine::new(address("upstream.url", &settings.upstream.url)?);
+    let origin = HttpOrigin::new(parse_url("platform.origin", origin)?);
+    let engine = HttpEngine::new(parse_url("upstream.url", &settings.upstream.url)?);
     let transfer =
         Transfer::start(transfer_config(settings), origin, registry).context(TransferSnafu)?;
     let chunk_routes = transfer.router();
@@ -242,7 +245,7 @@
 }
 
 fn start_plain(settings: &AgentSettings, hub: &Arc<Hub>) -> Result<Upstream, AgentError> {
-    let service = HttpPlainService::new(address("upstream.url", &settings.upstream.url)?);
+    let service = HttpPlainService::new(parse_url("upstream.url", &settings.upstream.url)?);
     let watch = PlainWatch::new(Arc::clone(hub), service.clone());
     let app = PlainApp {
         hub: Arc::clone(hub),
@@ -259,7 +262,7 @@
     hub: &Arc<Hub>,
     control: &AgentControl,
 ) -> Result<JoinHandle<()>, AgentError> {
-    let list = HttpVmList::new(address("platform.vms", &settings.platform.vms)?);
+    let list = HttpVmList::new(parse_url("platform.vms", &settings.platform.vms)?);
     let follower = ListFollower {
         hub: Arc::clone(hub),
         control: control.clone(),
@@ -269,7 +272,7 @@
     Ok(tokio::spawn(follower.run()))
 }
 
-/// Reads the address of an outside system.
-fn address(setting: &'static str, text: &str) -> Result<BaseUrl, AgentError> {
+/// Parses the URL of an external system.
+fn parse_url(setting: &'static str, text: &str) -> Result<BaseUrl, AgentError> {
     BaseUrl::new(text).context(AddressSnafu { setting })
 }
