--- a/crates/agent/src/plain_watch.rs
+++ b/crates/agent/src/plain_watch.rs
@@ -1,4 +1,4 @@
-//! The watch over a plain service: it has no weights, and is loaded whenever it is well.
+//! Monitors a plain service. The service has no weights and counts as loaded whenever it is healthy.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use crate::hub::Hub;
 
 /// Time between two checks of the service's health.
-const CHECK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Checks in a row that fail until the service counts as away.
-const AWAY_AFTER: u32 = 3;
+/// Consecutive failed checks after which the service counts as unhealthy.
+const UNHEALTHY_AFTER_FAILURES: u32 = 3;
 
-/// Trouble of a service that is not well.
-const UNWELL: &str =
-    "the plain service does not say it is well: check that it runs at upstream.url";
+/// Trouble that the agent reports while the service is unhealthy.
+const UNHEALTHY: &str =
+    "the plain service does not report that it is healthy: check that it runs at upstream.url";
 
-/// Watches a plain service and tells the gate.
+/// Checks a plain service and updates the gate.
 #[derive(Debug)]
 pub(crate) struct PlainWatch<P> {
     hub: Arc<Hub>,
@@ -32,61 +32,62 @@
 where
     P: PlainService,
 {
-    /// Makes a watch that has not checked anything yet.
+    /// Creates a watch that has not checked the service yet.
     pub(crate) fn new(hub: Arc<Hub>, service: P) -> Self {
         Self {
             hub,
             service,
-            failures: AWAY_AFTER,
+            failures: UNHEALTHY_AFTER_FAILURES,
             held: BTreeSet::new(),
         }
     }
 
-    /// Watches for as long as the process runs.
+    /// Checks the service for as long as the process runs.
     pub(crate) async fn run(mut self) {
         loop {
             match self.service.healthy().await {
                 Ok(()) => self.failures = 0,
                 Err(_) => self.failures = self.failures.saturating_add(1),
             }
-            self.tell();
-            // Either way the next check comes.
-            let _ = tokio::time::timeout(CHECK_EVERY, self.hub.look_wanted()).await;
+            self.update_gate();
+            // The next check starts after the interval, or earlier if a check is requested.
+            let _ = tokio::time::timeout(CHECK_INTERVAL, self.hub.look_wanted()).await;
         }
     }
 
-    /// Tells the gate of the state's epoch, and lets go of older ones.
-    fn tell(&mut self) {
-        let is_well = self.failures < AWAY_AFTER;
-        let trouble = Some(UNWELL.to_owned()).filter(|_| !is_well);
+    /// Updates the phases of the held epochs at the gate, and drops epochs that are no longer needed.
+    fn update_gate(&mut self) {
+        let is_healthy = self.failures < UNHEALTHY_AFTER_FAILURES;
+        let trouble = Some(UNHEALTHY.to_owned()).filter(|_| !is_healthy);
         self.hub.set_trouble(trouble);
         let Some(state) = self.hub.state() else {
             return;
         };
-        if self.names_this_vm(&state) {
+        if self.includes_this_vm(&state) {
             self.held.insert(state.epoch);
         }
         for epoch in self.hub.droppable(state.epoch) {
             self.held.remove(&epoch);
             self.hub.forget(epoch);
         }
-        let phase = match is_well {
+        let phase = match is_healthy {
             true => WeightsPhase::Loaded,
             false => WeightsPhase::Failed,
         };
         for epoch in &self.held {
-            self.hub.update_phase(*epoch, phase, Some(no_weights()));
+            self.hub
+                .update_phase(*epoch, phase, Some(empty_bundle_digest()));
         }
     }
 
-    fn names_this_vm(&self, state: &ServiceState) -> bool {
+    fn includes_this_vm(&self, state: &ServiceState) -> bool {
         let facts = &self.hub.facts;
         let document = state.document.as_ref();
         document.is_some_and(|document| document.includes_vm(&facts.data_centre, &facts.vm))
     }
 }
 
-/// Returns the digest of the bundle of a plain service.
-fn no_weights() -> Digest {
+/// Returns the digest of the empty bundle, which stands for a plain service.
+fn empty_bundle_digest() -> Digest {
     Bundle { parts: Vec::new() }.digest()
 }
