--- a/crates/agent/src/answers.rs
+++ b/crates/agent/src/answers.rs
@@ -1,4 +1,4 @@
-//! The agent's answers other than an upstream's.
+//! Responses that the agent itself makes, rather than forwards from an upstream.
 
 use axum::Json;
 use axum::body::Body;
@@ -12,20 +12,20 @@
 use crate::passage::Refusal;
 use crate::requests::CancelState;
 
-/// Reason of a request that is or was running under the same id.
+/// Reason for an unknown outcome: a request with the same id is or was running.
 pub(crate) const DUPLICATE: &str = "duplicate";
 
-/// Reason of a request that was sent and whose answer is missing.
+/// Reason for an unknown outcome: the request was sent but its answer was lost.
 pub(crate) const ANSWER_LOST: &str = "answer-lost";
 
 /// Answer to a cancel.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct Cancelled {
-    /// What became of the request.
+    /// State of the request after the cancel.
     pub(crate) state: CancelState,
 }
 
-/// Answers a request that does not go on.
+/// Answers a request that the agent refuses.
 pub(crate) fn refused(refusal: Refusal) -> Response<Body> {
     match refusal {
         Refusal::NotRun(reason) => not_run(reason),
@@ -38,7 +38,7 @@
     with_outcome(status_of(reason), Outcome::NotRun, &reason.to_string())
 }
 
-/// Answers a request that can't be read, and was not run therefore.
+/// Answers a malformed request, which was not run.
 pub(crate) fn bad_request(problem: &str) -> Response<Body> {
     let mut response = not_run(NotRunReason::Refused);
     *response.status_mut() = StatusCode::BAD_REQUEST;
@@ -47,7 +47,7 @@
     response
 }
 
-/// Answers a request for something that this agent does not have, such as a call to an engine.
+/// Answers a request for a route that this agent does not have, such as `/call` at an engine's agent.
 pub(crate) async fn no_such_route() -> Response<Body> {
     let mut response = not_run(NotRunReason::Refused);
     *response.status_mut() = StatusCode::NOT_FOUND;
@@ -59,7 +59,7 @@
     with_outcome(status, Outcome::Unknown, reason)
 }
 
-/// Returns the status that goes with a reason.
+/// Returns the HTTP status of a reason.
 fn status_of(reason: NotRunReason) -> StatusCode {
     match reason {
         NotRunReason::Limit | NotRunReason::Full => StatusCode::TOO_MANY_REQUESTS,
--- a/crates/agent/src/chunks.rs
+++ b/crates/agent/src/chunks.rs
@@ -1,4 +1,4 @@
-//! The transfer of chunks as the watch over the engine needs it.
+//! The interface of the engine watch to the transfer of chunks.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 
 use crate::loader::Staged;
 
-/// Why a load failed whose chunks were dropped between the decision and the order.
-const NO_CHUNKS: &str =
-    "the chunks were dropped before the load: nothing to do, it is decided anew";
+/// Error of a load whose chunks were dropped between the loader's decision and the order to the engine.
+const CHUNKS_DROPPED: &str =
+    "the chunks were dropped before the load: no action needed, the agent decides again";
 
-/// How far all chunks are.
+/// Progress of the chunks of all epochs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChunksView {
-    /// Per epoch.
+    /// State of each epoch's chunks.
     pub(crate) epochs: BTreeMap<Epoch, Staged>,
-    /// Chunks of the newest epoch that are there, and how many there are in all.
+    /// Number of verified chunks of the newest epoch, and the total number of its chunks.
     pub(crate) count: (u32, u32),
     /// Bytes of verified chunks in memory.
     pub(crate) bytes: u64,
-    /// Chunks are on their way.
+    /// Chunks of the newest epoch are being fetched.
     pub(crate) is_active: bool,
-    /// What keeps chunks from coming, with the remedy.
+    /// Why chunks can't be fetched, with the remedy.
     pub(crate) trouble: Option<String>,
 }
 
-/// Brings chunks, and gives them to the engine.
+/// Fetches chunks and loads them into the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Chunks {
     transfer: Transfer,
@@ -36,18 +36,18 @@
 }
 
 impl Chunks {
-    /// Makes the view that the watch over the engine has of `transfer`.
+    /// Creates the interface to `transfer`.
     pub(crate) fn new(transfer: Transfer) -> Self {
         let progress = transfer.progress();
         Self { transfer, progress }
     }
 
-    /// Has an epoch's chunks fetched, in place of those under way.
+    /// Fetches an epoch's chunks, in place of those that are being fetched.
     pub(crate) fn want(&self, wanted: Wanted) {
         self.transfer.want(wanted);
     }
 
-    /// Drops an epoch's chunks, but for those that another epoch needs.
+    /// Drops an epoch's chunks, except those that another epoch needs.
     pub(crate) fn forget(&self, epoch: Epoch) {
         self.transfer.forget(epoch);
     }
@@ -62,13 +62,13 @@
         self.transfer.set_live_pressure(pressure);
     }
 
-    /// Returns how far all chunks are.
+    /// Returns the progress of the chunks of all epochs.
     pub(crate) fn view(&self) -> ChunksView {
         let progress = self.progress.borrow();
         let newest = progress.epochs.values().next_back();
         let epochs = progress.epochs.iter();
         ChunksView {
-            epochs: epochs.map(|(epoch, it)| (*epoch, staged_of(it))).collect(),
+            epochs: epochs.map(|(epoch, it)| (*epoch, staged(it))).collect(),
             count: newest.map_or((0, 0), |it| (it.have, it.total)),
             bytes: progress.bytes,
             is_active: newest.is_some_and(|it| it.phase == WeightsPhase::Fetching),
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Waits until that has changed.
+    /// Waits until the progress has changed.
     pub(crate) async fn changed(&mut self) {
         if self.progress.changed().await.is_err() {
-            // The transfer has ended: nothing changes any more.
+            // The transfer has ended, so the progress no longer changes.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Has `engine` load an epoch whose chunks are complete, and returns the digest that the
-    /// engine computed, or why there is none.
+    /// Loads an epoch whose chunks are complete into `engine`, and returns the digest that the engine
+    /// computed or the error's text.
     pub(crate) fn load<E>(
         &self,
         engine: E,
@@ -100,7 +100,7 @@
         let bundle = progress.epochs.get(&epoch).and_then(|it| it.bundle.clone());
         async move {
             let (Some(body), Some(bundle)) = (body, bundle) else {
-                return Err(NO_CHUNKS.to_owned());
+                return Err(CHUNKS_DROPPED.to_owned());
             };
             let loaded = engine.load(&bundle, fence, body).await;
             loaded.map_err(|err| err.to_string())
@@ -108,8 +108,8 @@
     }
 }
 
-/// Returns what the loader needs to know of an epoch's chunks.
-fn staged_of(it: &EpochProgress) -> Staged {
+/// Returns the state of an epoch's chunks for the loader.
+fn staged(it: &EpochProgress) -> Staged {
     Staged {
         bundle: it.bundle.as_ref().map(|bundle| bundle.digest()),
         complete: it.phase == WeightsPhase::Staged,
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -15,23 +15,23 @@
     /// The data listener can't be opened.
     #[snafu(display("can't listen on {addr}: {source}; set a free address for `listen.data`"))]
     Listen {
-        /// The address that was asked for.
+        /// The configured address.
         addr: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The control protocol can't be started.
     #[snafu(display("{source}"))]
     Control {
-        /// What is wrong, with the remedy.
+        /// The cause, with the remedy.
         source: ControlError,
     },
-    /// A setting holds no usable address.
+    /// A setting holds an unusable URL.
     #[snafu(display("setting `{setting}`: {source}"))]
     Address {
         /// Name of the setting.
         setting: &'static str,
-        /// What is wrong, with the remedy.
+        /// The cause, with the remedy.
         source: BaseUrlError,
     },
     /// An engine's agent needs the origin of weights.
@@ -40,13 +40,13 @@
     /// A metric is registered twice.
     #[snafu(display("can't register metrics: {source}; give each process one registry"))]
     Metrics {
-        /// What the registry says.
+        /// The registry's error.
         source: prometheus::Error,
     },
     /// The transfer of chunks can't be started.
     #[snafu(display("{source}"))]
     Transfer {
-        /// What is wrong, with the remedy.
+        /// The cause, with the remedy.
         source: TransferError,
     },
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,10 @@
-//! The agent process: the one gate before an engine or plain service.
+//! The agent process, which admits every request to an engine or plain service.
 //!
-//! A request's way is `engine_app` or `plain_app`, through `passage` (ledger, capacity, gate), to
-//! the upstream and back through `tokens`. Beside it run the tasks of `follow` (directives,
-//! list of VMs, reports) and the watch over the upstream: `engine_watch` for an engine, which does
-//! what `loader` decides, `plain_watch` for a plain service. They share the `hub`.
+//! `engine_app` or `plain_app` handles a request, checks it with `passage` (ledger, capacity, gate) and
+//! sends it to the upstream; `tokens` streams an engine's answer back. Beside the requests run the
+//! tasks of `follow` (directives, list of VMs, reports) and the task that monitors the upstream:
+//! `engine_watch` for an engine, which executes the decisions of `loader`, or `plain_watch` for a plain
+//! service. All tasks share the `hub`.
 
 pub mod admitter;
 mod answers;
--- a/crates/agent/src/ops.rs
+++ b/crates/agent/src/ops.rs
@@ -16,12 +16,12 @@
 
 use crate::hub::Hub;
 
-/// What the routes need.
+/// State of the handlers.
 #[derive(Clone, Debug)]
 pub(crate) struct Ops {
-    /// What the agent shares.
+    /// State that the agent's tasks share.
     pub(crate) hub: Arc<Hub>,
-    /// Where all metrics of the process are registered.
+    /// Registry of all metrics of the process.
     pub(crate) registry: Registry,
 }
 
@@ -29,12 +29,12 @@
 #[serde_as]
 #[derive(Debug, Serialize)]
 struct Status {
-    /// The report of this moment.
+    /// The current report.
     #[serde(flatten)]
     report: Report,
     /// Bytes of verified chunks in memory.
     staged_bytes: u64,
-    /// Time that is left of the lease.
+    /// Remaining time of the lease.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "lease_ms")]
     lease: Duration,
