--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -21,25 +21,25 @@
 use wagtailreel_switch::Admission;
 
 use crate::answers::{self, Cancelled};
-use crate::headers::Wanted;
+use crate::headers::RequestHeaders;
 use crate::hub::Hub;
 use crate::passage::{Passage, Refusal};
 use crate::requests::CancelState;
 use crate::tokens::TokenBody;
 
-/// Longest body of a request, in bytes. The entries hold callers to a limit of their own.
+/// Maximum size of a request's body, in bytes. The entries apply a limit of their own to callers.
 pub(crate) const BODY_LIMIT: usize = 16 * 1024 * 1024;
 
-/// Tokens of an answer if the caller does not say.
+/// Maximum number of tokens of an answer if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Reason of a request whose stream the engine broke off.
-const CUT: &str = "cut";
+/// Reason for an unknown outcome: the engine's stream broke off.
+const STREAM_CUT: &str = "cut";
 
-/// Reason of a request whose caller went before the end of its answer.
+/// Reason for an unknown outcome: the caller disconnected before the end of the answer.
 pub(crate) const CALLER_GONE: &str = "caller-gone";
 
-/// What a caller sends.
+/// Body of a `/run` request.
 #[derive(Deserialize)]
 struct CallerRequest {
     prompt: String,
@@ -51,12 +51,12 @@
     DEFAULT_MAX_TOKENS
 }
 
-/// The agent's shared parts and its engine.
+/// State of the handlers: the hub and the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineApp<E> {
-    /// What every request shares.
+    /// State that all requests share.
     pub(crate) hub: Arc<Hub>,
-    /// The engine behind the gate.
+    /// The engine, which receives only requests that the gate has admitted.
     pub(crate) engine: E,
 }
 
@@ -83,8 +83,8 @@
     E: Engine + Unpin,
 {
     let arrived = Instant::now();
-    let wanted = match Wanted::read(&request, &headers, arrived) {
-        Ok(wanted) => wanted,
+    let req_headers = match RequestHeaders::read(&request, &headers, arrived) {
+        Ok(req_headers) => req_headers,
         Err(name) => return app.hub.refuse_bad(name),
     };
     let caller = body
@@ -93,32 +93,32 @@
     let Some(caller) = caller else {
         return app.hub.refuse_bad("body");
     };
-    match start(&app, request, wanted, caller, arrived).await {
+    match start(&app, request, req_headers, caller, arrived).await {
         Ok(response) => response,
         Err(refusal) => app.hub.refuse(refusal),
     }
 }
 
-/// Takes a request through the gate and to the engine.
+/// Passes a request through the gate and sends it to the engine.
 async fn start<E>(
     app: &EngineApp<E>,
     request: RequestId,
-    wanted: Wanted,
+    req_headers: RequestHeaders,
     caller: CallerRequest,
     arrived: Instant,
 ) -> Result<Response, Refusal>
 where
     E: Engine + Unpin,
 {
-    let mut passage = app.hub.enter(wanted.wish)?;
+    let mut passage = app.hub.enter(req_headers.wish)?;
     let admission = passage.admission();
     let req = GenerateRequest {
         request: request.clone(),
         bundle: admission.weights,
         prompt: caller.prompt,
         max_tokens: caller.max_tokens,
-        priority: wanted.priority,
-        resume_from: wanted.resume_from,
+        priority: req_headers.priority,
+        resume_from: req_headers.resume_from,
     };
     passage.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
@@ -126,14 +126,17 @@
     match app.engine.generate(&req).await {
         Ok(tokens) => {
             run.tokens = Some(tokens);
-            Ok(answer(TokenBody::new(run, wanted.resume_from), admission))
+            Ok(stream_response(
+                TokenBody::new(run, req_headers.resume_from),
+                admission,
+            ))
         }
         Err(err) => run.fail(&err),
     }
 }
 
-/// Answers with the stream of tokens.
-fn answer<E>(tokens: TokenBody<E>, admission: Admission) -> Response
+/// Builds the response that streams the tokens.
+fn stream_response<E>(tokens: TokenBody<E>, admission: Admission) -> Response
 where
     E: Engine + Unpin,
 {
@@ -159,16 +162,17 @@
 {
     let state = app.hub.cancel(&request, &headers);
     if state == CancelState::Started {
-        // The answer does not depend on it: the request was started, whatever the engine says.
+        // The engine's answer is ignored: the state `started` holds whatever the engine answers.
         let _ = app.engine.cancel(&request).await;
     }
     Json(Cancelled { state })
 }
 
-/// A request that the engine has been given.
+/// A request that was sent to the engine.
 ///
-/// Invariant: dropped without an end, because the entry has gone or the stream was cut, it is
-/// cancelled at the engine, and counted as running until the engine has answered to that.
+/// Invariant: if the run is dropped before the request has ended, because the entry disconnected or
+/// the stream was cut, the request is cancelled at the engine. The request counts as running until
+/// the engine has answered the cancel.
 pub(crate) struct Run<E>
 where
     E: Engine,
@@ -178,13 +182,13 @@
     request: RequestId,
     started: Instant,
     last_token: Option<Instant>,
-    passed: u64,
-    /// The engine's stream, once there is one. It is kept open until a cancel was answered, so
-    /// that the engine hears the order and not just a closed connection.
+    forwarded: u64,
+    /// The engine's stream, once the engine has answered. The stream stays open until a cancel is
+    /// answered, so that the engine gets the cancel and not only a closed connection.
     tokens: Option<E::Tokens>,
     admission: Admission,
     counted: bool,
-    /// None once the request has ended.
+    /// `None` once the request has ended.
     passage: Option<Passage>,
 }
 
@@ -199,7 +203,7 @@
             request,
             started: Instant::now(),
             last_token: None,
-            passed: 0,
+            forwarded: 0,
             tokens: None,
             admission: passage.admission(),
             counted: false,
@@ -207,7 +211,7 @@
         }
     }
 
-    /// Returns what the request was admitted to.
+    /// Returns the epoch and weights that the request was admitted to.
     pub(crate) fn admission(&self) -> Admission {
         self.admission
     }
@@ -223,13 +227,13 @@
         }
     }
 
-    /// Counts a token that passes.
+    /// Counts a token that is forwarded.
     pub(crate) fn count_token(&mut self) {
-        self.passed += 1;
+        self.forwarded += 1;
     }
 
-    /// Takes note of when tokens passed, one or several at once.
-    pub(crate) fn note_tokens(&mut self, now: Instant) {
+    /// Records the time at which one or several tokens were forwarded together.
+    pub(crate) fn record_token_time(&mut self, now: Instant) {
         match self.last_token.replace(now) {
             Some(last) => self.hub.gaps.add(now.saturating_duration_since(last)),
             None => {
@@ -239,22 +243,22 @@
         }
     }
 
-    /// Ends the request: it was answered whole.
+    /// Ends the request as answered completely.
     pub(crate) fn end_answered(&mut self) {
         self.hub.metrics.count_answered();
         self.passage = None;
     }
 
-    /// Ends the request: its answer is not to be trusted.
+    /// Ends the request with an unknown outcome, for an answer that must not be trusted.
     pub(crate) fn end_unknown(&mut self, reason: &str) {
         self.count_unknown(reason);
         self.passage = None;
     }
 
-    /// Counts the request as cut; it is cancelled when this is dropped.
-    pub(crate) fn cut(&mut self) {
+    /// Counts the request as cut. The drop of this run cancels the request at the engine.
+    pub(crate) fn count_cut(&mut self) {
         self.hub.metrics.count_cut();
-        self.count_unknown(CUT);
+        self.count_unknown(STREAM_CUT);
     }
 
     fn count_unknown(&mut self, reason: &str) {
@@ -262,11 +266,13 @@
         self.hub.metrics.count_unknown(reason);
     }
 
-    /// Answers a request that the engine did not take, or may have taken.
+    /// Answers a request whose call to the engine failed.
+    ///
+    /// The outcome is unknown if the engine may have started the request, else not run.
     fn fail(mut self, err: &PlatformError) -> Result<Response, Refusal> {
         if err.took_effect() == Effect::Maybe {
             self.count_unknown(answers::ANSWER_LOST);
-            // Dropped with its passage: the engine is told to cancel what it may have started.
+            // The drop of `self` cancels the request, which the engine may have started.
             return Ok(answers::unknown(
                 StatusCode::BAD_GATEWAY,
                 answers::ANSWER_LOST,
@@ -296,7 +302,7 @@
     E: Engine,
 {
     fn drop(&mut self) {
-        self.hub.metrics.count_tokens(self.passed);
+        self.hub.metrics.count_tokens(self.forwarded);
         let Some(passage) = self.passage.take() else {
             return;
         };
@@ -305,12 +311,13 @@
         }
         let (engine, request) = (self.engine.clone(), std::mem::take(&mut self.request));
         let tokens = self.tokens.take();
-        // Without a runtime the process is ending, and the engine sees the connection close.
+        // Without a runtime the process is exiting, and the engine sees the connection close.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
         runtime.spawn(async move {
-            // The engine may not know the request or be gone: then there is nothing to cancel.
+            // An error is ignored: if the engine does not know the request or is unreachable, there is
+            // nothing to cancel.
             let _ = engine.cancel(&request).await;
             drop(tokens);
             drop(passage);
--- a/crates/agent/src/headers.rs
+++ b/crates/agent/src/headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request say.
+//! Parsing of the headers of a request.
 
 use std::str::FromStr;
 use std::time::{Duration, Instant};
@@ -10,24 +10,24 @@
 use crate::passage::Wish;
 use crate::requests::{Entrance, RequestKey};
 
-/// What the headers of a request say.
+/// The parsed headers of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted {
-    /// What the request asks of the gate.
+pub(crate) struct RequestHeaders {
+    /// What the request requires of the gate.
     pub(crate) wish: Wish,
-    /// Index of the first token that is wanted.
+    /// Index of the first token that the caller still needs.
     pub(crate) resume_from: u32,
-    /// Place in the engine's queue.
+    /// Priority in the engine's queue.
     pub(crate) priority: Priority,
 }
 
-impl Wanted {
-    /// Reads the headers of the request `request`, which came in at `now`.
+impl RequestHeaders {
+    /// Parses the headers of the request `request`, which arrived at `now`.
     ///
     /// # Errors
     ///
-    /// Returns the name of a header that can't be read: to guess at a pin or a deadline would be
-    /// worse than to refuse.
+    /// Returns the name of a malformed header. The request is refused then, because running it with a
+    /// guessed pin or deadline would be worse.
     pub(crate) fn read(
         request: &str,
         headers: &HeaderMap,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads one header, if it is there.
+/// Parses one header, if present.
 fn read_header<T>(headers: &HeaderMap, name: &'static str) -> Result<Option<T>, &'static str>
 where
     T: FromStr,
@@ -66,7 +66,7 @@
     parsed.map(Some).ok_or(name)
 }
 
-/// Reads the priority; normal without one.
+/// Parses the priority, which is normal if the header is missing.
 fn read_priority(headers: &HeaderMap) -> Result<Priority, &'static str> {
     match headers.get(PRIORITY).map(http::HeaderValue::as_bytes) {
         None | Some(b"normal") => Ok(Priority::Normal),
--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -24,12 +24,12 @@
 
 use crate::answers::{self, Cancelled};
 use crate::engine_app::{BODY_LIMIT, CALLER_GONE};
-use crate::headers::Wanted;
+use crate::headers::RequestHeaders;
 use crate::hub::Hub;
 use crate::passage::{Passage, Refusal};
 
-/// Headers that concern one connection, and are not passed on.
-const HOP_HEADERS: &[HeaderName] = &[
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: &[HeaderName] = &[
     CONNECTION,
     HOST,
     PROXY_AUTHENTICATE,
@@ -43,16 +43,16 @@
 /// Slashes before the service's own path in `/call/{request}/{path}`.
 const SLASHES_BEFORE_PATH: usize = 3;
 
-/// The agent's shared parts and its plain service.
+/// State of the handlers: the hub and the plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainApp<P> {
-    /// What every request shares.
+    /// State that all requests share.
     pub(crate) hub: Arc<Hub>,
-    /// The service behind the gate.
+    /// The service, which receives only calls that the gate has admitted.
     pub(crate) service: P,
 }
 
-/// Parts of the path of a call.
+/// Path parameters of a call.
 #[derive(Deserialize)]
 struct CallPath {
     request: RequestId,
@@ -72,7 +72,7 @@
         .with_state(app)
 }
 
-/// Passes one call on.
+/// Forwards one call to the service.
 async fn call<P>(
     State(app): State<PlainApp<P>>,
     Path(path): Path<CallPath>,
@@ -82,13 +82,13 @@
     P: PlainService,
 {
     let arrived = Instant::now();
-    let wanted = match Wanted::read(&path.request, req.headers(), arrived) {
-        Ok(wanted) => wanted,
+    let req_headers = match RequestHeaders::read(&path.request, req.headers(), arrived) {
+        Ok(req_headers) => req_headers,
         Err(name) => return app.hub.refuse_bad(name),
     };
     let (head, body) = req.into_parts();
-    // The whole body is here before the service sees any of it, so that a caller which breaks
-    // off leaves no half call behind.
+    // The whole body is read before the service gets any of it, so that a caller that disconnects in
+    // mid-body does not leave a partial call at the service.
     let Ok(body) = axum::body::to_bytes(body, BODY_LIMIT).await else {
         return app.hub.refuse_bad("body");
     };
@@ -98,28 +98,28 @@
     let mut out = http::Request::new(body);
     *out.method_mut() = head.method;
     *out.uri_mut() = uri;
-    *out.headers_mut() = passed_on(head.headers);
-    // The service may tell a call that it has seen before by this.
+    *out.headers_mut() = strip_headers(head.headers);
+    // The request's id lets the service recognise a call that it has already received.
     if let Ok(request) = HeaderValue::from_str(&path.request) {
         out.headers_mut().insert(REQUEST, request);
     }
-    match start(&app, wanted, out, arrived).await {
+    match start(&app, req_headers, out, arrived).await {
         Ok(response) => response,
         Err(refusal) => app.hub.refuse(refusal),
     }
 }
 
-/// Takes a call through the gate and to the service.
+/// Passes a call through the gate and sends it to the service.
 async fn start<P>(
     app: &PlainApp<P>,
-    wanted: Wanted,
+    req_headers: RequestHeaders,
     req: http::Request<Bytes>,
     arrived: Instant,
 ) -> Result<Response, Refusal>
 where
     P: PlainService,
 {
-    let mut passage = app.hub.enter(wanted.wish)?;
+    let mut passage = app.hub.enter(req_headers.wish)?;
     passage.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
     let mut run = CallRun {
@@ -128,16 +128,16 @@
         is_counted: false,
     };
     match app.service.call(req).await {
-        Ok(response) => Ok(answer(response, run)),
+        Ok(response) => Ok(forward_response(response, run)),
         Err(err) => run.fail(&err),
     }
 }
 
-/// Answers with the service's answer.
-fn answer(response: http::Response<Incoming>, run: CallRun) -> Response {
+/// Builds the response that forwards the service's answer.
+fn forward_response(response: http::Response<Incoming>, run: CallRun) -> Response {
     let (mut head, inner) = response.into_parts();
     let length = head.headers.get(CONTENT_LENGTH).cloned();
-    head.headers = passed_on(head.headers);
+    head.headers = strip_headers(head.headers);
     if let Some(length) = length {
         head.headers.insert(CONTENT_LENGTH, length);
     }
@@ -146,7 +146,8 @@
     Response::from_parts(head, Body::new(CallBody { inner, run }))
 }
 
-/// Cancels one call. A call that was started can't be stopped, only forgotten.
+/// Cancels one call. A started call can't be stopped, only abandoned, since a plain service has no
+/// cancel.
 async fn cancel<P>(
     State(app): State<PlainApp<P>>,
     Path(request): Path<RequestId>,
@@ -159,7 +160,7 @@
     Json(Cancelled { state })
 }
 
-/// Returns the service's own path and query, as they were encoded.
+/// Returns the service's own path and query, with their encoding unchanged.
 fn service_uri(uri: &Uri) -> Option<Uri> {
     let text = uri.path_and_query()?.as_str();
     let slash = text.match_indices('/').nth(SLASHES_BEFORE_PATH - 1);
@@ -170,26 +171,26 @@
     Some(Uri::from(path))
 }
 
-/// Removes the headers that concern the connection or the system itself.
-fn passed_on(mut headers: HeaderMap) -> HeaderMap {
-    for name in HOP_HEADERS {
+/// Removes hop-by-hop headers and the headers of this system.
+fn strip_headers(mut headers: HeaderMap) -> HeaderMap {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove("keep-alive");
-    // The length is written anew, from the body.
+    // The HTTP library sets the length from the body.
     headers.remove(CONTENT_LENGTH);
-    let own: Vec<HeaderName> = headers
+    let system_headers: Vec<HeaderName> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(HEADER_PREFIX))
         .cloned()
         .collect();
-    for name in own {
+    for name in system_headers {
         headers.remove(name);
     }
     headers
 }
 
-/// A call that the service has been given; it counts as running until this is dropped.
+/// A call that was sent to the service. The call counts as running until this is dropped.
 #[derive(Debug)]
 struct CallRun {
     hub: Arc<Hub>,
@@ -198,7 +199,9 @@
 }
 
 impl CallRun {
-    /// Answers a call that the service did not take, or may have taken.
+    /// Answers a call that failed.
+    ///
+    /// The outcome is unknown if the service may have executed the call, else not run.
     fn fail(&mut self, err: &PlatformError) -> Result<Response, Refusal> {
         self.is_counted = true;
         self.hub.look_at_upstream();
@@ -233,7 +236,7 @@
     }
 }
 
-/// The service's answer on its way; an answer that is cut stays cut.
+/// The body of the service's answer. If the service's body is cut, this body is cut too.
 struct CallBody {
     inner: Incoming,
     run: CallRun,
@@ -269,7 +272,7 @@
 
 impl Drop for CallBody {
     fn drop(&mut self) {
-        // An answer without a body is never polled.
+        // A response without a body is never polled, so the answer is counted here.
         if self.inner.is_end_stream() {
             self.run.count_answered();
         }
--- a/crates/agent/src/tokens.rs
+++ b/crates/agent/src/tokens.rs
@@ -14,13 +14,14 @@
 use crate::engine_app::Run;
 use crate::events;
 
-/// Bytes that one piece of the answer holds at most, about.
-const PIECE: usize = 16 * 1024;
+/// Approximate maximum size of one piece of the answer's body, in bytes. The last event of a piece may
+/// exceed the limit.
+const MAX_PIECE_BYTES: usize = 16 * 1024;
 
-/// Reason of an answer from other weights than the admitted ones.
+/// Reason for an unknown outcome: the answer came from other weights than the admitted ones.
 const WRONG_WEIGHTS: &str = "weights";
 
-/// The engine's stream broke off, so that the answer is broken off too.
+/// The engine's stream was cut, so the answer is cut too.
 #[derive(Debug, Snafu)]
 #[snafu(display("the engine's stream was cut ({why}): resume the request elsewhere"))]
 pub(crate) struct CutError {
@@ -41,11 +42,11 @@
     reason: &'static str,
 }
 
-/// The answer's body, in pieces of as many events as are there at once.
+/// The answer's body, in pieces of as many events as are ready at once.
 ///
-/// Invariant: it ends without an error only after an `end` or `error` event. A stream of the
-/// engine that breaks off, or leaves tokens out, ends in an error, which closes the connection
-/// in mid-answer for the entry to see.
+/// Invariant: the body ends without an error only after an `end` or `error` event. If the engine's
+/// stream breaks off or skips tokens, the body ends with an error. The error closes the connection in
+/// mid-answer, by which the entry detects the cut.
 pub(crate) struct TokenBody<E>
 where
     E: Engine,
@@ -54,26 +55,26 @@
     buf: BytesMut,
     next_index: u32,
     cut: Option<CutError>,
-    over: bool,
+    is_over: bool,
 }
 
 impl<E> TokenBody<E>
 where
     E: Engine,
 {
-    /// Makes the body of a request that runs, from token `resume_from` on.
+    /// Creates the body of a running request, from token `resume_from` on.
     pub(crate) fn new(run: Run<E>, resume_from: u32) -> Self {
         Self {
             run,
-            buf: BytesMut::with_capacity(PIECE),
+            buf: BytesMut::with_capacity(MAX_PIECE_BYTES),
             next_index: resume_from,
             cut: None,
-            over: false,
+            is_over: false,
         }
     }
 
-    /// Takes in one event of the engine.
-    fn take(&mut self, event: &EngineEvent) {
+    /// Appends one event of the engine to the answer.
+    fn push(&mut self, event: &EngineEvent) {
         match event {
             EngineEvent::Token { index, data } if *index == self.next_index => {
                 self.next_index += 1;
@@ -90,11 +91,11 @@
         }
     }
 
-    /// Closes the answer, if it is whole and from the admitted weights.
+    /// Ends the answer if it is complete and from the admitted weights.
     fn end(&mut self, tokens: u32, bundle: Digest) {
         let admission = self.run.admission();
         if bundle != admission.weights {
-            self.over = true;
+            self.is_over = true;
             self.run.end_unknown(WRONG_WEIGHTS);
             events::WRONG_WEIGHTS.emit(&[
                 ("admitted", &admission.weights.short()),
@@ -107,13 +108,13 @@
             write_event(&mut self.buf, "error", &data);
             return;
         }
-        // A resume may start at the very end, where no token is left.
+        // A resumed request may start at the end of the answer, where no token is left.
         if tokens != self.next_index {
             let got = self.next_index;
             self.break_off(format!("the end came after {got} of {tokens} tokens"));
             return;
         }
-        self.over = true;
+        self.is_over = true;
         self.run.end_answered();
         let data = EndData {
             outcome: Outcome::Answered,
@@ -124,29 +125,29 @@
         write_event(&mut self.buf, "end", &data);
     }
 
-    /// Marks the answer as cut: what is there is given out, then the error.
+    /// Marks the answer as cut: the buffered events are sent, then the error.
     fn break_off(&mut self, why: String) {
-        self.over = true;
-        self.run.cut();
+        self.is_over = true;
+        self.run.count_cut();
         events::STREAM_CUT.emit(&[("why", &why)]);
         self.cut = Some(CutError { why });
     }
 
-    /// Takes in every event that is here, until a piece is full.
+    /// Appends all events that are ready, until the piece is full.
     fn fill(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let before = self.next_index;
         let filled = self.poll_events(cx);
-        // Tokens that came together count as one: there is no gap between them to be measured.
+        // Tokens that arrive together count as one, since no gap between them can be measured.
         if self.next_index != before {
-            self.run.note_tokens(Instant::now());
+            self.run.record_token_time(Instant::now());
         }
         filled
     }
 
     fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        while !self.over && self.buf.len() < PIECE {
+        while !self.is_over && self.buf.len() < MAX_PIECE_BYTES {
             match ready!(self.run.poll_tokens(cx)) {
-                Some(Ok(event)) => self.take(&event),
+                Some(Ok(event)) => self.push(&event),
                 Some(Err(err)) => self.break_off(err.to_string()),
                 None => self.break_off("it ended early".to_owned()),
             }
@@ -180,7 +181,7 @@
     buf.put_slice(b"event: ");
     buf.put_slice(name.as_bytes());
     buf.put_slice(b"\ndata: ");
-    // Writing numbers and texts to a buffer in memory does not fail.
+    // Serializing numbers and strings into a buffer in memory does not fail.
     let _ = serde_json::to_writer((&mut *buf).writer(), data);
     buf.put_slice(b"\n\n");
 }
