--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -256,7 +256,7 @@
     }
 
     /// Counts the request as cut. The drop of this run cancels the request at the engine.
-    pub(crate) fn count_cut(&mut self) {
+    pub(crate) fn mark_cut(&mut self) {
         self.hub.metrics.count_cut();
         self.count_unknown(STREAM_CUT);
     }
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -46,7 +46,8 @@
 pub struct AgentProcess {
     hub: Arc<Hub>,
     control: AgentControl,
-    heard: watch::Receiver<Option<Instant>>,
+    /// When the last report that an entry has answered was sent.
+    acked: watch::Receiver<Option<Instant>>,
     server: Server,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -74,14 +75,14 @@
         let facts = vm_facts(&settings, data, control.addr());
         let hub = Arc::new(Hub::new(facts, settings.upstream.capacity, metrics));
         let (peers_tx, peers_rx) = watch::channel(Vec::new());
-        let (heard_tx, heard) = watch::channel(None);
+        let (acked_tx, acked) = watch::channel(None);
         let upstream = start_upstream(&settings, &hub, peers_rx, &registry)?;
         let mut tasks = upstream.tasks;
         let follower = Follower {
             hub: Arc::clone(&hub),
             control: control.clone(),
             peers: peers_tx,
-            heard: heard_tx,
+            heard: acked_tx,
         };
         tasks.push(tokio::spawn(follower.run()));
         tasks.push(follow_list(&settings, &hub, &control)?);
@@ -100,7 +101,7 @@
         Ok(Self {
             hub,
             control,
-            heard,
+            acked,
             server,
             tasks,
         })
@@ -126,7 +127,7 @@
         self.server.enter(Phase::Leaving);
         self.control.set_report(self.hub.report());
         let left_at = Instant::now();
-        self.leaving_reported(left_at).await;
+        self.wait_leaving_acked(left_at).await;
         self.hub.admitter.drained().await;
         self.server.enter(Phase::Closing);
         // Every request has ended. What is left are answers that clients have yet to read and
@@ -138,10 +139,10 @@
     }
 
     /// Waits until an entry has answered a report that says that the agent is leaving.
-    async fn leaving_reported(&mut self, left_at: Instant) {
-        let heard = self.heard.wait_for(|sent_at| *sent_at > Some(left_at));
+    async fn wait_leaving_acked(&mut self, left_at: Instant) {
+        let acked = self.acked.wait_for(|sent_at| *sent_at > Some(left_at));
         // The wait times out if no entry is connected; the shutdown goes on all the same.
-        let _ = tokio::time::timeout(LEAVING_REPORT_TIMEOUT, heard).await;
+        let _ = tokio::time::timeout(LEAVING_REPORT_TIMEOUT, acked).await;
     }
 }
 
--- a/crates/agent/src/tokens.rs
+++ b/crates/agent/src/tokens.rs
@@ -128,7 +128,7 @@
     /// Marks the answer as cut: the buffered events are sent, then the error.
     fn break_off(&mut self, why: String) {
         self.is_over = true;
-        self.run.count_cut();
+        self.run.mark_cut();
         events::STREAM_CUT.emit(&[("why", &why)]);
         self.cut = Some(CutError { why });
     }
