--- a/crates/agent/tests/cancel.rs
+++ b/crates/agent/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels that race the start of their request.
+//! Cancels before, during and after the start of a request.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod common;
@@ -19,16 +19,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_another_start() {
+async fn of_earlier_incarnation() {
     let world = World::serving(EngineConfig::default()).await;
-    let incarnation = common::report_of(&world.hall, &world.agent)
+    let incarnation = common::report_of(&world.env, &world.agent)
         .await
         .incarnation;
     let own = incarnation.to_string();
     let earlier = (incarnation - 1).to_string();
     let header = "wagtailreel-incarnation";
     assert_eq!(world.cancel_with("r1", &[(header, &own)]).await, "not-run");
-    // What an earlier start ran went with its ledger.
+    // The agent lost its ledger in a restart, so a request of an earlier incarnation may have started.
     assert_eq!(
         world.cancel_with("r2", &[(header, &earlier)]).await,
         "started"
@@ -52,7 +52,7 @@
         (stats.state == RequestState::Cancelled).then_some(())
     })
     .await;
-    // A cancelled stream has no end.
+    // A cancelled stream is cut, without an `end` event.
     let answer = Answer::read(running).await;
     assert!(answer.is_cut, "{answer:?}");
 }
@@ -62,7 +62,7 @@
     let world = World::serving(EngineConfig::default()).await;
     for n in 0..200 {
         let request = format!("r{n}");
-        // A request that was started and cancelled at once may have no answer at all.
+        // A request that is cancelled right after its start may get no answer.
         let run = async { Some(Answer::read(world.try_start(&request, &[], 2).await.ok()?).await) };
         let (answer, state) = tokio::join!(run, world.cancel(&request));
         let ran = world.engine.request(&request).is_some();
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An agent between stand-ins and a fake entry, all in the test's own process.
+//! Runs an agent with stand-ins and an entry's control server, all in the test's process.
 #![allow(
     clippy::unwrap_used,
     clippy::missing_panics_doc,
@@ -32,23 +32,25 @@
     token_text,
 };
 
-/// Longest wait for a condition.
-pub const BOUND: Duration = Duration::from_secs(20);
+/// Maximum wait for a condition.
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 pub const SERVICE: &str = "wagtail-scribes";
-pub const HALL: &str = "quito-hall";
+pub const DATA_CENTRE: &str = "quito-hall";
 pub const REGION: &str = "sierra";
 pub const VM: &str = "qh-u1";
 
-/// Length of a model in bytes, and of its chunks.
-const MODEL: usize = 300_000;
-const CHUNK: usize = 16_384;
+/// Size of a model.
+const MODEL_BYTES: usize = 300_000;
 
-pub fn anywhere() -> SocketAddr {
+/// Size of a model's chunks.
+const CHUNK_BYTES: usize = 16_384;
+
+pub fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// Waits until `check` gives something.
+/// Waits until `check` returns a value.
 pub async fn eventually<T, F>(what: &str, mut check: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
@@ -58,7 +60,10 @@
         if let Some(found) = check().await {
             return found;
         }
-        assert!(start.elapsed() < BOUND, "not within {BOUND:?}: {what}");
+        assert!(
+            start.elapsed() < MAX_WAIT,
+            "not within {MAX_WAIT:?}: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -70,7 +75,7 @@
     }
 }
 
-/// A document for every VM of the one data centre.
+/// Returns a document that includes all VMs of the data centre.
 pub fn document(kind: ServiceKind, model: Option<ModelRef>) -> Document {
     Document {
         service: SERVICE.to_owned(),
@@ -78,7 +83,7 @@
         model,
         adapters: Vec::new(),
         places: vec![Place {
-            data_centre: HALL.to_owned(),
+            data_centre: DATA_CENTRE.to_owned(),
             vms: VmSelection::All,
             ready: 1,
         }],
@@ -104,14 +109,14 @@
     }
 }
 
-/// An entry's control, without an entry around it.
+/// Starts the control server of an entry, without the rest of the entry.
 pub fn start_entry(lease: Duration) -> EntryControl {
     let cfg = EntryControlConfig {
         vm: "qh-e1".to_owned(),
         incarnation: 1,
-        data_centre: HALL.to_owned(),
+        data_centre: DATA_CENTRE.to_owned(),
         region: REGION.to_owned(),
-        listen: anywhere(),
+        listen: any_port(),
         lease,
     };
     EntryControl::start(cfg, &Registry::new()).unwrap()
@@ -120,7 +125,7 @@
 fn vm_entry(vm: &str, role: VmRole, control: SocketAddr, data: SocketAddr) -> VmEntry {
     VmEntry {
         vm: vm.to_owned(),
-        data_centre: HALL.to_owned(),
+        data_centre: DATA_CENTRE.to_owned(),
         region: REGION.to_owned(),
         role,
         state: VmState::Live,
@@ -130,7 +135,7 @@
     }
 }
 
-/// Settings of an agent before an upstream at `upstream`.
+/// Returns the settings of an agent whose upstream listens at `upstream`.
 pub fn settings(
     kind: ServiceKind,
     upstream: SocketAddr,
@@ -139,12 +144,12 @@
 ) -> AgentSettings {
     AgentSettings {
         vm: VM.to_owned(),
-        data_centre: HALL.to_owned(),
+        data_centre: DATA_CENTRE.to_owned(),
         region: REGION.to_owned(),
         service: SERVICE.to_owned(),
         listen: AgentListen {
-            data: anywhere(),
-            control: anywhere(),
+            data: any_port(),
+            control: any_port(),
         },
         platform: AgentPlatform {
             vms: format!("http://{vms}"),
@@ -167,14 +172,14 @@
     }
 }
 
-/// What surrounds an agent, whatever its upstream.
-pub struct Hall {
+/// The environment of an agent of any kind: list of VMs, entry and client.
+pub struct Environment {
     pub vms: VmListStandin,
     pub entry: EntryControl,
     pub client: HttpClient,
 }
 
-impl Hall {
+impl Environment {
     pub fn new() -> Self {
         let entry = start_entry(Duration::from_millis(1000));
         let listed = vm_entry("qh-e1", VmRole::Entry, entry.addr(), entry.addr());
@@ -183,14 +188,14 @@
         };
         entry.set_entries(vec![listed]);
         Self {
-            vms: VmListStandin::start(cfg, anywhere()).unwrap(),
+            vms: VmListStandin::start(cfg, any_port()).unwrap(),
             entry,
             client: HttpClient::new(),
         }
     }
 
-    /// Lists the agent's VM, so that the entry counts on it.
-    pub fn list_agent(&self, agent: &AgentProcess) {
+    /// Adds the agent's VM to the entry's list, so that the entry includes the VM in its decisions.
+    pub fn add_agent(&self, agent: &AgentProcess) {
         let (control, data) = (agent.control_addr(), agent.data_addr());
         self.entry
             .set_vms(vec![vm_entry(VM, VmRole::Upstream, control, data)]);
@@ -210,7 +215,7 @@
             .unwrap()
     }
 
-    /// Does the same, for an answer that may not come.
+    /// Sends a request like [`Self::send`], and returns an error if there is no answer.
     pub async fn try_send(
         &self,
         addr: SocketAddr,
@@ -232,7 +237,7 @@
 
 /// An agent with an engine, an origin and an entry.
 pub struct World {
-    pub hall: Hall,
+    pub env: Environment,
     pub origin: OriginStandin,
     pub engine: EngineStandin,
     pub agent: AgentProcess,
@@ -244,37 +249,39 @@
         Self::with_settings(cfg, |_| {}).await
     }
 
-    /// Does the same with changed settings of the agent.
+    /// Starts everything, with the agent's settings changed by `change`.
     pub async fn with_settings<F>(cfg: EngineConfig, change: F) -> Self
     where
         F: FnOnce(&mut AgentSettings),
     {
-        Self::within(Hall::new(), cfg, change).await
+        Self::with_env(Environment::new(), cfg, change).await
     }
 
-    /// Does the same with surroundings that are there already.
-    pub async fn within<F>(hall: Hall, cfg: EngineConfig, change: F) -> Self
+    /// Starts everything else in an existing environment.
+    pub async fn with_env<F>(env: Environment, cfg: EngineConfig, change: F) -> Self
     where
         F: FnOnce(&mut AgentSettings),
     {
-        let origin = OriginStandin::start(OriginConfig::default(), anywhere()).unwrap();
+        let origin = OriginStandin::start(OriginConfig::default(), any_port()).unwrap();
         for version in ["1", "2", "3"] {
-            let data = version.repeat(MODEL);
+            let data = version.repeat(MODEL_BYTES);
             let part = model(version);
-            origin.add_bytes(&part, Bytes::from(data), CHUNK).unwrap();
+            origin
+                .add_bytes(&part, Bytes::from(data), CHUNK_BYTES)
+                .unwrap();
         }
-        let engine = EngineStandin::start(cfg, anywhere()).unwrap();
+        let engine = EngineStandin::start(cfg, any_port()).unwrap();
         let mut settings = settings(
             ServiceKind::Engine,
             engine.addr(),
-            hall.vms.addr(),
+            env.vms.addr(),
             Some(origin.addr()),
         );
         change(&mut settings);
         let agent = AgentProcess::start(settings).await.unwrap();
-        hall.list_agent(&agent);
+        env.add_agent(&agent);
         Self {
-            hall,
+            env,
             origin,
             engine,
             agent,
@@ -284,29 +291,29 @@
     /// Starts everything and waits until version 1 is open in epoch 5.
     pub async fn serving(cfg: EngineConfig) -> Self {
         let world = Self::new(cfg).await;
-        world.want(5, "1");
-        world.opened(5).await;
+        world.set_document(5, "1");
+        world.wait_open(5).await;
         world
     }
 
-    /// Gives the entry a document for `version`.
-    pub fn want(&self, epoch: Epoch, version: &str) {
+    /// Sets the entry's document to `version`, in `epoch`.
+    pub fn set_document(&self, epoch: Epoch, version: &str) {
         let document = document(ServiceKind::Engine, Some(model(version)));
-        self.hall.entry.set_state(state(epoch, document));
+        self.env.entry.set_state(state(epoch, document));
     }
 
-    /// Digest of the bundle of a version.
+    /// Returns the digest of a version's bundle.
     pub fn bundle(&self, version: &str) -> Digest {
         let parts = vec![self.origin.manifest(&model(version)).unwrap()];
         Bundle { parts }.digest()
     }
 
     pub async fn report(&self) -> Report {
-        report_of(&self.hall, &self.agent).await
+        report_of(&self.env, &self.agent).await
     }
 
-    /// Waits until the agent says that `epoch` is open.
-    pub async fn opened(&self, epoch: Epoch) {
+    /// Waits until the agent reports that `epoch` is open.
+    pub async fn wait_open(&self, epoch: Epoch) {
         eventually("the epoch is open", async || {
             let report = self.report().await;
             (report.open == Some(epoch)).then_some(())
@@ -314,7 +321,7 @@
         .await;
     }
 
-    /// Runs a request and returns its answer's head and body.
+    /// Starts a request and returns the response's head and its unread body.
     pub async fn start(
         &self,
         request: &str,
@@ -324,7 +331,7 @@
         self.try_start(request, headers, max_tokens).await.unwrap()
     }
 
-    /// Does the same, for an answer that may not come.
+    /// Runs a request like [`Self::start`], and returns an error if there is no answer.
     pub async fn try_start(
         &self,
         request: &str,
@@ -334,7 +341,7 @@
         let path = format!("/run/{request}");
         let body = serde_json::json!({ "prompt": prompt(request), "max_tokens": max_tokens });
         let addr = self.agent.data_addr();
-        self.hall
+        self.env
             .try_send(addr, Method::POST, &path, headers, &body.to_string())
             .await
     }
@@ -351,17 +358,17 @@
     pub async fn cancel_with(&self, request: &str, headers: &[(&str, &str)]) -> String {
         let addr = self.agent.data_addr();
         let path = format!("/cancel/{request}");
-        let response = self.hall.send(addr, Method::POST, &path, headers, "").await;
+        let response = self.env.send(addr, Method::POST, &path, headers, "").await;
         let body = response.into_body().collect().await.unwrap().to_bytes();
         let answer: serde_json::Value = serde_json::from_slice(&body).unwrap();
         answer["state"].as_str().unwrap().to_owned()
     }
 }
 
-/// Asks an agent for its report.
-pub async fn report_of(hall: &Hall, agent: &AgentProcess) -> Report {
+/// Reads an agent's report.
+pub async fn report_of(env: &Environment, agent: &AgentProcess) -> Report {
     let addr = agent.data_addr();
-    let response = hall.send(addr, Method::GET, "/status", &[], "").await;
+    let response = env.send(addr, Method::GET, "/status", &[], "").await;
     let body = response.into_body().collect().await.unwrap().to_bytes();
     serde_json::from_slice(&body).unwrap()
 }
@@ -370,15 +377,15 @@
     format!("an inscription for {request}")
 }
 
-/// An answer, as far as it came.
+/// An answer, as far as it was received.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub headers: http::HeaderMap,
     pub events: Vec<SseEvent>,
-    /// The whole body, for answers that are no stream.
+    /// The bytes of the body, for answers that are not event streams.
     pub body: Bytes,
-    /// The body broke off.
+    /// Whether the body was cut.
     pub is_cut: bool,
 }
 
@@ -414,7 +421,7 @@
             .map_or("", |value| value.to_str().unwrap())
     }
 
-    /// Returns outcome and reason of an answer that is no stream.
+    /// Returns the status, outcome and reason of an answer that is not an event stream.
     pub fn refusal(&self) -> (u16, &str, &str) {
         let outcome = self.header("wagtailreel-outcome");
         (
@@ -431,7 +438,7 @@
             .collect()
     }
 
-    /// Returns the data of the last event, and its name.
+    /// Returns the name and the data of the last event.
     pub fn last(&self) -> (String, serde_json::Value) {
         let event = self.events.last().unwrap();
         let name = String::from_utf8(event.name.to_vec()).unwrap();
@@ -445,7 +452,7 @@
             .map(|event| serde_json::from_slice(&event.data).unwrap())
     }
 
-    /// Checks that the answer is whole, its own and from one bundle.
+    /// Checks that the answer is complete, belongs to `request` and is from `bundle` only.
     pub fn assert_whole(&self, request: &str, bundle: Digest, from: u32, tokens: u32) {
         assert!(!self.is_cut, "cut: {self:?}");
         let expected: Vec<String> = (from..tokens)
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -21,19 +21,19 @@
     let bundle = world.bundle("1");
     let addr = world.agent.data_addr();
     let mut running = world.start("long", &[], 100).await;
-    // The head of the answer is read, its body not: it is still the answer of a running request.
+    // The first part of the body is read and the rest is not, so the request is still running.
     assert_eq!(running.status(), 200);
     let first = running.body_mut().frame().await.unwrap().unwrap();
     let first = first.into_data().unwrap();
 
     let World {
-        hall,
+        env,
         origin,
         engine,
         agent,
     } = world;
     let shutdown = tokio::spawn(agent.shutdown());
-    let mut agents = hall.entry.agents();
+    let mut agents = env.entry.agents();
     eventually("the entry knows that the agent is leaving", async || {
         let views = agents.borrow_and_update().clone();
         let view = views.get(common::VM)?;
@@ -41,7 +41,7 @@
     })
     .await;
     let body = r#"{"prompt": "late", "max_tokens": 4}"#;
-    let late = hall.send(addr, http::Method::POST, "/run/late", &[], body);
+    let late = env.send(addr, http::Method::POST, "/run/late", &[], body);
     let late = Answer::read(late.await).await;
     assert_eq!(late.refusal(), (503, "not-run", "leaving"));
     assert!(!shutdown.is_finished());
@@ -55,7 +55,7 @@
     }
     answer.events.splice(0..0, before);
     answer.assert_whole("long", bundle, 0, 100);
-    tokio::time::timeout(common::BOUND, shutdown)
+    tokio::time::timeout(common::MAX_WAIT, shutdown)
         .await
         .unwrap()
         .unwrap();
@@ -67,12 +67,15 @@
 async fn idle_agent() {
     let world = World::serving(EngineConfig::default()).await;
     let shutdown = world.agent.shutdown();
-    tokio::time::timeout(common::BOUND, shutdown).await.unwrap();
+    tokio::time::timeout(common::MAX_WAIT, shutdown)
+        .await
+        .unwrap();
 }
 
-/// An entry that has heard nothing of the end uses its connection for as long as it was told.
+/// Guards against closing an idle connection too early: an entry that does not know of the shutdown
+/// uses the connection for as long as its `keep-alive` header allows.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn kept_connection() {
+async fn keep_alive_after_shutdown() {
     let world = World::serving(EngineConfig::default()).await;
     let mut stream = TcpStream::connect(world.agent.data_addr()).await.unwrap();
     let req = "HEAD /no/such/route HTTP/1.1\r\nhost: agent\r\n\r\n";
@@ -88,7 +91,7 @@
     assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
     let after = since.elapsed();
     assert!(after > Duration::from_secs(2), "closed after {after:?}");
-    tokio::time::timeout(common::BOUND, shutdown)
+    tokio::time::timeout(common::MAX_WAIT, shutdown)
         .await
         .unwrap()
         .unwrap();
--- a/crates/agent/tests/loader.rs
+++ b/crates/agent/tests/loader.rs
@@ -1,4 +1,4 @@
-//! The loader's orders to an engine, as golden sessions.
+//! Snapshot tests of the loader's orders to an engine.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use wagtailreel_agent_core::loader::{Action, EngineView, Loader, Staged, View};
 use wagtailreel_core::{Digest, Epoch};
 
-/// A session: what the loader sees, in words, and its actions after each line.
+/// A session, which feeds the events of a text script to the loader.
 struct Session {
     loader: Loader,
     start: Instant,
@@ -24,9 +24,9 @@
 }
 
 impl Session {
-    fn new(room: u32) -> Self {
+    fn new(max_bundles: u32) -> Self {
         Self {
-            loader: Loader::new(room, 7),
+            loader: Loader::new(max_bundles, 7),
             start: Instant::now(),
             now: Duration::ZERO,
             epoch: 0,
@@ -46,8 +46,8 @@
         digest
     }
 
-    /// Takes in one line: `<verb> <words>`.
-    fn take(&mut self, line: &str) {
+    /// Applies one line of the script: `<verb> <arguments>`.
+    fn apply(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let number = |at: usize| words[at].parse::<u64>().unwrap();
         let now = self.start + self.now;
@@ -124,12 +124,12 @@
     }
 }
 
-/// Plays a session and writes the actions below each line that caused any.
-fn play(room: u32, script: &str) -> String {
-    let mut session = Session::new(room);
+/// Runs a script and returns each line followed by the actions that it caused.
+fn play(max_bundles: u32, script: &str) -> String {
+    let mut session = Session::new(max_bundles);
     let mut out = String::new();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
-        session.take(line);
+        session.apply(line);
         writeln!(out, "{line}").unwrap();
         for action in session.decide() {
             writeln!(out, "    {action}").unwrap();
@@ -231,7 +231,7 @@
 
 #[test]
 fn restarts() {
-    // First the agent, which finds a bundle that it doesn't know; then the engine, in mid-rollout.
+    // The agent restarts and finds an unknown bundle; then the engine restarts during a rollout.
     insta::assert_snapshot!(play(
         2,
         "engine holds x a
@@ -271,7 +271,7 @@
 
 #[test]
 fn chunks_replaced() {
-    // The engine serves epoch 5 whose chunks gave way to those of epoch 9.
+    // The engine serves epoch 5, whose chunks were dropped in favour of those of epoch 9.
     insta::assert_snapshot!(play(
         1,
         "engine holds a
--- a/crates/agent/tests/outcomes.rs
+++ b/crates/agent/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of a request that has no answer.
+//! Outcomes that callers get for requests without an answer.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod common;
@@ -9,8 +9,8 @@
 use rstest::rstest;
 use wagtailreel_standins::EngineConfig;
 
-/// An engine whose answers take their time.
-fn slow() -> EngineConfig {
+/// Returns the settings of an engine that needs 50 ms per token.
+fn slow_engine() -> EngineConfig {
     EngineConfig {
         between_tokens: Duration::from_millis(50),
         ..EngineConfig::default()
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn closed_at_first() {
+async fn closed_before_load() {
     let world = World::new(EngineConfig::default()).await;
     let answer = world.run("r1", &[], 4).await;
     assert_eq!(answer.refusal(), (503, "not-run", "closed"));
@@ -28,7 +28,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lapsed_lease() {
     let world = World::serving(EngineConfig::default()).await;
-    world.hall.entry.stop();
+    world.env.entry.stop();
     let mut runs = 0;
     let (request, answer) = eventually("the lease lapses", async || {
         runs += 1;
@@ -43,7 +43,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn over_capacity() {
-    let world = World::serving(slow()).await;
+    let world = World::serving(slow_engine()).await;
     let mut running = Vec::new();
     for n in 0..4 {
         running.push(world.start(&format!("r{n}"), &[], 40).await);
@@ -52,11 +52,11 @@
     assert_eq!(answer.refusal(), (429, "not-run", "full"));
     assert_eq!(world.report().await.in_flight, 4);
     drop(running);
-    eventually("the places are free again", async || {
+    eventually("the slots are free again", async || {
         (world.report().await.in_flight == 0).then_some(())
     })
     .await;
-    // The refused id was never started, and may come again.
+    // The refused request was never started, so its id is accepted again.
     let answer = world.run("r5", &[], 4).await;
     answer.assert_whole("r5", world.bundle("1"), 0, 4);
 }
@@ -66,7 +66,7 @@
     let cfg = EngineConfig {
         slots: 1,
         queue: 0,
-        ..slow()
+        ..slow_engine()
     };
     let world = World::serving(cfg).await;
     let _running = world.start("r1", &[], 40).await;
@@ -89,7 +89,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn same_id_again() {
-    let world = World::serving(slow()).await;
+    let world = World::serving(slow_engine()).await;
     let bundle = world.bundle("1");
     let running = world.start("r1", &[], 20).await;
     let again = world.run("r1", &[], 20).await;
@@ -99,7 +99,7 @@
     let later = world.run("r1", &[], 20).await;
     assert_eq!(later.refusal(), (409, "unknown", "duplicate"));
     assert_eq!(world.engine.stats().started, 1);
-    // A resume is another matter.
+    // A resume under the same id is accepted.
     let resumed = world
         .run("r1", &[("wagtailreel-resume-from", "15")], 20)
         .await;
@@ -113,11 +113,11 @@
     let answer = world.run("r1", &[], 4).await;
     assert_eq!(answer.refusal(), (502, "unknown", "answer-lost"));
     // The stand-in loses its answer before it starts the request.
-    eventually("the engine has started it", async || {
+    eventually("the engine has started the request", async || {
         (world.engine.stats().started == 1).then_some(())
     })
     .await;
-    // Whoever asks again is never told that it was not run.
+    // A cancel of the request never returns `not-run`.
     eventually("the request has ended", async || {
         let state = world.cancel("r1").await;
         assert_ne!(state, "not-run");
@@ -136,14 +136,14 @@
     let answer = world.run("r1", &[], 4).await;
     let (_, outcome, reason) = answer.refusal();
     assert_eq!(outcome, "not-run");
-    // `closed` once the agent has noticed by itself.
+    // `closed` once the agent's own check has failed.
     assert!(matches!(reason, "refused" | "closed"), "{reason}");
-    eventually("the agent says what is wrong", async || {
+    eventually("the agent reports the trouble", async || {
         world.report().await.trouble
     })
     .await;
     world.engine.resume().unwrap();
-    world.opened(5).await;
+    world.wait_open(5).await;
     let answer = world.run("r1", &[], 4).await;
     answer.assert_whole("r1", world.bundle("1"), 0, 4);
 }
--- a/crates/agent/tests/passage.rs
+++ b/crates/agent/tests/passage.rs
@@ -1,4 +1,4 @@
-//! The way to the upstream: the gate's last word, and exact counts.
+//! The checks before a request is sent to the upstream, and the counts of running requests.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::sync::Arc;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Opens `epoch` for the time of a lease, and returns the end of the lease.
+    /// Opens `epoch` with a lease of `lease`, and returns the end of the lease.
     fn open(&self, epoch: Epoch, lease: Duration) -> Instant {
         let directive = Directive {
             config: epoch,
@@ -65,13 +65,13 @@
     let agent = Agent::new();
     let end = agent.open(5, LEASE);
     let mut passage = agent.enter("r1").unwrap();
-    // The process is frozen here, and wakes when its lease has lapsed.
+    // Simulates a process that is suspended here until its lease has lapsed.
     std::thread::sleep(end.saturating_duration_since(Instant::now()));
     let refused = passage.start();
     assert_eq!(refused, Err(Refusal::NotRun(NotRunReason::Lease)));
     drop(passage);
     assert_eq!(agent.in_flight(), 0);
-    // It was never started, and may come again.
+    // The request was never started, so its id is accepted again.
     agent.open(5, Duration::from_secs(60));
     assert_eq!(agent.enter("r1").unwrap().start(), Ok(()));
 }
--- a/crates/agent/tests/plain.rs
+++ b/crates/agent/tests/plain.rs
@@ -1,38 +1,38 @@
-//! An agent before a plain service.
+//! An agent of a plain service.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Answer, Hall, anywhere, document, eventually, report_of, settings, state};
+use common::{Answer, Environment, any_port, document, eventually, report_of, settings, state};
 use http::Method;
 use wagtailreel_agent_core::AgentProcess;
 use wagtailreel_core::ServiceKind;
 use wagtailreel_standins::{PlainConfig, PlainStandin};
 
 struct PlainWorld {
-    hall: Hall,
+    env: Environment,
     service: PlainStandin,
     agent: AgentProcess,
 }
 
 impl PlainWorld {
     async fn serving() -> Self {
-        let hall = Hall::new();
-        let service = PlainStandin::start(PlainConfig::default(), anywhere()).unwrap();
+        let env = Environment::new();
+        let service = PlainStandin::start(PlainConfig::default(), any_port()).unwrap();
         let kind = ServiceKind::Plain;
-        let settings = settings(kind, service.addr(), hall.vms.addr(), None);
+        let settings = settings(kind, service.addr(), env.vms.addr(), None);
         let agent = AgentProcess::start(settings).await.unwrap();
-        hall.list_agent(&agent);
-        hall.entry.set_state(state(5, document(kind, None)));
+        env.add_agent(&agent);
+        env.entry.set_state(state(5, document(kind, None)));
         eventually("the epoch is open", async || {
-            let report = report_of(&hall, &agent).await;
+            let report = report_of(&env, &agent).await;
             (report.open == Some(5)).then_some(())
         })
         .await;
         Self {
-            hall,
+            env,
             service,
             agent,
         }
@@ -40,12 +40,12 @@
 
     async fn call(&self, path: &str, body: &str) -> Answer {
         let addr = self.agent.data_addr();
-        Answer::read(self.hall.send(addr, Method::POST, path, &[], body).await).await
+        Answer::read(self.env.send(addr, Method::POST, path, &[], body).await).await
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn passed_through() {
+async fn call_forwarded() {
     let world = PlainWorld::serving().await;
     let answer = world
         .call("/call/r1/notes/a%20b?full=1", "a delivery note")
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn status_passed_on() {
+async fn status_forwarded() {
     let world = PlainWorld::serving().await;
     world.service.faults().update(|f| f.status = 418);
     let answer = world.call("/call/r1/", "").await;
--- a/crates/agent/tests/pressure.rs
+++ b/crates/agent/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! The gauge of how much transfers slow down live answers.
+//! The gauge of the slowdown of live answers by transfers.
 
 use std::time::Duration;
 
@@ -11,20 +11,28 @@
 #[case::half(30, 45, 0.35, 0.45)]
 #[case::twice(30, 60, 1.0, 1.0)]
 #[case::much_worse(30, 300, 1.0, 1.0)]
-fn slowdown_counts(#[case] calm: u64, #[case] busy: u64, #[case] low: f64, #[case] high: f64) {
+fn slowdown_counts(
+    #[case] baseline_ms: u64,
+    #[case] transfer_ms: u64,
+    #[case] low: f64,
+    #[case] high: f64,
+) {
     let mut gauge = PressureGauge::new(Duration::from_millis(66));
     for _ in 0..20 {
-        assert_eq!(gauge.sample(Some(Duration::from_millis(calm)), false), 0.0);
+        assert_eq!(
+            gauge.sample(Some(Duration::from_millis(baseline_ms)), false),
+            0.0
+        );
     }
     let mut pressure = 0.0;
     for _ in 0..20 {
-        pressure = gauge.sample(Some(Duration::from_millis(busy)), true);
+        pressure = gauge.sample(Some(Duration::from_millis(transfer_ms)), true);
     }
     assert!((low..=high).contains(&pressure), "pressure {pressure}");
 }
 
 #[test]
-fn objective_stands_in() {
+fn objective_without_baseline() {
     let mut gauge = PressureGauge::new(Duration::from_millis(50));
     assert_eq!(gauge.sample(Some(Duration::from_millis(40)), true), 0.0);
     for _ in 0..20 {
@@ -34,7 +42,7 @@
 }
 
 #[test]
-fn idle_eases() {
+fn no_pressure_when_idle() {
     let mut gauge = PressureGauge::new(Duration::from_millis(50));
     gauge.sample(Some(Duration::from_millis(500)), true);
     assert_eq!(gauge.sample(None, true), 0.0);
--- a/crates/agent/tests/requests.rs
+++ b/crates/agent/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The ledger of requests: at most one start, and nothing starts after "not-run".
+//! The ledger of requests: a request starts at most once, and never after a `not-run` answer.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
     Accepted, CancelState, Entrance, KEEP, Ledger, RequestKey, Started,
 };
 
-/// Plays a session, one step a line: `<ms> <verb> <request> [resume]`.
+/// Runs a session with one step per line: `<ms> <verb> <request> [resume]`.
 fn play(limit: usize, session: &str) -> String {
     let mut ledger = Ledger::new(limit);
     let base = Instant::now();
@@ -78,7 +78,7 @@
 
 #[test]
 fn overlapping_resume() {
-    // The first attempt's stream is cut where the agent does not see it yet.
+    // The first attempt's stream is cut, and the agent has not detected the cut yet.
     insta::assert_snapshot!(play(
         100,
         "0 accept a
@@ -152,8 +152,8 @@
 }
 
 proptest! {
-    /// Fresh requests within the time that ids are kept: whoever holds an accepted attempt
-    /// starts, withdraws, voids or finishes it; cancels and further accepts come at any time.
+    /// Fresh requests within the retention period of ids. An accepted attempt may be started or withdrawn,
+    /// and a started one voided or finished. Cancels and further accepts come at any time.
     #[test]
     fn starts_once(steps in prop::collection::vec(step(), 0..200)) {
         let ids: Vec<RequestKey> = ["a", "b", "c", "d"].map(RequestKey::new).to_vec();
@@ -162,7 +162,7 @@
         let mut pending = BTreeSet::new();
         let mut running = BTreeSet::new();
         let mut starts: BTreeMap<usize, u32> = BTreeMap::new();
-        let mut told_not_run = BTreeSet::new();
+        let mut reported_not_run = BTreeSet::new();
         let fresh = Entrance::Fresh;
         for step in steps {
             match step {
@@ -176,7 +176,7 @@
                 Step::Start(id) if pending.remove(&id) => {
                     let started = ledger.start(ids[id], fresh);
                     if started == Started::Go {
-                        prop_assert!(!told_not_run.contains(&id), "started after not-run");
+                        prop_assert!(!reported_not_run.contains(&id), "started after not-run");
                         *starts.entry(id).or_default() += 1;
                         prop_assert_eq!(starts[&id], 1, "started twice");
                         running.insert(id);
@@ -192,16 +192,16 @@
                     let state = ledger.cancel(ids[id], now);
                     if state == CancelState::NotRun {
                         prop_assert!(!starts.contains_key(&id), "not-run after a start");
-                        told_not_run.insert(id);
+                        reported_not_run.insert(id);
                     }
                 }
-                // 200 steps of less than 100 ms stay far below the time ids are kept.
+                // 200 steps of less than 100 ms stay far below the retention period of ids.
                 Step::Pass(ms) => now += Duration::from_millis(ms),
                 _ => {}
             }
             prop_assert!(ledger.len() <= 3, "over the limit");
         }
-        // In the end everything settles and is forgotten.
+        // At the end all attempts are settled, and their ids expire after the retention period.
         for id in pending {
             ledger.withdraw(ids[id], now);
         }
--- a/crates/agent/tests/serve.rs
+++ b/crates/agent/tests/serve.rs
@@ -1,9 +1,9 @@
-//! The whole way: document, chunks, load, open, run.
+//! The complete path from a document through chunks, load and opening to a request.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod common;
 
-use common::{Hall, World, eventually};
+use common::{Environment, World, eventually};
 use wagtailreel_core::WeightsPhase;
 use wagtailreel_standins::EngineConfig;
 
@@ -32,15 +32,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn next_version() {
     let world = World::serving(EngineConfig::default()).await;
-    world.want(9, "2");
-    world.opened(9).await;
+    world.set_document(9, "2");
+    world.wait_open(9).await;
     let (old, new) = (world.bundle("1"), world.bundle("2"));
     world.run("r1", &[], 8).await.assert_whole("r1", new, 0, 8);
 
     let pin = old.to_string();
     let answer = world.run("r2", &[("wagtailreel-pin", &pin)], 8).await;
     assert_eq!(answer.refusal(), (503, "not-run", "weights"));
-    // The old bundle goes once nothing needs it.
+    // The old bundle is dropped when no request needs it.
     eventually("the old bundle is dropped", async || {
         let held: Vec<_> = world.engine.held().into_keys().collect();
         (held == [new]).then_some(())
@@ -57,10 +57,10 @@
         ..EngineConfig::default()
     };
     let world = World::with_settings(cfg, |settings| settings.upstream.bundles = 1).await;
-    world.want(5, "1");
-    world.opened(5).await;
-    world.want(9, "2");
-    world.opened(9).await;
+    world.set_document(5, "1");
+    world.wait_open(5).await;
+    world.set_document(9, "2");
+    world.wait_open(9).await;
     let new = world.bundle("2");
     world.run("r1", &[], 8).await.assert_whole("r1", new, 0, 8);
 }
@@ -72,7 +72,7 @@
     let addr = world.agent.data_addr();
     let get = async |path: &str| {
         let method = http::Method::GET;
-        common::Answer::read(world.hall.send(addr, method, path, &[], "").await).await
+        common::Answer::read(world.env.send(addr, method, path, &[], "").await).await
     };
     assert_eq!(get("/healthz").await.status, 200);
     let metrics = String::from_utf8(get("/metrics").await.body.to_vec()).unwrap();
@@ -87,18 +87,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn list_away() {
-    // The platform's list is down: the agent reports to the entry that its settings name.
-    let hall = Hall::new();
-    hall.vms.faults().update(|f| f.common.down = true);
-    let seeds = vec![hall.entry.addr()];
-    let world = World::within(hall, EngineConfig::default(), |s| s.seeds = seeds).await;
-    world.want(5, "1");
-    world.opened(5).await;
-    // Once the list is back, the agent goes on with the entries that are in it.
-    world.hall.vms.faults().clear();
-    world.want(9, "2");
-    world.opened(9).await;
+async fn vm_list_unreachable() {
+    // The platform's list is down, so the agent reports to the seed entry of its settings.
+    let env = Environment::new();
+    env.vms.faults().update(|f| f.common.down = true);
+    let seeds = vec![env.entry.addr()];
+    let world = World::with_env(env, EngineConfig::default(), |s| s.seeds = seeds).await;
+    world.set_document(5, "1");
+    world.wait_open(5).await;
+    // When the list is reachable again, the agent continues with the listed entries.
+    world.env.vms.faults().clear();
+    world.set_document(9, "2");
+    world.wait_open(9).await;
     let bundle = world.bundle("2");
     let answer = world.run("r1", &[], 8).await;
     answer.assert_whole("r1", bundle, 0, 8);
--- a/crates/agent/tests/streams.rs
+++ b/crates/agent/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break, and answers that are not to be trusted.
+//! Cut streams and answers from wrong weights.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod common;
@@ -13,7 +13,7 @@
 use wagtailreel_core::Digest;
 use wagtailreel_standins::{EngineConfig, RequestState};
 
-fn slow() -> EngineConfig {
+fn slow_engine() -> EngineConfig {
     EngineConfig {
         between_tokens: Duration::from_millis(20),
         ..EngineConfig::default()
@@ -38,7 +38,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn engine_killed() {
-    let world = World::serving(slow()).await;
+    let world = World::serving(slow_engine()).await;
     let mut running = world.start("r1", &[], 500).await;
     running.body_mut().frame().await.unwrap().unwrap();
     world.engine.crash();
@@ -53,7 +53,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn wrong_weights() {
-    // The engine says it holds the bundle, but what it has read is something else.
+    // The engine reports the bundle's digest but has loaded other bytes.
     let world = World::new(EngineConfig::default()).await;
     world.engine.faults().update(|f| f.accept_anything = true);
     let (named, other) = (world.bundle("1"), b"other bytes");
@@ -62,10 +62,10 @@
     let headers = [("wagtailreel-parts", parts.as_str())];
     let body = str::from_utf8(other).unwrap();
     let addr = world.engine.addr();
-    let loaded = world.hall.send(addr, Method::POST, &path, &headers, body);
+    let loaded = world.env.send(addr, Method::POST, &path, &headers, body);
     assert_eq!(loaded.await.status(), 200);
-    world.want(5, "1");
-    world.opened(5).await;
+    world.set_document(5, "1");
+    world.wait_open(5).await;
     let answer = world.run("r1", &[], 4).await;
     let (name, data) = answer.last();
     assert_eq!(name, "error");
@@ -75,12 +75,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn caller_gone() {
-    let world = World::serving(slow()).await;
+    let world = World::serving(slow_engine()).await;
     let mut running = world.start("r1", &[], 1000).await;
     running.body_mut().frame().await.unwrap().unwrap();
     assert_eq!(world.report().await.in_flight, 1);
     drop(running);
-    eventually("the engine was told to cancel", async || {
+    eventually("the engine has cancelled the request", async || {
         let stats = world.engine.request("r1")?;
         (stats.state == RequestState::Cancelled).then_some(())
     })
@@ -93,7 +93,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn caller_gone_early() {
-    // The caller goes while the engine has not answered at all, and does not for long.
+    // The caller disconnects while the frozen engine has not answered yet.
     let world = World::serving(EngineConfig::default()).await;
     world.engine.faults().update(|f| f.common.frozen = true);
     let addr = world.agent.data_addr();
