--- a/crates/agent/src/answers.rs
+++ b/crates/agent/src/answers.rs
@@ -9,7 +9,7 @@
 use wagtailreel_core::headers::{OUTCOME, REASON};
 use wagtailreel_core::{NotRunReason, Outcome};
 
-use crate::passage::Refusal;
+use crate::request_guard::Refusal;
 use crate::requests::CancelState;
 
 /// Reason of a request that is or was running under the same id.
--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -23,7 +23,7 @@
 use crate::answers::{self, Cancelled};
 use crate::headers::Wanted;
 use crate::hub::Hub;
-use crate::passage::{Passage, Refusal};
+use crate::request_guard::{RequestGuard, Refusal};
 use crate::requests::CancelState;
 use crate::tokens::TokenBody;
 
@@ -110,8 +110,8 @@
 where
     E: Engine + Unpin,
 {
-    let mut passage = app.hub.enter(wanted.wish)?;
-    let admission = passage.admission();
+    let mut guard = app.hub.enter(wanted.wish)?;
+    let admission = guard.admission();
     let req = GenerateRequest {
         request: request.clone(),
         bundle: admission.weights,
@@ -120,9 +120,9 @@
         priority: wanted.priority,
         resume_from: wanted.resume_from,
     };
-    passage.start()?;
+    guard.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
-    let mut run = Run::new(app, request, passage);
+    let mut run = Run::new(app, request, guard);
     match app.engine.generate(&req).await {
         Ok(tokens) => {
             run.tokens = Some(tokens);
@@ -185,14 +185,14 @@
     admission: Admission,
     counted: bool,
     /// None once the request has ended.
-    passage: Option<Passage>,
+    guard: Option<RequestGuard>,
 }
 
 impl<E> Run<E>
 where
     E: Engine,
 {
-    fn new(app: &EngineApp<E>, request: RequestId, passage: Passage) -> Self {
+    fn new(app: &EngineApp<E>, request: RequestId, guard: RequestGuard) -> Self {
         Self {
             hub: Arc::clone(&app.hub),
             engine: app.engine.clone(),
@@ -201,9 +201,9 @@
             last_token: None,
             passed: 0,
             tokens: None,
-            admission: passage.admission(),
+            admission: guard.admission(),
             counted: false,
-            passage: Some(passage),
+            guard: Some(guard),
         }
     }
 
@@ -242,13 +242,13 @@
     /// Ends the request: it was answered whole.
     pub(crate) fn end_answered(&mut self) {
         self.hub.metrics.count_answered();
-        self.passage = None;
+        self.guard = None;
     }
 
     /// Ends the request: its answer is not to be trusted.
     pub(crate) fn end_unknown(&mut self, reason: &str) {
         self.count_unknown(reason);
-        self.passage = None;
+        self.guard = None;
     }
 
     /// Counts the request as cut; it is cancelled when this is dropped.
@@ -272,8 +272,8 @@
                 answers::ANSWER_LOST,
             ));
         }
-        if let Some(mut passage) = self.passage.take() {
-            passage.void();
+        if let Some(mut guard) = self.guard.take() {
+            guard.void();
         }
         let reason = match err.status() {
             Some(StatusCode::NOT_FOUND) => {
@@ -297,7 +297,7 @@
 {
     fn drop(&mut self) {
         self.hub.metrics.count_tokens(self.passed);
-        let Some(passage) = self.passage.take() else {
+        let Some(guard) = self.guard.take() else {
             return;
         };
         if !self.counted {
@@ -313,7 +313,7 @@
             // The engine may not know the request or be gone: then there is nothing to cancel.
             let _ = engine.cancel(&request).await;
             drop(tokens);
-            drop(passage);
+            drop(guard);
         });
     }
 }
--- a/crates/agent/src/headers.rs
+++ b/crates/agent/src/headers.rs
@@ -7,7 +7,7 @@
 use wagtailreel_core::headers::{DEADLINE_MS, PIN, PRIORITY, RESUME_FROM};
 use wagtailreel_core::{Digest, Priority};
 
-use crate::passage::Wish;
+use crate::request_guard::Wish;
 use crate::requests::{Entrance, RequestKey};
 
 /// What the headers of a request say.
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -19,7 +19,7 @@
 use crate::answers;
 use crate::events;
 use crate::metrics::Metrics;
-use crate::passage::{Passage, Refusal, Requests, Wish};
+use crate::request_guard::{RequestGuard, Refusal, Requests, Wish};
 use crate::pressure::Gaps;
 use crate::requests::CancelState;
 
@@ -90,8 +90,8 @@
     }
 
     /// Takes a request in, if the ledger, the capacity and the gate let it.
-    pub(crate) fn enter(&self, wish: Wish) -> Result<Passage, Refusal> {
-        Passage::enter(&self.requests, &self.admitter, wish)
+    pub(crate) fn enter(&self, wish: Wish) -> Result<RequestGuard, Refusal> {
+        RequestGuard::enter(&self.requests, &self.admitter, wish)
     }
 
     /// Cancels a request that an entry sent to the start of the agent that `headers` name.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
 //! The agent process: the one gate before an engine or plain service.
 //!
-//! A request's way is `engine_app` or `plain_app`, through `passage` (ledger, capacity, gate), to
+//! A request's way is `engine_app` or `plain_app`, through `request_guard` (ledger, capacity, gate), to
 //! the upstream and back through `tokens`. Beside it run the tasks of `follow` (directives,
 //! list of VMs, reports) and the watch over the upstream: `engine_watch` for an engine, which does
 //! what `loader` decides, `plain_watch` for a plain service. They share the `hub`.
@@ -18,11 +18,11 @@
 pub mod loader;
 mod metrics;
 mod ops;
-pub mod passage;
 mod plain_app;
 mod plain_watch;
 mod pressure;
 mod process;
+pub mod request_guard;
 pub mod requests;
 mod tokens;
 
--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -26,7 +26,7 @@
 use crate::engine_app::{BODY_LIMIT, CALLER_GONE};
 use crate::headers::Wanted;
 use crate::hub::Hub;
-use crate::passage::{Passage, Refusal};
+use crate::request_guard::{RequestGuard, Refusal};
 
 /// Headers that concern one connection, and are not passed on.
 const HOP_HEADERS: &[HeaderName] = &[
@@ -119,12 +119,12 @@
 where
     P: PlainService,
 {
-    let mut passage = app.hub.enter(wanted.wish)?;
-    passage.start()?;
+    let mut guard = app.hub.enter(wanted.wish)?;
+    guard.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
     let mut run = CallRun {
         hub: Arc::clone(&app.hub),
-        passage,
+        guard,
         is_counted: false,
     };
     match app.service.call(req).await {
@@ -193,7 +193,7 @@
 #[derive(Debug)]
 struct CallRun {
     hub: Arc<Hub>,
-    passage: Passage,
+    guard: RequestGuard,
     is_counted: bool,
 }
 
@@ -203,7 +203,7 @@
         self.is_counted = true;
         self.hub.look_at_upstream();
         if err.took_effect() == Effect::No {
-            self.passage.void();
+            self.guard.void();
             return Err(NotRunReason::Refused.into());
         }
         self.hub.metrics.count_unknown(answers::ANSWER_LOST);
--- a/crates/agent/src/passage.rs
+++ b/crates/agent/src/request_guard.rs
@@ -100,10 +100,10 @@
 
 /// A request that was admitted and is counted until this is dropped.
 ///
-/// Invariant: dropped before [`Passage::start`] the request is forgotten, after it remembered as
-/// done, unless [`Passage::void`] says that the upstream started nothing.
+/// Invariant: dropped before [`RequestGuard::start`] the request is forgotten, after it remembered as
+/// done, unless [`RequestGuard::void`] says that the upstream started nothing.
 #[derive(Debug)]
-pub struct Passage {
+pub struct RequestGuard {
     requests: Arc<Requests>,
     admitter: Arc<Admitter>,
     wish: Wish,
@@ -111,7 +111,7 @@
     stage: Stage,
 }
 
-impl Passage {
+impl RequestGuard {
     /// Checks a request against the ledger, the capacity and the gate, in this order, and counts
     /// it.
     ///
@@ -187,7 +187,7 @@
     }
 }
 
-impl Drop for Passage {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let (key, now) = (self.wish.key, Instant::now());
         let mut ledger = self.requests.lock(key);
--- a/crates/agent/tests/passage.rs
+++ b/crates/agent/tests/passage.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use wagtailreel_agent_core::admitter::Admitter;
-use wagtailreel_agent_core::passage::{Passage, Refusal, Requests, Wish};
+use wagtailreel_agent_core::request_guard::{RequestGuard, Refusal, Requests, Wish};
 use wagtailreel_agent_core::requests::{CancelState, Entrance, RequestKey};
 use wagtailreel_core::{Digest, Directive, Epoch, NotRunReason, WeightsPhase};
 
@@ -45,14 +45,14 @@
         now + lease
     }
 
-    fn enter(&self, request: &str) -> Result<Passage, Refusal> {
+    fn enter(&self, request: &str) -> Result<RequestGuard, Refusal> {
         let wish = Wish {
             key: RequestKey::new(request),
             entrance: Entrance::Fresh,
             pin: None,
             deadline: None,
         };
-        Passage::enter(&self.requests, &self.admitter, wish)
+        RequestGuard::enter(&self.requests, &self.admitter, wish)
     }
 
     fn in_flight(&self) -> u32 {
@@ -64,12 +64,12 @@
 fn frozen_past_lease() {
     let agent = Agent::new();
     let end = agent.open(5, LEASE);
-    let mut passage = agent.enter("r1").unwrap();
+    let mut guard = agent.enter("r1").unwrap();
     // The process is frozen here, and wakes when its lease has lapsed.
     std::thread::sleep(end.saturating_duration_since(Instant::now()));
-    let refused = passage.start();
+    let refused = guard.start();
     assert_eq!(refused, Err(Refusal::NotRun(NotRunReason::Lease)));
-    drop(passage);
+    drop(guard);
     assert_eq!(agent.in_flight(), 0);
     // It was never started, and may come again.
     agent.open(5, Duration::from_secs(60));
@@ -80,9 +80,9 @@
 fn frozen_past_switch() {
     let agent = Agent::new();
     agent.open(5, Duration::from_secs(60));
-    let mut passage = agent.enter("r1").unwrap();
+    let mut guard = agent.enter("r1").unwrap();
     agent.open(9, Duration::from_secs(60));
-    let refused = passage.start();
+    let refused = guard.start();
     assert_eq!(refused, Err(Refusal::NotRun(NotRunReason::Closed)));
 }
 
@@ -90,11 +90,11 @@
 fn cancelled_in_between() {
     let agent = Agent::new();
     agent.open(5, Duration::from_secs(60));
-    let mut passage = agent.enter("r1").unwrap();
+    let mut guard = agent.enter("r1").unwrap();
     assert_eq!(agent.requests.cancel("r1"), CancelState::NotRun);
-    let refused = passage.start();
+    let refused = guard.start();
     assert_eq!(refused, Err(Refusal::NotRun(NotRunReason::Cancelled)));
-    drop(passage);
+    drop(guard);
     let again = agent.enter("r1").map(drop);
     assert_eq!(again, Err(Refusal::NotRun(NotRunReason::Cancelled)));
 }
