--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -23,7 +23,7 @@
 use crate::answers::{self, Cancelled};
 use crate::headers::Wanted;
 use crate::hub::Hub;
-use crate::request_guard::{RequestGuard, Refusal};
+use crate::request_guard::{Refusal, RequestGuard};
 use crate::requests::CancelState;
 use crate::tokens::TokenBody;
 
@@ -110,7 +110,7 @@
 where
     E: Engine + Unpin,
 {
-    let mut guard = app.hub.enter(wanted.wish)?;
+    let mut guard = app.hub.enter(wanted.req)?;
     let admission = guard.admission();
     let req = GenerateRequest {
         request: request.clone(),
--- a/crates/agent/src/headers.rs
+++ b/crates/agent/src/headers.rs
@@ -7,14 +7,14 @@
 use wagtailreel_core::headers::{DEADLINE_MS, PIN, PRIORITY, RESUME_FROM};
 use wagtailreel_core::{Digest, Priority};
 
-use crate::request_guard::Wish;
-use crate::requests::{Entrance, RequestKey};
+use crate::request_guard::AdmissionRequest;
+use crate::requests::{RequestKey, StartMode};
 
 /// What the headers of a request say.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wanted {
     /// What the request asks of the gate.
-    pub(crate) wish: Wish,
+    pub(crate) req: AdmissionRequest,
     /// Index of the first token that is wanted.
     pub(crate) resume_from: u32,
     /// Place in the engine's queue.
@@ -35,15 +35,15 @@
     ) -> Result<Self, &'static str> {
         let resume_from: Option<u32> = read_header(headers, RESUME_FROM)?;
         let left_ms: Option<u64> = read_header(headers, DEADLINE_MS)?;
-        let entrance = match resume_from {
-            Some(_) => Entrance::Resume,
-            None => Entrance::Fresh,
+        let mode = match resume_from {
+            Some(_) => StartMode::Resume,
+            None => StartMode::Fresh,
         };
         let left = left_ms.map(Duration::from_millis);
         Ok(Self {
-            wish: Wish {
+            req: AdmissionRequest {
                 key: RequestKey::new(request),
-                entrance,
+                mode,
                 pin: read_header::<Digest>(headers, PIN)?,
                 deadline: left.and_then(|left| now.checked_add(left)),
             },
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -19,8 +19,8 @@
 use crate::answers;
 use crate::events;
 use crate::metrics::Metrics;
-use crate::request_guard::{RequestGuard, Refusal, Requests, Wish};
 use crate::pressure::Gaps;
+use crate::request_guard::{AdmissionRequest, Refusal, RequestGuard, Requests};
 use crate::requests::CancelState;
 
 /// What stays the same while the process runs.
@@ -90,8 +90,8 @@
     }
 
     /// Takes a request in, if the ledger, the capacity and the gate let it.
-    pub(crate) fn enter(&self, wish: Wish) -> Result<RequestGuard, Refusal> {
-        RequestGuard::enter(&self.requests, &self.admitter, wish)
+    pub(crate) fn enter(&self, req: AdmissionRequest) -> Result<RequestGuard, Refusal> {
+        RequestGuard::enter(&self.requests, &self.admitter, req)
     }
 
     /// Cancels a request that an entry sent to the start of the agent that `headers` name.
--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -26,7 +26,7 @@
 use crate::engine_app::{BODY_LIMIT, CALLER_GONE};
 use crate::headers::Wanted;
 use crate::hub::Hub;
-use crate::request_guard::{RequestGuard, Refusal};
+use crate::request_guard::{Refusal, RequestGuard};
 
 /// Headers that concern one connection, and are not passed on.
 const HOP_HEADERS: &[HeaderName] = &[
@@ -119,7 +119,7 @@
 where
     P: PlainService,
 {
-    let mut guard = app.hub.enter(wanted.wish)?;
+    let mut guard = app.hub.enter(wanted.req)?;
     guard.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
     let mut run = CallRun {
--- a/crates/agent/src/request_guard.rs
+++ b/crates/agent/src/request_guard.rs
@@ -9,7 +9,7 @@
 
 use crate::admitter::Admitter;
 use crate::events;
-use crate::requests::{Accepted, CancelState, Entrance, Ledger, RequestKey, Started};
+use crate::requests::{Accepted, CancelState, Ledger, RequestKey, StartMode, Started};
 
 /// Shards of the ledger, each under its own lock.
 const SHARDS: usize = 64;
@@ -79,11 +79,11 @@
 
 /// What a request asks of the gate.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
+pub struct AdmissionRequest {
     /// Stands for the request's id.
     pub key: RequestKey,
     /// From the beginning or resumed.
-    pub entrance: Entrance,
+    pub mode: StartMode,
     /// The bundle that must answer, if the caller wants a certain one.
     pub pin: Option<Digest>,
     /// When the request is no longer worth starting.
@@ -106,7 +106,7 @@
 pub struct RequestGuard {
     requests: Arc<Requests>,
     admitter: Arc<Admitter>,
-    wish: Wish,
+    req: AdmissionRequest,
     admission: Admission,
     stage: Stage,
 }
@@ -121,10 +121,10 @@
     pub fn enter(
         requests: &Arc<Requests>,
         admitter: &Arc<Admitter>,
-        wish: Wish,
+        req: AdmissionRequest,
     ) -> Result<Self, Refusal> {
         let now = Instant::now();
-        let accepted = requests.lock(wish.key).accept(wish.key, wish.entrance, now);
+        let accepted = requests.lock(req.key).accept(req.key, req.mode, now);
         match accepted {
             Accepted::Pending => {}
             Accepted::Cancelled => return Err(NotRunReason::Cancelled.into()),
@@ -134,16 +134,16 @@
             }
             Accepted::Duplicate => return Err(Refusal::Duplicate),
         }
-        match admitter.enter(now, wish.pin) {
+        match admitter.enter(now, req.pin) {
             Ok(admission) => Ok(Self {
                 requests: Arc::clone(requests),
                 admitter: Arc::clone(admitter),
-                wish,
+                req,
                 admission,
                 stage: Stage::Accepted,
             }),
             Err(reason) => {
-                requests.lock(wish.key).withdraw(wish.key, now);
+                requests.lock(req.key).withdraw(req.key, now);
                 Err(reason.into())
             }
         }
@@ -164,11 +164,11 @@
     ///
     /// Returns why the request does not go on; nothing was sent then.
     pub fn start(&mut self) -> Result<(), Refusal> {
-        let key = self.wish.key;
-        if self.wish.deadline.is_some_and(|at| Instant::now() >= at) {
+        let key = self.req.key;
+        if self.req.deadline.is_some_and(|at| Instant::now() >= at) {
             return Err(NotRunReason::Deadline.into());
         }
-        let started = self.requests.lock(key).start(key, self.wish.entrance);
+        let started = self.requests.lock(key).start(key, self.req.mode);
         match started {
             Started::Go => self.stage = Stage::Started,
             Started::Cancelled => return Err(NotRunReason::Cancelled.into()),
@@ -189,12 +189,12 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let (key, now) = (self.wish.key, Instant::now());
+        let (key, now) = (self.req.key, Instant::now());
         let mut ledger = self.requests.lock(key);
         match self.stage {
             Stage::Accepted => ledger.withdraw(key, now),
             Stage::Started => ledger.finish(key, now),
-            Stage::Void => ledger.void(key, self.wish.entrance, now),
+            Stage::Void => ledger.void(key, self.req.mode, now),
         }
         drop(ledger);
         self.admitter.leave(self.admission.epoch);
--- a/crates/agent/src/requests.rs
+++ b/crates/agent/src/requests.rs
@@ -41,7 +41,7 @@
 
 /// How a request enters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entrance {
+pub enum StartMode {
     /// From the beginning.
     Fresh,
     /// From a token that the caller names, after its stream was cut.
@@ -147,7 +147,7 @@
     }
 
     /// Takes note of a request that wants to run.
-    pub fn accept(&mut self, key: RequestKey, entrance: Entrance, now: Instant) -> Accepted {
+    pub fn accept(&mut self, key: RequestKey, mode: StartMode, now: Instant) -> Accepted {
         self.forget(now);
         let Some(state) = self.states.get(&key) else {
             if self.states.len() >= self.limit {
@@ -156,17 +156,17 @@
             self.states.insert(key, State::Pending { ran: false });
             return Accepted::Pending;
         };
-        match (state, entrance) {
+        match (state, mode) {
             (State::Tombstone { .. }, _) => Accepted::Cancelled,
             // Resumes of one request over and over would grow the queue, not the map.
-            (State::Done { .. }, Entrance::Resume) if self.settled.len() >= self.limit => {
+            (State::Done { .. }, StartMode::Resume) if self.settled.len() >= self.limit => {
                 Accepted::Full
             }
             (
                 State::Done {
                     cancelled: false, ..
                 },
-                Entrance::Resume,
+                StartMode::Resume,
             ) => {
                 self.states.insert(key, State::Pending { ran: true });
                 Accepted::Pending
@@ -176,7 +176,7 @@
                 State::Running {
                     cancelled: false, ..
                 },
-                Entrance::Resume,
+                StartMode::Resume,
             ) => Accepted::Pending,
             _ => Accepted::Duplicate,
         }
@@ -187,11 +187,11 @@
     /// The caller holds the shard's lock for this call, and sends the request after it; a cancel
     /// that takes the lock first leaves a tombstone here, one that takes it later sees the
     /// request as started.
-    pub fn start(&mut self, key: RequestKey, entrance: Entrance) -> Started {
+    pub fn start(&mut self, key: RequestKey, mode: StartMode) -> Started {
         let Some(state) = self.states.get_mut(&key) else {
             return Started::Duplicate;
         };
-        match (&mut *state, entrance) {
+        match (&mut *state, mode) {
             (State::Tombstone { .. }, _) => return Started::Cancelled,
             (State::Pending { .. }, _) => {}
             // The attempt that is resumed has ended since the resume was accepted.
@@ -199,14 +199,14 @@
                 State::Done {
                     cancelled: false, ..
                 },
-                Entrance::Resume,
+                StartMode::Resume,
             ) => {}
             (
                 State::Running {
                     attempts,
                     cancelled: false,
                 },
-                Entrance::Resume,
+                StartMode::Resume,
             ) => {
                 *attempts += 1;
                 return Started::Go;
@@ -243,7 +243,7 @@
     /// Takes back a started request of which the upstream says that nothing was started.
     ///
     /// A resumed request is not forgotten: it ran before, here or elsewhere.
-    pub fn void(&mut self, key: RequestKey, entrance: Entrance, now: Instant) {
+    pub fn void(&mut self, key: RequestKey, mode: StartMode, now: Instant) {
         let Some(State::Running {
             attempts,
             cancelled,
@@ -256,10 +256,10 @@
             return;
         }
         let cancelled = *cancelled;
-        match (entrance, cancelled) {
-            (Entrance::Resume, _) => self.settle(key, State::Done { at: now, cancelled }),
-            (Entrance::Fresh, true) => self.settle(key, State::Tombstone { at: now }),
-            (Entrance::Fresh, false) => {
+        match (mode, cancelled) {
+            (StartMode::Resume, _) => self.settle(key, State::Done { at: now, cancelled }),
+            (StartMode::Fresh, true) => self.settle(key, State::Tombstone { at: now }),
+            (StartMode::Fresh, false) => {
                 self.states.remove(&key);
             }
         }
--- a/crates/agent/tests/passage.rs
+++ b/crates/agent/tests/passage.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use wagtailreel_agent_core::admitter::Admitter;
-use wagtailreel_agent_core::request_guard::{RequestGuard, Refusal, Requests, Wish};
-use wagtailreel_agent_core::requests::{CancelState, Entrance, RequestKey};
+use wagtailreel_agent_core::request_guard::{AdmissionRequest, Refusal, RequestGuard, Requests};
+use wagtailreel_agent_core::requests::{CancelState, RequestKey, StartMode};
 use wagtailreel_core::{Digest, Directive, Epoch, NotRunReason, WeightsPhase};
 
 const LEASE: Duration = Duration::from_millis(50);
@@ -46,13 +46,13 @@
     }
 
     fn enter(&self, request: &str) -> Result<RequestGuard, Refusal> {
-        let wish = Wish {
+        let req = AdmissionRequest {
             key: RequestKey::new(request),
-            entrance: Entrance::Fresh,
+            mode: StartMode::Fresh,
             pin: None,
             deadline: None,
         };
-        RequestGuard::enter(&self.requests, &self.admitter, wish)
+        RequestGuard::enter(&self.requests, &self.admitter, req)
     }
 
     fn in_flight(&self) -> u32 {
--- a/crates/agent/tests/requests.rs
+++ b/crates/agent/tests/requests.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use wagtailreel_agent_core::requests::{
-    Accepted, CancelState, Entrance, KEEP, Ledger, RequestKey, Started,
+    Accepted, CancelState, KEEP, Ledger, RequestKey, StartMode, Started,
 };
 
 /// Plays a session, one step a line: `<ms> <verb> <request> [resume]`.
@@ -20,18 +20,18 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         let now = base + Duration::from_millis(words[0].parse().unwrap());
         let key = RequestKey::new(words[2]);
-        let entrance = match words.get(3) {
-            Some(&"resume") => Entrance::Resume,
-            _ => Entrance::Fresh,
+        let mode = match words.get(3) {
+            Some(&"resume") => StartMode::Resume,
+            _ => StartMode::Fresh,
         };
         let answer = match words[1] {
-            "accept" => ledger.accept(key, entrance, now).to_string(),
-            "start" => ledger.start(key, entrance).to_string(),
+            "accept" => ledger.accept(key, mode, now).to_string(),
+            "start" => ledger.start(key, mode).to_string(),
             "cancel" => ledger.cancel(key, now).to_string(),
             verb => {
                 match verb {
                     "withdraw" => ledger.withdraw(key, now),
-                    "void" => ledger.void(key, entrance, now),
+                    "void" => ledger.void(key, mode, now),
                     "finish" => ledger.finish(key, now),
                     _ => panic!("no such verb: {verb}"),
                 }
@@ -110,20 +110,20 @@
 }
 
 #[rstest]
-#[case::fresh(Entrance::Fresh, CancelState::NotRun, Accepted::Cancelled)]
-#[case::resumed(Entrance::Resume, CancelState::Done, Accepted::Duplicate)]
+#[case::fresh(StartMode::Fresh, CancelState::NotRun, Accepted::Cancelled)]
+#[case::resumed(StartMode::Resume, CancelState::Done, Accepted::Duplicate)]
 fn void_after_cancel(
-    #[case] entrance: Entrance,
+    #[case] mode: StartMode,
     #[case] state: CancelState,
     #[case] accepted: Accepted,
 ) {
     let (mut ledger, key, now) = (Ledger::new(10), RequestKey::new("a"), Instant::now());
-    assert_eq!(ledger.accept(key, entrance, now), Accepted::Pending);
-    assert_eq!(ledger.start(key, entrance), Started::Go);
+    assert_eq!(ledger.accept(key, mode, now), Accepted::Pending);
+    assert_eq!(ledger.start(key, mode), Started::Go);
     assert_eq!(ledger.cancel(key, now), CancelState::Started);
-    ledger.void(key, entrance, now);
+    ledger.void(key, mode, now);
     assert_eq!(ledger.cancel(key, now), state);
-    assert_eq!(ledger.accept(key, Entrance::Fresh, now), accepted);
+    assert_eq!(ledger.accept(key, StartMode::Fresh, now), accepted);
 }
 
 /// One step of a random session.
@@ -163,7 +163,7 @@
         let mut running = BTreeSet::new();
         let mut starts: BTreeMap<usize, u32> = BTreeMap::new();
         let mut told_not_run = BTreeSet::new();
-        let fresh = Entrance::Fresh;
+        let fresh = StartMode::Fresh;
         for step in steps {
             match step {
                 Step::Accept(id) => {
