--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -273,7 +273,7 @@
             ));
         }
         if let Some(mut guard) = self.guard.take() {
-            guard.void();
+            guard.undo_start();
         }
         let reason = match err.status() {
             Some(StatusCode::NOT_FOUND) => {
--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -203,7 +203,7 @@
         self.is_counted = true;
         self.hub.look_at_upstream();
         if err.took_effect() == Effect::No {
-            self.guard.void();
+            self.guard.undo_start();
             return Err(NotRunReason::Refused.into());
         }
         self.hub.metrics.count_unknown(answers::ANSWER_LOST);
--- a/crates/agent/src/request_guard.rs
+++ b/crates/agent/src/request_guard.rs
@@ -95,13 +95,13 @@
 enum Stage {
     Accepted,
     Started,
-    Void,
+    Undone,
 }
 
 /// A request that was admitted and is counted until this is dropped.
 ///
 /// Invariant: dropped before [`RequestGuard::start`] the request is forgotten, after it remembered as
-/// done, unless [`RequestGuard::void`] says that the upstream started nothing.
+/// done, unless [`RequestGuard::undo_start`] says that the upstream started nothing.
 #[derive(Debug)]
 pub struct RequestGuard {
     requests: Arc<Requests>,
@@ -176,14 +176,14 @@
         }
         let confirmed = self.admitter.confirm(Instant::now(), self.admission);
         if confirmed.is_err() {
-            self.void();
+            self.undo_start();
         }
         confirmed.map_err(Refusal::from)
     }
 
     /// Takes the start back: the upstream says for certain that it started nothing.
-    pub fn void(&mut self) {
-        self.stage = Stage::Void;
+    pub fn undo_start(&mut self) {
+        self.stage = Stage::Undone;
     }
 }
 
@@ -194,7 +194,7 @@
         match self.stage {
             Stage::Accepted => ledger.withdraw(key, now),
             Stage::Started => ledger.finish(key, now),
-            Stage::Void => ledger.void(key, self.req.mode, now),
+            Stage::Undone => ledger.undo_start(key, self.req.mode, now),
         }
         drop(ledger);
         self.admitter.leave(self.admission.epoch);
--- a/crates/agent/src/requests.rs
+++ b/crates/agent/src/requests.rs
@@ -1,6 +1,6 @@
 //! Which requests were started, cancelled or finished: one shard's ledger, without I/O.
 //!
-//! Two invariants hold as long as an id is remembered, which is at least [`KEEP`]:
+//! Two invariants hold as long as an id is remembered, which is at least [`RETENTION`]:
 //!
 //! - a request is started at most once, but for a resume that the caller asks for, and
 //! - once a cancel was answered with [`CancelState::NotRun`], the request never starts.
@@ -15,7 +15,7 @@
 use wagtailreel_core::Digest;
 
 /// How long a cancelled or finished request is remembered at least.
-pub const KEEP: Duration = Duration::from_mins(10);
+pub const RETENTION: Duration = Duration::from_mins(10);
 
 /// Bytes of an id's digest that stand for it; long enough that no two ids share them.
 const KEY_BYTES: usize = 16;
@@ -243,7 +243,7 @@
     /// Takes back a started request of which the upstream says that nothing was started.
     ///
     /// A resumed request is not forgotten: it ran before, here or elsewhere.
-    pub fn void(&mut self, key: RequestKey, mode: StartMode, now: Instant) {
+    pub fn undo_start(&mut self, key: RequestKey, mode: StartMode, now: Instant) {
         let Some(State::Running {
             attempts,
             cancelled,
@@ -323,10 +323,10 @@
         self.states.insert(key, state);
     }
 
-    /// Forgets what settled longer ago than [`KEEP`].
+    /// Forgets what settled longer ago than [`RETENTION`].
     fn forget(&mut self, now: Instant) {
         while let Some(&(at, key)) = self.settled.front() {
-            if now.saturating_duration_since(at) < KEEP {
+            if now.saturating_duration_since(at) < RETENTION {
                 return;
             }
             self.settled.pop_front();
--- a/crates/agent/tests/requests.rs
+++ b/crates/agent/tests/requests.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use wagtailreel_agent_core::requests::{
-    Accepted, CancelState, KEEP, Ledger, RequestKey, StartMode, Started,
+    Accepted, CancelState, Ledger, RETENTION, RequestKey, StartMode, Started,
 };
 
 /// Plays a session, one step a line: `<ms> <verb> <request> [resume]`.
@@ -31,7 +31,7 @@
             verb => {
                 match verb {
                     "withdraw" => ledger.withdraw(key, now),
-                    "void" => ledger.void(key, mode, now),
+                    "void" => ledger.undo_start(key, mode, now),
                     "finish" => ledger.finish(key, now),
                     _ => panic!("no such verb: {verb}"),
                 }
@@ -121,7 +121,7 @@
     assert_eq!(ledger.accept(key, mode, now), Accepted::Pending);
     assert_eq!(ledger.start(key, mode), Started::Go);
     assert_eq!(ledger.cancel(key, now), CancelState::Started);
-    ledger.void(key, mode, now);
+    ledger.undo_start(key, mode, now);
     assert_eq!(ledger.cancel(key, now), state);
     assert_eq!(ledger.accept(key, StartMode::Fresh, now), accepted);
 }
@@ -184,7 +184,7 @@
                 }
                 Step::Withdraw(id) if pending.remove(&id) => ledger.withdraw(ids[id], now),
                 Step::Void(id) if running.remove(&id) => {
-                    ledger.void(ids[id], fresh, now);
+                    ledger.undo_start(ids[id], fresh, now);
                     starts.remove(&id);
                 }
                 Step::Finish(id) if running.remove(&id) => ledger.finish(ids[id], now),
@@ -208,7 +208,7 @@
         for id in running {
             ledger.finish(ids[id], now);
         }
-        ledger.cancel(RequestKey::new("other"), now + KEEP);
+        ledger.cancel(RequestKey::new("other"), now + RETENTION);
         prop_assert_eq!(ledger.len(), 1);
     }
 }
