--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -231,7 +231,7 @@
     /// Takes note of when tokens passed, one or several at once.
     pub(crate) fn note_tokens(&mut self, now: Instant) {
         match self.last_token.replace(now) {
-            Some(last) => self.hub.gaps.add(now.saturating_duration_since(last)),
+            Some(last) => self.hub.token_gaps.add(now.saturating_duration_since(last)),
             None => {
                 let delay = now.saturating_duration_since(self.started);
                 self.hub.metrics.observe_first_token(delay);
@@ -283,7 +283,7 @@
             Some(StatusCode::TOO_MANY_REQUESTS) => NotRunReason::Full,
             Some(_) => NotRunReason::Refused,
             None => {
-                self.hub.look_at_upstream();
+                self.hub.check_upstream();
                 NotRunReason::Refused
             }
         };
--- a/crates/agent/src/engine_watch.rs
+++ b/crates/agent/src/engine_watch.rs
@@ -100,7 +100,7 @@
     pub(crate) async fn run(mut self) {
         loop {
             for epoch in self.hub.take_missing() {
-                self.loader.on_missing(epoch);
+                self.loader.on_bundle_missing(epoch);
             }
             self.look().await;
             self.fetch();
@@ -115,7 +115,7 @@
     async fn wait(&mut self) {
         tokio::select! {
             () = tokio::time::sleep(LOOK_EVERY) => {}
-            () = self.hub.look_wanted() => {}
+            () = self.hub.check_requested() => {}
             () = self.chunks.changed() => {}
             Some(answer) = self.orders.join_next() => self.take_answer(answer),
         }
@@ -295,14 +295,14 @@
                 if let Err(why) = &answer {
                     events::LOAD_FAILED.emit(&[("why", why)]);
                 }
-                self.loader.load_answered(now, answer);
+                self.loader.on_load_result(now, answer);
             }
             Ok(Answer::Unload(answer)) => {
                 let answer = answer.map_err(|err| err.to_string());
-                self.loader.unload_answered(now, answer);
+                self.loader.on_unload_result(now, answer);
             }
             // Only a load is ever broken off.
-            Err(err) => self.loader.load_answered(now, Err(err.to_string())),
+            Err(err) => self.loader.on_load_result(now, Err(err.to_string())),
         }
     }
 
@@ -312,7 +312,7 @@
             return;
         }
         self.sampled = Instant::now();
-        let gap = self.hub.gaps.take_mean();
+        let gap = self.hub.token_gaps.take_mean();
         let pressure = self.gauge.sample(gap, self.is_fetching);
         self.chunks.set_live_pressure(pressure);
     }
--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -32,7 +32,7 @@
     /// The VMs that chunks may be fetched from.
     pub(crate) peers: watch::Sender<Vec<VmEntry>>,
     /// When the report was sent that was answered last.
-    pub(crate) heard: watch::Sender<Option<Instant>>,
+    pub(crate) last_answered: watch::Sender<Option<Instant>>,
 }
 
 impl Follower {
@@ -50,7 +50,7 @@
         let is_newer = directive
             .state
             .as_ref()
-            .is_some_and(|state| self.hub.take_state(state));
+            .is_some_and(|state| self.hub.apply_state(state));
         if is_newer {
             self.offer_state();
         }
@@ -61,13 +61,13 @@
                 .lock()
                 .gate
                 .on_directive(now, from.sent_at, &from.entry, &directive);
-        self.hub.note_change(change);
+        self.hub.on_gate_change(change);
         if directive.open.is_some() {
             self.hub.note_lease(from.sent_at + directive.lease);
         }
         self.take_peers(directive.peers);
-        self.heard
-            .send_modify(|heard| *heard = (*heard).max(Some(from.sent_at)));
+        self.last_answered
+            .send_modify(|last_answered| *last_answered = (*last_answered).max(Some(from.sent_at)));
     }
 
     /// Takes the VMs of the service.
@@ -91,8 +91,8 @@
         let revision = state.as_ref().map_or(0, |state| state.revision);
         events::STATE_TAKEN.emit(&[("revision", &revision.to_string())]);
         self.control.set_state(state);
-        self.hub.report_at_once();
-        self.hub.look_at_upstream();
+        self.hub.request_report();
+        self.hub.check_upstream();
     }
 }
 
@@ -182,6 +182,6 @@
     loop {
         control.set_report(hub.report());
         // Either way the next report is made from what is true then.
-        let _ = tokio::time::timeout(period, hub.report_wanted()).await;
+        let _ = tokio::time::timeout(period, hub.report_requested()).await;
     }
 }
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -19,7 +19,7 @@
 use crate::answers;
 use crate::events;
 use crate::metrics::Metrics;
-use crate::pressure::Gaps;
+use crate::pressure::TokenGaps;
 use crate::request_guard::{AdmissionRequest, Refusal, RequestGuard, Requests};
 use crate::requests::CancelState;
 
@@ -68,10 +68,10 @@
     /// Metrics.
     pub(crate) metrics: Metrics,
     /// Gaps between tokens of late.
-    pub(crate) gaps: Gaps,
+    pub(crate) token_gaps: TokenGaps,
     known: Mutex<Known>,
     report_now: Notify,
-    look_now: Notify,
+    check_now: Notify,
 }
 
 impl Hub {
@@ -82,10 +82,10 @@
             requests: Arc::new(Requests::new()),
             admitter: Arc::new(Admitter::new(capacity)),
             metrics,
-            gaps: Gaps::default(),
+            token_gaps: TokenGaps::default(),
             known: Mutex::new(Known::default()),
             report_now: Notify::new(),
-            look_now: Notify::new(),
+            check_now: Notify::new(),
         }
     }
 
@@ -130,7 +130,7 @@
         // Closed for requests at once; the task that watches the engine finds out the rest.
         self.set_phase(epoch, WeightsPhase::Fetching, None);
         self.lock().missing.insert(epoch);
-        self.look_at_upstream();
+        self.check_upstream();
     }
 
     /// Returns the epochs whose bundle turned out to be missing since the last call.
@@ -139,30 +139,30 @@
     }
 
     /// Has the upstream looked at without delay.
-    pub(crate) fn look_at_upstream(&self) {
-        self.look_now.notify_one();
+    pub(crate) fn check_upstream(&self) {
+        self.check_now.notify_one();
     }
 
     /// Waits until the upstream is to be looked at without delay.
-    pub(crate) async fn look_wanted(&self) {
-        self.look_now.notified().await;
+    pub(crate) async fn check_requested(&self) {
+        self.check_now.notified().await;
     }
 
     /// Has a report sent without delay.
-    pub(crate) fn report_at_once(&self) {
+    pub(crate) fn request_report(&self) {
         self.report_now.notify_one();
     }
 
     /// Waits until a report is to be sent without delay.
-    pub(crate) async fn report_wanted(&self) {
+    pub(crate) async fn report_requested(&self) {
         self.report_now.notified().await;
     }
 
     /// Tells the gate how far an epoch is.
     pub(crate) fn set_phase(&self, epoch: Epoch, phase: WeightsPhase, bundle: Option<Digest>) {
         let change = self.admitter.lock().gate.set_phase(epoch, phase, bundle);
-        self.note_change(change);
-        self.report_at_once();
+        self.on_gate_change(change);
+        self.request_report();
     }
 
     /// Tells the gate how far an epoch is, if that is news to it.
@@ -184,12 +184,12 @@
     /// Has the gate forget an epoch.
     pub(crate) fn forget(&self, epoch: Epoch) {
         let change = self.admitter.lock().gate.remove_epoch(epoch);
-        self.note_change(change);
-        self.report_at_once();
+        self.on_gate_change(change);
+        self.request_report();
     }
 
     /// Logs a change of the gate and has it reported.
-    pub(crate) fn note_change(&self, change: GateChange) {
+    pub(crate) fn on_gate_change(&self, change: GateChange) {
         if let Some(epoch) = change.closed_below {
             events::EPOCH_CLOSED.emit(&[("epoch", &epoch.to_string())]);
         }
@@ -197,16 +197,16 @@
             events::EPOCH_OPENED.emit(&[("epoch", &epoch.to_string())]);
         }
         if change.is_some() {
-            self.report_at_once();
+            self.request_report();
             // What is closed may be dropped.
-            self.look_at_upstream();
+            self.check_upstream();
         }
     }
 
     /// Takes a state of the service if its revision is higher; says whether it is.
     ///
     /// Nothing reverts: a state that is as old or older changes nothing.
-    pub(crate) fn take_state(&self, state: &ServiceState) -> bool {
+    pub(crate) fn apply_state(&self, state: &ServiceState) -> bool {
         let mut known = self.lock();
         let revision = known.state.as_ref().map_or(0, |state| state.revision);
         if state.revision <= revision || state.service != self.facts.service {
@@ -258,7 +258,7 @@
         if known.trouble != trouble {
             known.trouble = trouble;
             drop(known);
-            self.report_at_once();
+            self.request_report();
         }
     }
 
@@ -268,7 +268,7 @@
         let is_first = !gated.gate.is_leaving();
         gated.gate.leave();
         drop(gated);
-        self.report_at_once();
+        self.request_report();
         is_first
     }
 
--- a/crates/agent/src/loader.rs
+++ b/crates/agent/src/loader.rs
@@ -88,8 +88,8 @@
 
     /// Takes in the answer to a question for the engine's status; none if there was no answer.
     ///
-    /// The question must have been asked after the last call of [`Loader::load_answered`] or
-    /// [`Loader::unload_answered`].
+    /// The question must have been asked after the last call of [`Loader::on_load_result`] or
+    /// [`Loader::on_unload_result`].
     pub fn on_status(&mut self, engine: Option<EngineView>) {
         match engine {
             Some(engine) => {
@@ -109,7 +109,7 @@
     /// Takes note that the engine did not know a bundle that it was thought to hold.
     ///
     /// The epoch is told again after the next look at the engine.
-    pub fn on_missing(&mut self, epoch: Epoch) {
+    pub fn on_bundle_missing(&mut self, epoch: Epoch) {
         self.told.remove(&epoch);
         self.unverified = true;
     }
@@ -117,7 +117,7 @@
     /// Takes in what the engine answered to the load; an error says why it failed.
     ///
     /// A lost answer is an error here too: the next status tells whether the load took effect.
-    pub fn load_answered(&mut self, now: Instant, answer: Result<Digest, String>) {
+    pub fn on_load_result(&mut self, now: Instant, answer: Result<Digest, String>) {
         let Some(Order::Load {
             bundle, aborted, ..
         }) = self.order.take()
@@ -141,7 +141,7 @@
     }
 
     /// Takes in what the engine answered to the unload; an error says why it failed.
-    pub fn unload_answered(&mut self, now: Instant, answer: Result<(), String>) {
+    pub fn on_unload_result(&mut self, now: Instant, answer: Result<(), String>) {
         if self
             .order
             .take_if(|order| *order == Order::Unload)
--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -201,7 +201,7 @@
     /// Answers a call that the service did not take, or may have taken.
     fn fail(&mut self, err: &PlatformError) -> Result<Response, Refusal> {
         self.is_counted = true;
-        self.hub.look_at_upstream();
+        self.hub.check_upstream();
         if err.took_effect() == Effect::No {
             self.guard.undo_start();
             return Err(NotRunReason::Refused.into());
--- a/crates/agent/src/plain_watch.rs
+++ b/crates/agent/src/plain_watch.rs
@@ -51,7 +51,7 @@
             }
             self.tell();
             // Either way the next check comes.
-            let _ = tokio::time::timeout(CHECK_EVERY, self.hub.look_wanted()).await;
+            let _ = tokio::time::timeout(CHECK_EVERY, self.hub.check_requested()).await;
         }
     }
 
--- a/crates/agent/src/pressure.rs
+++ b/crates/agent/src/pressure.rs
@@ -17,12 +17,12 @@
 
 /// Sums up the gaps between tokens, over all streams.
 #[derive(Debug, Default)]
-pub(crate) struct Gaps {
+pub(crate) struct TokenGaps {
     micros: AtomicU64,
     count: AtomicU64,
 }
 
-impl Gaps {
+impl TokenGaps {
     /// Adds the gap before one token.
     pub(crate) fn add(&self, gap: Duration) {
         let micros = u64::try_from(gap.as_micros()).unwrap_or(u64::MAX);
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -46,7 +46,7 @@
 pub struct AgentProcess {
     hub: Arc<Hub>,
     control: AgentControl,
-    heard: watch::Receiver<Option<Instant>>,
+    last_answered: watch::Receiver<Option<Instant>>,
     server: Server,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -74,14 +74,14 @@
         let facts = facts_of(&settings, data, control.addr());
         let hub = Arc::new(Hub::new(facts, settings.upstream.capacity, metrics));
         let (peers_tx, peers_rx) = watch::channel(Vec::new());
-        let (heard_tx, heard) = watch::channel(None);
+        let (last_answered_tx, last_answered) = watch::channel(None);
         let upstream = start_upstream(&settings, &hub, peers_rx, &registry)?;
         let mut tasks = upstream.tasks;
         let follower = Follower {
             hub: Arc::clone(&hub),
             control: control.clone(),
             peers: peers_tx,
-            heard: heard_tx,
+            last_answered: last_answered_tx,
         };
         tasks.push(tokio::spawn(follower.run()));
         tasks.push(follow_list(&settings, &hub, &control)?);
@@ -100,7 +100,7 @@
         Ok(Self {
             hub,
             control,
-            heard,
+            last_answered,
             server,
             tasks,
         })
@@ -137,9 +137,11 @@
 
     /// Waits until an entry has answered a report that says that the agent is leaving.
     async fn leaving_reported(&mut self, left_at: Instant) {
-        let heard = self.heard.wait_for(|sent_at| *sent_at > Some(left_at));
+        let last_answered = self
+            .last_answered
+            .wait_for(|sent_at| *sent_at > Some(left_at));
         // Without an entry there is nobody to tell.
-        let _ = tokio::time::timeout(LEAVING_TIMEOUT, heard).await;
+        let _ = tokio::time::timeout(LEAVING_TIMEOUT, last_answered).await;
     }
 }
 
--- a/crates/agent/tests/loader.rs
+++ b/crates/agent/tests/loader.rs
@@ -78,11 +78,11 @@
             "running" => drop(self.running.insert(number(1), number(2) as u32)),
             "loaded" => {
                 let digest = self.digest(words[1]);
-                self.loader.load_answered(now, Ok(digest));
+                self.loader.on_load_result(now, Ok(digest));
             }
-            "load-failed" => self.loader.load_answered(now, Err(words[1..].join(" "))),
-            "unloaded" => self.loader.unload_answered(now, Ok(())),
-            "missing" => self.loader.on_missing(number(1)),
+            "load-failed" => self.loader.on_load_result(now, Err(words[1..].join(" "))),
+            "unloaded" => self.loader.on_unload_result(now, Ok(())),
+            "missing" => self.loader.on_bundle_missing(number(1)),
             verb => panic!("no such verb: {verb}"),
         }
     }
