--- a/crates/agent/src/engine_watch.rs
+++ b/crates/agent/src/engine_watch.rs
@@ -21,24 +21,24 @@
 use crate::pressure::PressureGauge;
 
 /// Time between two looks at the engine.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two looks at least: chunks may come by the hundred a second.
-const LOOK_GAP: Duration = Duration::from_millis(20);
+const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long the engine's status is waited for. An engine that is only slow, because it is busy,
 /// shall not count as away.
-const LOOK_TIMEOUT: Duration = Duration::from_secs(2);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Wait before chunks that can't be brought, for a manifest that can't be right, are wanted anew.
-const FAILED_RETRY: Duration = Duration::from_secs(15);
+const FAILED_FETCH_RETRY_DELAY: Duration = Duration::from_secs(15);
 
 /// Time between two samples of the pressure on live answers.
-const SAMPLE_EVERY: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The answer to an order.
 #[derive(Debug)]
-enum Answer {
+enum CommandResult {
     Load(Result<Digest, String>),
     Unload(Result<(), PlatformError>),
 }
@@ -51,16 +51,16 @@
     chunks: Chunks,
     peers: watch::Receiver<Vec<VmEntry>>,
     loader: Loader,
-    orders: JoinSet<Answer>,
+    commands: JoinSet<CommandResult>,
     load: Option<AbortHandle>,
     started_at: Option<SystemTime>,
-    is_away: bool,
+    is_unreachable: bool,
     wanted: Option<Wanted>,
     failed_at: Option<Instant>,
     is_fetching: bool,
     loaded: BTreeSet<Epoch>,
     gauge: PressureGauge,
-    sampled: Instant,
+    sampled_at: Instant,
 }
 
 impl<E> EngineWatch<E>
@@ -83,16 +83,16 @@
             chunks,
             peers,
             loader,
-            orders: JoinSet::new(),
+            commands: JoinSet::new(),
             load: None,
             started_at: None,
-            is_away: false,
+            is_unreachable: false,
             wanted: None,
             failed_at: None,
             is_fetching: false,
             loaded: BTreeSet::new(),
             gauge: PressureGauge::new(objective),
-            sampled: Instant::now(),
+            sampled_at: Instant::now(),
         }
     }
 
@@ -102,33 +102,33 @@
             for epoch in self.hub.take_missing() {
                 self.loader.on_bundle_missing(epoch);
             }
-            self.look().await;
-            self.fetch();
+            self.check_engine().await;
+            self.request_chunks();
             self.decide();
-            self.sample();
+            self.sample_pressure();
             self.wait().await;
-            tokio::time::sleep(LOOK_GAP).await;
+            tokio::time::sleep(MIN_STATUS_INTERVAL).await;
         }
     }
 
     /// Waits until there is something to look at, and takes in the answer to an order.
     async fn wait(&mut self) {
         tokio::select! {
-            () = tokio::time::sleep(LOOK_EVERY) => {}
+            () = tokio::time::sleep(STATUS_INTERVAL) => {}
             () = self.hub.check_requested() => {}
             () = self.chunks.changed() => {}
-            Some(answer) = self.orders.join_next() => self.take_answer(answer),
+            Some(result) = self.commands.join_next() => self.on_command_result(result),
         }
     }
 
     /// Looks at the engine.
-    async fn look(&mut self) {
-        let status = timeout(LOOK_TIMEOUT, self.engine.status()).await;
+    async fn check_engine(&mut self) {
+        let status = timeout(STATUS_TIMEOUT, self.engine.status()).await;
         let status = status.ok().and_then(Result::ok);
         self.hub.set_load(status.as_ref().map(|status| status.load));
-        self.note_away(status.is_none());
+        self.record_reachability(status.is_none());
         if let Some(status) = &status {
-            self.note_restart(status);
+            self.record_restart(status);
         }
         let view = status.map(|status| EngineView {
             bundles: status.bundles.into_iter().collect(),
@@ -136,14 +136,14 @@
         self.loader.on_status(view);
     }
 
-    fn note_away(&mut self, is_away: bool) {
-        if is_away && !self.is_away {
+    fn record_reachability(&mut self, is_unreachable: bool) {
+        if is_unreachable && !self.is_unreachable {
             events::ENGINE_AWAY.emit(&[]);
         }
-        self.is_away = is_away;
+        self.is_unreachable = is_unreachable;
     }
 
-    fn note_restart(&mut self, status: &EngineStatus) {
+    fn record_restart(&mut self, status: &EngineStatus) {
         let before = self.started_at.replace(status.started_at);
         if before.is_some_and(|before| before != status.started_at) {
             events::ENGINE_RESTARTED.emit(&[]);
@@ -151,7 +151,7 @@
     }
 
     /// Has the chunks of the state's epoch fetched.
-    fn fetch(&mut self) {
+    fn request_chunks(&mut self) {
         if self.peers.has_changed().unwrap_or(false) {
             let peers = self.peers.borrow_and_update().clone();
             self.chunks.set_peers(peers);
@@ -190,7 +190,7 @@
             return;
         }
         let failed_at = self.failed_at.get_or_insert_with(Instant::now);
-        if failed_at.elapsed() >= FAILED_RETRY {
+        if failed_at.elapsed() >= FAILED_FETCH_RETRY_DELAY {
             self.failed_at = None;
             self.chunks.forget(wanted.epoch);
             self.chunks.want(wanted.clone());
@@ -227,7 +227,7 @@
         let actions = self.loader.decide(&view);
         drop(gated);
         for action in actions {
-            self.act(action);
+            self.apply(action);
         }
         self.is_fetching = chunks.is_active;
         self.hub.set_chunks(chunks.count, chunks.bytes);
@@ -236,33 +236,33 @@
     }
 
     /// Does one thing that the loader decided.
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::SetPhase {
                 epoch,
                 phase,
                 bundle,
             } => {
-                self.note_loaded(epoch, phase, bundle);
+                self.log_if_loaded(epoch, phase, bundle);
                 self.hub.set_phase(epoch, phase, bundle);
             }
-            Action::GiveUp { epoch } => self.hub.forget(epoch),
-            Action::Load { epoch, fence, .. } => self.order_load(epoch, fence),
+            Action::StopAdmission { epoch } => self.hub.remove_epoch(epoch),
+            Action::Load { epoch, fence, .. } => self.start_load(epoch, fence),
             Action::AbortLoad => {
                 if let Some(load) = &self.load {
                     load.abort();
                 }
             }
-            Action::Unload { bundle, fence } => self.order_unload(bundle, fence),
-            Action::Forget { epoch } => {
+            Action::Unload { bundle, fence } => self.start_unload(bundle, fence),
+            Action::RemoveEpoch { epoch } => {
                 self.loaded.remove(&epoch);
                 self.chunks.forget(epoch);
-                self.hub.forget(epoch);
+                self.hub.remove_epoch(epoch);
             }
         }
     }
 
-    fn note_loaded(&mut self, epoch: Epoch, phase: WeightsPhase, bundle: Option<Digest>) {
+    fn log_if_loaded(&mut self, epoch: Epoch, phase: WeightsPhase, bundle: Option<Digest>) {
         if phase != WeightsPhase::Loaded {
             self.loaded.remove(&epoch);
             return;
@@ -273,33 +273,36 @@
         }
     }
 
-    fn order_load(&mut self, epoch: Epoch, fence: Epoch) {
+    fn start_load(&mut self, epoch: Epoch, fence: Epoch) {
         events::LOAD_ORDERED.emit(&[("epoch", &epoch.to_string())]);
         let engine = self.engine.clone();
         let load = self.chunks.load(engine, epoch, fence);
-        self.load = Some(self.orders.spawn(async move { Answer::Load(load.await) }));
+        self.load = Some(
+            self.commands
+                .spawn(async move { CommandResult::Load(load.await) }),
+        );
     }
 
-    fn order_unload(&mut self, bundle: Digest, fence: Epoch) {
+    fn start_unload(&mut self, bundle: Digest, fence: Epoch) {
         events::BUNDLE_DROPPED.emit(&[("bundle", &bundle.short())]);
         let engine = self.engine.clone();
-        self.orders
-            .spawn(async move { Answer::Unload(engine.unload(bundle, fence).await) });
+        self.commands
+            .spawn(async move { CommandResult::Unload(engine.unload(bundle, fence).await) });
     }
 
     /// Takes in the answer to an order; the next look tells what has become of it.
-    fn take_answer(&mut self, answer: Result<Answer, tokio::task::JoinError>) {
+    fn on_command_result(&mut self, result: Result<CommandResult, tokio::task::JoinError>) {
         let now = Instant::now();
-        match answer {
-            Ok(Answer::Load(answer)) => {
-                if let Err(why) = &answer {
+        match result {
+            Ok(CommandResult::Load(result)) => {
+                if let Err(why) = &result {
                     events::LOAD_FAILED.emit(&[("why", why)]);
                 }
-                self.loader.on_load_result(now, answer);
+                self.loader.on_load_result(now, result);
             }
-            Ok(Answer::Unload(answer)) => {
-                let answer = answer.map_err(|err| err.to_string());
-                self.loader.on_unload_result(now, answer);
+            Ok(CommandResult::Unload(result)) => {
+                let result = result.map_err(|err| err.to_string());
+                self.loader.on_unload_result(now, result);
             }
             // Only a load is ever broken off.
             Err(err) => self.loader.on_load_result(now, Err(err.to_string())),
@@ -307,11 +310,11 @@
     }
 
     /// Has transfers give way if they slow down the agent's own answers.
-    fn sample(&mut self) {
-        if self.sampled.elapsed() < SAMPLE_EVERY {
+    fn sample_pressure(&mut self) {
+        if self.sampled_at.elapsed() < SAMPLE_INTERVAL {
             return;
         }
-        self.sampled = Instant::now();
+        self.sampled_at = Instant::now();
         let gap = self.hub.token_gaps.take_mean();
         let pressure = self.gauge.sample(gap, self.is_fetching);
         self.chunks.set_live_pressure(pressure);
--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -14,13 +14,13 @@
 use crate::hub::Hub;
 
 /// How long the list of VMs is asked to wait for a change.
-const LIST_WAIT: Duration = Duration::from_secs(5);
+const LIST_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Wait before a list that could not be had is asked for again, before jitter.
-const LIST_RETRY: Duration = Duration::from_secs(1);
+const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Start of the name of an entry of which only the address is known.
-const SEED_NAME: &str = "seed-";
+const SEED_NAME_PREFIX: &str = "seed-";
 
 /// Takes in directives.
 #[derive(Debug)]
@@ -40,12 +40,12 @@
     pub(crate) async fn run(self) {
         let mut directives = self.control.directives();
         while let Some(from) = directives.recv().await {
-            self.take(from);
+            self.apply(from);
         }
     }
 
     /// Takes in one directive.
-    fn take(&self, from: FromEntry) {
+    fn apply(&self, from: FromEntry) {
         let directive = from.directive;
         let is_newer = directive
             .state
@@ -63,9 +63,9 @@
                 .on_directive(now, from.sent_at, &from.entry, &directive);
         self.hub.on_gate_change(change);
         if directive.open.is_some() {
-            self.hub.note_lease(from.sent_at + directive.lease);
+            self.hub.record_lease(from.sent_at + directive.lease);
         }
-        self.take_peers(directive.peers);
+        self.apply_peers(directive.peers);
         self.last_answered
             .send_modify(|last_answered| *last_answered = (*last_answered).max(Some(from.sent_at)));
     }
@@ -74,7 +74,7 @@
     ///
     /// The own VM is among them, so that no VM at all comes from an entry that has not seen the
     /// list: one that was started while the platform is away. What is known is worth more.
-    fn take_peers(&self, known: Vec<VmEntry>) {
+    fn apply_peers(&self, known: Vec<VmEntry>) {
         if known.is_empty() {
             return;
         }
@@ -115,27 +115,27 @@
 {
     /// Follows the list for as long as the process runs.
     pub(crate) async fn run(self) {
-        let mut seen = None;
-        let mut is_away = false;
+        let mut version = None;
+        let mut is_unreachable = false;
         self.report_to_seeds();
         loop {
             // After a failure the list may have started anew with lower versions.
-            let since = seen.filter(|_| !is_away);
-            match self.list.list(since, LIST_WAIT).await {
+            let since = version.filter(|_| !is_unreachable);
+            match self.list.list(since, LIST_POLL_TIMEOUT).await {
                 Ok(page) => {
-                    is_away = false;
+                    is_unreachable = false;
                     if let Some(page) = page {
-                        seen = Some(page.version);
+                        version = Some(page.version);
                         self.leave_if_listed(&page);
                         self.control.set_entries(self.entries(&page));
                     }
                 }
                 Err(err) => {
-                    if !is_away {
-                        self.warn(&err);
+                    if !is_unreachable {
+                        self.log_unreachable(&err);
                     }
-                    is_away = true;
-                    let wait = LIST_RETRY.mul_f64(rand::rng().random_range(0.5..1.5));
+                    is_unreachable = true;
+                    let wait = LIST_RETRY_DELAY.mul_f64(rand::rng().random_range(0.5..1.5));
                     tokio::time::sleep(wait).await;
                 }
             }
@@ -148,7 +148,7 @@
             return;
         }
         let seeds = self.seeds.iter();
-        let entries = seeds.map(|addr| (format!("{SEED_NAME}{addr}"), *addr));
+        let entries = seeds.map(|addr| (format!("{SEED_NAME_PREFIX}{addr}"), *addr));
         self.control.set_entries(entries.collect());
     }
 
@@ -172,7 +172,7 @@
             .collect()
     }
 
-    fn warn(&self, err: &PlatformError) {
+    fn log_unreachable(&self, err: &PlatformError) {
         events::VM_LIST_AWAY.emit(&[("why", &err.to_string())]);
     }
 }
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -46,7 +46,7 @@
 
 /// What the agent's tasks found out last.
 #[derive(Debug, Default)]
-struct Known {
+struct LastKnown {
     state: Option<ServiceState>,
     load: Option<EngineLoad>,
     chunks: (u32, u32),
@@ -69,7 +69,7 @@
     pub(crate) metrics: Metrics,
     /// Gaps between tokens of late.
     pub(crate) token_gaps: TokenGaps,
-    known: Mutex<Known>,
+    known: Mutex<LastKnown>,
     report_now: Notify,
     check_now: Notify,
 }
@@ -83,7 +83,7 @@
             admitter: Arc::new(Admitter::new(capacity)),
             metrics,
             token_gaps: TokenGaps::default(),
-            known: Mutex::new(Known::default()),
+            known: Mutex::new(LastKnown::default()),
             report_now: Notify::new(),
             check_now: Notify::new(),
         }
@@ -182,7 +182,7 @@
     }
 
     /// Has the gate forget an epoch.
-    pub(crate) fn forget(&self, epoch: Epoch) {
+    pub(crate) fn remove_epoch(&self, epoch: Epoch) {
         let change = self.admitter.lock().gate.remove_epoch(epoch);
         self.on_gate_change(change);
         self.request_report();
@@ -222,7 +222,7 @@
     }
 
     /// Takes note of a lease that ends at `until`.
-    pub(crate) fn note_lease(&self, until: Instant) {
+    pub(crate) fn record_lease(&self, until: Instant) {
         let mut known = self.lock();
         known.lease_until = known.lease_until.max(Some(until));
     }
@@ -304,7 +304,7 @@
         report
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
+    fn lock(&self) -> MutexGuard<'_, LastKnown> {
         // No code panics while it holds the lock, so that the data is whole in any case.
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/agent/src/loader.rs
+++ b/crates/agent/src/loader.rs
@@ -10,7 +10,8 @@
 
 mod phases;
 mod retry;
-mod room;
+mod selection;
+
 mod view;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,11 +25,11 @@
 pub use view::{Action, EngineView, Staged, View};
 
 /// Questions in a row without an answer after which the engine counts as away.
-const AWAY_AFTER: u32 = 3;
+const UNREACHABLE_AFTER_MISSES: u32 = 3;
 
 /// The order that is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
+enum Command {
     Load {
         epoch: Epoch,
         bundle: Digest,
@@ -40,47 +41,47 @@
 /// Brings an engine to hold the bundle of the wanted epoch.
 #[derive(Debug)]
 pub struct Loader {
-    room: usize,
+    capacity: usize,
     fence: Epoch,
     engine: Option<EngineView>,
-    misses: u32,
-    order: Option<Order>,
+    missed_statuses: u32,
+    command: Option<Command>,
     /// An order was answered, and the engine has not been looked at since.
     unverified: bool,
     retry: Option<Retry>,
     /// Epochs with chunks here or a bundle in the engine.
     epochs: BTreeMap<Epoch, Staged>,
-    given_up: BTreeSet<Epoch>,
+    admission_stopped: BTreeSet<Epoch>,
     /// Epochs that are let go of, until their chunks are gone too.
-    forgotten: BTreeSet<Epoch>,
-    told: BTreeMap<Epoch, (WeightsPhase, Option<Digest>)>,
+    removed: BTreeSet<Epoch>,
+    reported_phases: BTreeMap<Epoch, (WeightsPhase, Option<Digest>)>,
     rng: SmallRng,
 }
 
 impl Loader {
-    /// Makes a loader for an engine that holds `room` bundles at once.
+    /// Makes a loader for an engine that holds `capacity` bundles at once.
     ///
     /// `seed` feeds the jitter of retries.
-    pub fn new(room: u32, seed: u64) -> Self {
+    pub fn new(capacity: u32, seed: u64) -> Self {
         Self {
-            room: usize::try_from(room).unwrap_or(usize::MAX).max(1),
+            capacity: usize::try_from(capacity).unwrap_or(usize::MAX).max(1),
             fence: 0,
             engine: None,
-            misses: 0,
-            order: None,
+            missed_statuses: 0,
+            command: None,
             unverified: true,
             retry: None,
             epochs: BTreeMap::new(),
-            given_up: BTreeSet::new(),
-            forgotten: BTreeSet::new(),
-            told: BTreeMap::new(),
+            admission_stopped: BTreeSet::new(),
+            removed: BTreeSet::new(),
+            reported_phases: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     /// Says what keeps the engine from holding the wanted bundle, with the remedy.
     pub fn trouble(&self) -> Option<String> {
-        if self.engine.is_none() && self.misses >= AWAY_AFTER {
+        if self.engine.is_none() && self.missed_statuses >= UNREACHABLE_AFTER_MISSES {
             return Some("the engine gives no status: check that it runs at upstream.url".into());
         }
         self.retry.as_ref().map(|retry| retry.why.clone())
@@ -93,13 +94,13 @@
     pub fn on_status(&mut self, engine: Option<EngineView>) {
         match engine {
             Some(engine) => {
-                self.misses = 0;
+                self.missed_statuses = 0;
                 self.engine = Some(engine);
                 self.unverified = false;
             }
             None => {
-                self.misses = self.misses.saturating_add(1);
-                if self.misses >= AWAY_AFTER {
+                self.missed_statuses = self.missed_statuses.saturating_add(1);
+                if self.missed_statuses >= UNREACHABLE_AFTER_MISSES {
                     self.engine = None;
                 }
             }
@@ -110,7 +111,7 @@
     ///
     /// The epoch is told again after the next look at the engine.
     pub fn on_bundle_missing(&mut self, epoch: Epoch) {
-        self.told.remove(&epoch);
+        self.reported_phases.remove(&epoch);
         self.unverified = true;
     }
 
@@ -118,16 +119,16 @@
     ///
     /// A lost answer is an error here too: the next status tells whether the load took effect.
     pub fn on_load_result(&mut self, now: Instant, answer: Result<Digest, String>) {
-        let Some(Order::Load {
+        let Some(Command::Load {
             bundle, aborted, ..
-        }) = self.order.take()
+        }) = self.command.take()
         else {
             return;
         };
         self.unverified = true;
         match answer {
             Ok(digest) if digest == bundle => self.retry = None,
-            Ok(digest) => self.fail(
+            Ok(digest) => self.record_failure(
                 now,
                 format!(
                     "the engine loaded {} instead of {}: check the engine's memory and link",
@@ -136,15 +137,15 @@
                 ),
             ),
             Err(_) if aborted => {}
-            Err(why) => self.fail(now, why),
+            Err(why) => self.record_failure(now, why),
         }
     }
 
     /// Takes in what the engine answered to the unload; an error says why it failed.
     pub fn on_unload_result(&mut self, now: Instant, answer: Result<(), String>) {
         if self
-            .order
-            .take_if(|order| *order == Order::Unload)
+            .command
+            .take_if(|command| *command == Command::Unload)
             .is_none()
         {
             return;
@@ -152,7 +153,7 @@
         self.unverified = true;
         match answer {
             Ok(()) => self.retry = None,
-            Err(why) => self.fail(now, why),
+            Err(why) => self.record_failure(now, why),
         }
     }
 
@@ -163,13 +164,13 @@
             self.retry = None;
             self.fence = view.epoch;
         }
-        self.take_staged(view);
-        if self.is_settled(view) {
+        self.merge_staged(view);
+        if self.is_wanted_loaded(view) {
             // A load whose answer was lost has taken effect.
             self.retry = None;
         }
         let mut actions = Vec::new();
-        self.act(view, &mut actions);
+        self.push_next(view, &mut actions);
         let mut all = self.phases();
         all.append(&mut actions);
         all
@@ -179,9 +180,8 @@
     ///
     /// An epoch whose chunks were replaced by those of a newer one may still have its bundle in
     /// the engine, and requests that run on it: it stays known until it is forgotten.
-    fn take_staged(&mut self, view: &View<'_>) {
-        self.forgotten
-            .retain(|epoch| view.staged.contains_key(epoch));
+    fn merge_staged(&mut self, view: &View<'_>) {
+        self.removed.retain(|epoch| view.staged.contains_key(epoch));
         for (epoch, known) in &mut self.epochs {
             if !view.staged.contains_key(epoch) {
                 known.complete = false;
@@ -189,7 +189,7 @@
             }
         }
         for (epoch, staged) in view.staged {
-            if self.forgotten.contains(epoch) {
+            if self.removed.contains(epoch) {
                 continue;
             }
             let known = self.epochs.entry(*epoch).or_default();
@@ -200,40 +200,40 @@
     }
 
     /// Says whether the engine itself reports the wanted bundle.
-    fn is_settled(&self, view: &View<'_>) -> bool {
+    fn is_wanted_loaded(&self, view: &View<'_>) -> bool {
         let bundle = self.bundle_of(view.epoch);
         !self.unverified && bundle.is_some_and(|bundle| self.holds(&bundle))
     }
 
     /// Gives at most one order to the engine, or the notice to the gate that must come before it.
-    fn act(&mut self, view: &View<'_>, actions: &mut Vec<Action>) {
-        if let Some(order) = self.order {
-            self.abort_unwanted(view, order, actions);
+    fn push_next(&mut self, view: &View<'_>, actions: &mut Vec<Action>) {
+        if let Some(command) = self.command {
+            self.abort_unwanted(view, command, actions);
             return;
         }
-        if self.unverified || self.engine.is_none() || self.waits(view.now) {
+        if self.unverified || self.engine.is_none() || self.is_backing_off(view.now) {
             return;
         }
-        if self.drop_drained(view, actions) {
+        if self.unload_drained(view, actions) {
             return;
         }
         let Some((epoch, bundle)) = self.next_load(view) else {
             return;
         };
-        if self.has_room() {
-            self.order_load(epoch, bundle, actions);
+        if self.has_capacity() {
+            self.push_load(epoch, bundle, actions);
         } else {
-            self.make_room(view, epoch, actions);
+            self.free_capacity(view, epoch, actions);
         }
     }
 
     /// Breaks off a load of an epoch that nobody wants any more.
-    fn abort_unwanted(&mut self, view: &View<'_>, order: Order, actions: &mut Vec<Action>) {
-        let Order::Load {
+    fn abort_unwanted(&mut self, view: &View<'_>, command: Command, actions: &mut Vec<Action>) {
+        let Command::Load {
             epoch,
             bundle,
             aborted: false,
-        } = order
+        } = command
         else {
             return;
         };
@@ -243,7 +243,7 @@
         if live || same_bundle || (epoch == view.epoch && view.wanted) {
             return;
         }
-        self.order = Some(Order::Load {
+        self.command = Some(Command::Load {
             epoch,
             bundle,
             aborted: true,
@@ -251,19 +251,19 @@
         actions.push(Action::AbortLoad);
     }
 
-    fn forget(&mut self, epoch: Epoch) {
+    fn remove_epoch(&mut self, epoch: Epoch) {
         self.epochs.remove(&epoch);
-        self.given_up.remove(&epoch);
-        self.told.remove(&epoch);
-        self.forgotten.insert(epoch);
+        self.admission_stopped.remove(&epoch);
+        self.reported_phases.remove(&epoch);
+        self.removed.insert(epoch);
     }
 
     fn bundle_of(&self, epoch: Epoch) -> Option<Digest> {
         self.epochs.get(&epoch).and_then(|staged| staged.bundle)
     }
 
-    fn order_load(&mut self, epoch: Epoch, bundle: Digest, actions: &mut Vec<Action>) {
-        self.order = Some(Order::Load {
+    fn push_load(&mut self, epoch: Epoch, bundle: Digest, actions: &mut Vec<Action>) {
+        self.command = Some(Command::Load {
             epoch,
             bundle,
             aborted: false,
@@ -275,8 +275,8 @@
         });
     }
 
-    fn order_unload(&mut self, bundle: Digest, actions: &mut Vec<Action>) {
-        self.order = Some(Order::Unload);
+    fn push_unload(&mut self, bundle: Digest, actions: &mut Vec<Action>) {
+        self.command = Some(Command::Unload);
         actions.push(Action::Unload {
             bundle,
             fence: self.fence,
--- a/crates/agent/src/loader/phases.rs
+++ b/crates/agent/src/loader/phases.rs
@@ -2,18 +2,18 @@
 
 use wagtailreel_core::{Epoch, WeightsPhase};
 
-use super::{Action, Loader, Order, Staged};
+use super::{Action, Command, Loader, Staged};
 
 impl Loader {
     /// Returns the phases that the gate has not been told yet.
     pub(super) fn phases(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         for (epoch, staged) in &self.epochs {
-            if self.given_up.contains(epoch) {
+            if self.admission_stopped.contains(epoch) {
                 continue;
             }
             let now = (self.phase(*epoch, staged), staged.bundle);
-            if self.told.insert(*epoch, now) != Some(now) {
+            if self.reported_phases.insert(*epoch, now) != Some(now) {
                 actions.push(Action::SetPhase {
                     epoch: *epoch,
                     phase: now.0,
@@ -26,8 +26,11 @@
 
     /// Returns the phase of one epoch.
     fn phase(&self, epoch: Epoch, staged: &Staged) -> WeightsPhase {
-        let is_loading = matches!(self.order, Some(Order::Load { epoch: e, .. }) if e == epoch);
-        let was = self.told.get(&epoch).map(|told| told.0);
+        let is_loading = matches!(self.command, Some(Command::Load { epoch: e, .. }) if e == epoch);
+        let was = self
+            .reported_phases
+            .get(&epoch)
+            .map(|reported_phases| reported_phases.0);
         let is_held = staged.bundle.is_some_and(|bundle| self.holds(&bundle));
         if is_loading {
             return WeightsPhase::Loading;
--- a/crates/agent/src/loader/room.rs
+++ b/crates/agent/src/loader/selection.rs
@@ -8,42 +8,42 @@
 
 impl Loader {
     /// Lets go of the epochs that may go and have no request left; says whether a bundle goes.
-    pub(super) fn drop_drained(&mut self, view: &View<'_>, actions: &mut Vec<Action>) -> bool {
-        let gone = self.leaving_epochs(view);
-        for epoch in gone.iter().filter(|epoch| is_drained(view, **epoch)) {
+    pub(super) fn unload_drained(&mut self, view: &View<'_>, actions: &mut Vec<Action>) -> bool {
+        let removable = self.removable_epochs(view);
+        for epoch in removable.iter().filter(|epoch| is_drained(view, **epoch)) {
             let held = self.bundle_of(*epoch).filter(|bundle| self.holds(bundle));
-            if let Some(bundle) = held.filter(|bundle| !self.is_shared(view, &gone, *bundle)) {
-                self.order_unload(bundle, actions);
+            if let Some(bundle) = held.filter(|bundle| !self.is_in_use(view, &removable, *bundle)) {
+                self.push_unload(bundle, actions);
                 return true;
             }
-            self.forget(*epoch);
-            actions.push(Action::Forget { epoch: *epoch });
+            self.remove_epoch(*epoch);
+            actions.push(Action::RemoveEpoch { epoch: *epoch });
         }
         false
     }
 
     /// Returns the epochs whose bundles and chunks are to go, or have gone.
-    fn leaving_epochs(&self, view: &View<'_>) -> BTreeSet<Epoch> {
+    fn removable_epochs(&self, view: &View<'_>) -> BTreeSet<Epoch> {
         let has_gone = |epoch: &Epoch| {
             let bundle = self.bundle_of(*epoch);
             !view.staged.contains_key(epoch) && !bundle.is_some_and(|it| self.holds(&it))
         };
-        let mut gone: BTreeSet<Epoch> = self.epochs.keys().copied().filter(has_gone).collect();
-        gone.extend(&self.given_up);
-        gone.extend(view.droppable);
-        gone.retain(|epoch| self.epochs.contains_key(epoch));
+        let mut removable: BTreeSet<Epoch> = self.epochs.keys().copied().filter(has_gone).collect();
+        removable.extend(&self.admission_stopped);
+        removable.extend(view.droppable);
+        removable.retain(|epoch| self.epochs.contains_key(epoch));
         if view.wanted {
-            gone.remove(&view.epoch);
+            removable.remove(&view.epoch);
         }
-        gone
+        removable
     }
 
     /// Says whether an epoch that stays needs `bundle`, or a leaving one still runs requests on
     /// it.
-    fn is_shared(&self, view: &View<'_>, gone: &BTreeSet<Epoch>, bundle: Digest) -> bool {
+    fn is_in_use(&self, view: &View<'_>, removable: &BTreeSet<Epoch>, bundle: Digest) -> bool {
         self.epochs
             .iter()
-            .filter(|(epoch, _)| !gone.contains(epoch) || !is_drained(view, **epoch))
+            .filter(|(epoch, _)| !removable.contains(epoch) || !is_drained(view, **epoch))
             .any(|(_, staged)| staged.bundle == Some(bundle))
     }
 
@@ -52,12 +52,14 @@
         let lost_open = Some(view.closed_below)
             .filter(|epoch| *epoch != view.epoch)
             // With room for one bundle, the new one is loaded rather than the old one again.
-            .filter(|_| self.room > 1 || !self.is_ready(view));
+            .filter(|_| self.capacity > 1 || !self.is_wanted_staged(view));
         let wanted = Some(view.epoch).filter(|_| view.wanted);
         lost_open
             .into_iter()
             .chain(wanted)
-            .filter(|epoch| !self.given_up.contains(epoch) && !view.droppable.contains(epoch))
+            .filter(|epoch| {
+                !self.admission_stopped.contains(epoch) && !view.droppable.contains(epoch)
+            })
             .find_map(|epoch| {
                 let staged = self.epochs.get(&epoch).filter(|staged| staged.complete)?;
                 let bundle = staged.bundle.filter(|bundle| !self.holds(bundle))?;
@@ -66,23 +68,28 @@
     }
 
     /// Says whether the chunks of the wanted epoch are all there.
-    fn is_ready(&self, view: &View<'_>) -> bool {
+    fn is_wanted_staged(&self, view: &View<'_>) -> bool {
         let staged = self.epochs.get(&view.epoch);
         view.wanted && staged.is_some_and(|staged| staged.complete)
     }
 
     /// Drops a bundle that no epoch needs, or gives up the open epoch if the gate lets it.
-    pub(super) fn make_room(&mut self, view: &View<'_>, target: Epoch, actions: &mut Vec<Action>) {
+    pub(super) fn free_capacity(
+        &mut self,
+        view: &View<'_>,
+        target: Epoch,
+        actions: &mut Vec<Action>,
+    ) {
         let known: BTreeSet<Digest> = self.epochs.values().filter_map(|s| s.bundle).collect();
-        let stray = self
+        let unknown = self
             .bundles()
             .find(|bundle| !known.contains(*bundle))
             .copied();
-        if let Some(bundle) = stray {
-            self.order_unload(bundle, actions);
+        if let Some(bundle) = unknown {
+            self.push_unload(bundle, actions);
             return;
         }
-        if target != view.epoch || !view.may_swap || !self.given_up.is_empty() {
+        if target != view.epoch || !view.may_swap || !self.admission_stopped.is_empty() {
             return;
         }
         let victim = self
@@ -93,14 +100,14 @@
             })
             .map(|(epoch, _)| *epoch);
         if let Some(epoch) = victim {
-            self.given_up.insert(epoch);
-            self.told.remove(&epoch);
-            actions.push(Action::GiveUp { epoch });
+            self.admission_stopped.insert(epoch);
+            self.reported_phases.remove(&epoch);
+            actions.push(Action::StopAdmission { epoch });
         }
     }
 
-    pub(super) fn has_room(&self) -> bool {
-        self.bundles().count() < self.room
+    pub(super) fn has_capacity(&self) -> bool {
+        self.bundles().count() < self.capacity
     }
 }
 
--- a/crates/agent/src/loader/view.rs
+++ b/crates/agent/src/loader/view.rs
@@ -57,7 +57,7 @@
         bundle: Option<Digest>,
     },
     /// Tell the gate to admit no more requests to an epoch, so that its bundle can go.
-    GiveUp {
+    StopAdmission {
         /// The epoch.
         epoch: Epoch,
     },
@@ -80,7 +80,7 @@
         fence: Epoch,
     },
     /// Drop an epoch's chunks and have the gate forget the epoch.
-    Forget {
+    RemoveEpoch {
         /// The epoch.
         epoch: Epoch,
     },
--- a/crates/agent/src/plain_watch.rs
+++ b/crates/agent/src/plain_watch.rs
@@ -68,7 +68,7 @@
         }
         for epoch in self.hub.droppable(state.epoch) {
             self.held.remove(&epoch);
-            self.hub.forget(epoch);
+            self.hub.remove_epoch(epoch);
         }
         let phase = match is_well {
             true => WeightsPhase::Loaded,
--- a/crates/agent/src/pressure.rs
+++ b/crates/agent/src/pressure.rs
@@ -7,13 +7,13 @@
 const SAMPLE_WEIGHT: f64 = 0.3;
 
 /// Slowdown up to which there is no pressure: noise.
-const NO_PRESSURE: f64 = 1.15;
+const MAX_HARMLESS_SLOWDOWN: f64 = 1.15;
 
 /// Slowdown from which on the pressure is full.
-const FULL_PRESSURE: f64 = 2.0;
+const FULL_PRESSURE_SLOWDOWN: f64 = 2.0;
 
 /// Gaps that make a sample; fewer say nothing.
-const ENOUGH_GAPS: u64 = 10;
+const MIN_SAMPLE_GAPS: u64 = 10;
 
 /// Sums up the gaps between tokens, over all streams.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
 
     /// Returns the mean gap since the last call, if there were enough.
     pub(crate) fn take_mean(&self) -> Option<Duration> {
-        if self.count.load(Ordering::Relaxed) < ENOUGH_GAPS {
+        if self.count.load(Ordering::Relaxed) < MIN_SAMPLE_GAPS {
             return None;
         }
         let count = self.count.swap(0, Ordering::Relaxed);
@@ -89,7 +89,8 @@
             return 0.0;
         }
         let slowdown = recent / baseline;
-        ((slowdown - NO_PRESSURE) / (FULL_PRESSURE - NO_PRESSURE)).clamp(0.0, 1.0)
+        ((slowdown - MAX_HARMLESS_SLOWDOWN) / (FULL_PRESSURE_SLOWDOWN - MAX_HARMLESS_SLOWDOWN))
+            .clamp(0.0, 1.0)
     }
 }
 
--- a/crates/agent/src/request_guard.rs
+++ b/crates/agent/src/request_guard.rs
@@ -17,7 +17,7 @@
 /// Requests that one shard remembers; over all shards about two million, which is 3,500 requests
 /// a second for as long as they are kept. An id takes 96 bytes (measured), so that this much load
 /// takes 200 MB, and 100 requests a second take 6 MB.
-const SHARD_LIMIT: usize = 32_768;
+const MAX_SHARD_REQUESTS: usize = 32_768;
 
 /// The ledger of all requests, in shards.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
 impl Requests {
     /// Makes an empty ledger.
     pub fn new() -> Self {
-        let shards = (0..SHARDS).map(|_| Mutex::new(Ledger::new(SHARD_LIMIT)));
+        let shards = (0..SHARDS).map(|_| Mutex::new(Ledger::new(MAX_SHARD_REQUESTS)));
         Self {
             shards: shards.collect(),
             was_full: AtomicBool::new(false),
--- a/crates/agent/src/requests.rs
+++ b/crates/agent/src/requests.rs
@@ -109,7 +109,7 @@
 
 impl State {
     /// Returns when the state became final, if it is.
-    fn settled_at(&self) -> Option<Instant> {
+    fn final_since(&self) -> Option<Instant> {
         match self {
             Self::Pending { .. } | Self::Running { .. } => None,
             Self::Done { at, .. } | Self::Tombstone { at } => Some(*at),
@@ -148,7 +148,7 @@
 
     /// Takes note of a request that wants to run.
     pub fn accept(&mut self, key: RequestKey, mode: StartMode, now: Instant) -> Accepted {
-        self.forget(now);
+        self.evict_expired(now);
         let Some(state) = self.states.get(&key) else {
             if self.states.len() >= self.limit {
                 return Accepted::Full;
@@ -284,11 +284,11 @@
 
     /// Cancels a request: one that was not started never will be.
     pub fn cancel(&mut self, key: RequestKey, now: Instant) -> CancelState {
-        self.forget(now);
-        let room = self.states.len() < self.limit;
+        self.evict_expired(now);
+        let has_capacity = self.states.len() < self.limit;
         match self.states.get_mut(&key) {
             // Without room for a tombstone nothing can be promised.
-            None if !room => CancelState::Started,
+            None if !has_capacity => CancelState::Started,
             None | Some(State::Pending { ran: false }) => {
                 self.settle(key, State::Tombstone { at: now });
                 CancelState::NotRun
@@ -317,22 +317,22 @@
 
     /// Gives a request its final state, from which its time to be remembered runs.
     fn settle(&mut self, key: RequestKey, state: State) {
-        if let Some(at) = state.settled_at() {
+        if let Some(at) = state.final_since() {
             self.settled.push_back((at, key));
         }
         self.states.insert(key, state);
     }
 
     /// Forgets what settled longer ago than [`RETENTION`].
-    fn forget(&mut self, now: Instant) {
+    fn evict_expired(&mut self, now: Instant) {
         while let Some(&(at, key)) = self.settled.front() {
             if now.saturating_duration_since(at) < RETENTION {
                 return;
             }
             self.settled.pop_front();
-            let settled_at = self.states.get(&key).and_then(State::settled_at);
+            let final_since = self.states.get(&key).and_then(State::final_since);
             // A request that was resumed has settled again, later.
-            if settled_at == Some(at) {
+            if final_since == Some(at) {
                 self.states.remove(&key);
             }
         }
--- a/crates/agent/tests/loader.rs
+++ b/crates/agent/tests/loader.rs
@@ -99,7 +99,7 @@
             running: &self.running,
         });
         for action in &actions {
-            if let Action::Forget { epoch } = action {
+            if let Action::RemoveEpoch { epoch } = action {
                 self.staged.remove(epoch);
                 self.droppable.retain(|e| e != epoch);
             }
@@ -111,7 +111,7 @@
         let name = |digest: &Digest| self.names[digest].clone();
         match action {
             Action::SetPhase { epoch, phase, .. } => format!("epoch {epoch} is {phase:?}"),
-            Action::GiveUp { epoch } => format!("give up epoch {epoch}"),
+            Action::StopAdmission { epoch } => format!("give up epoch {epoch}"),
             Action::Load {
                 epoch,
                 bundle,
@@ -119,7 +119,7 @@
             } => format!("load {} for epoch {epoch}, fence {fence}", name(bundle)),
             Action::AbortLoad => "break off the load".to_owned(),
             Action::Unload { bundle, fence } => format!("unload {}, fence {fence}", name(bundle)),
-            Action::Forget { epoch } => format!("forget epoch {epoch}"),
+            Action::RemoveEpoch { epoch } => format!("forget epoch {epoch}"),
         }
     }
 }
