--- a/crates/agent/src/admitter.rs
+++ b/crates/agent/src/admitter.rs
@@ -1,8 +1,8 @@
-//! The gate and the exact count of what runs behind it, under one lock.
+//! The gate and the exact count of the requests it admitted, under one lock.
 //!
-//! Invariant: a request is counted in the same critical section that admits it. So whoever sees
-//! under the lock that nothing runs in an epoch which the gate no longer admits knows that
-//! nothing will run in it any more.
+//! Invariant: a request is counted in the same critical section that admits it. If the gate no
+//! longer admits requests to an epoch and, under the lock, none of its requests runs, then none
+//! will run later.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 use wagtailreel_core::{Digest, Epoch, NotRunReason};
 use wagtailreel_switch::{Admission, Gate};
 
-/// Gate and counts.
+/// The gate and the counts of running requests.
 #[derive(Debug, Default)]
 pub struct Gated {
     /// The gate.
@@ -41,7 +41,7 @@
 }
 
 impl Admitter {
-    /// Makes an admitter whose gate is closed.
+    /// Creates an admitter whose gate is closed.
     pub fn new(capacity: u32) -> Self {
         Self {
             capacity,
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Returns the most requests that run at once.
+    /// Returns the maximum number of requests that run at once.
     pub fn capacity(&self) -> u32 {
         self.capacity
     }
 
     /// Locks the gate.
     pub fn lock(&self) -> MutexGuard<'_, Gated> {
-        // No code panics while it holds the lock, so that the state is whole in any case.
+        // No code panics while it holds the lock, so the state is consistent even if the lock is poisoned.
         self.gated.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -80,11 +80,11 @@
         Ok(admission)
     }
 
-    /// Checks once more that an admitted request may go to the upstream now.
+    /// Checks again that an admitted request may be sent to the upstream now.
     ///
     /// # Errors
     ///
-    /// Returns why the request is not run after all.
+    /// Returns why the request is not run.
     pub fn confirm(&self, now: Instant, admission: Admission) -> Result<(), NotRunReason> {
         let gated = self.lock();
         match gated.gate.admit(now, None)? {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes a request out of the count.
+    /// Removes a request from the count.
     pub fn leave(&self, epoch: Epoch) {
         let mut gated = self.lock();
         if let Some(count) = gated.running.get_mut(&epoch) {
@@ -108,7 +108,7 @@
     /// Waits until no request runs.
     pub async fn drained(&self) {
         let mut rx = self.in_flight.subscribe();
-        // The sender lives as long as `self`, so that the wait ends only with the condition.
+        // The sender lives as long as `self`, so the wait ends only when the condition holds.
         let _ = rx.wait_for(|count| *count == 0).await;
     }
 }
--- a/crates/agent/src/engine_watch.rs
+++ b/crates/agent/src/engine_watch.rs
@@ -1,7 +1,7 @@
-//! Keeps an engine with the weights that the document names: looks, decides, orders.
+//! Task that keeps the weights named by the document loaded in an engine.
 //!
-//! One task looks at the engine and gives its orders, so that a look is never older than an
-//! answer taken in before it.
+//! One task both requests the engine's status and sends its commands, so that a status is never
+//! older than a command result that was applied before it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,30 +20,30 @@
 use crate::loader::{Action, EngineView, Loader, View};
 use crate::pressure::PressureGauge;
 
-/// Time between two looks at the engine.
+/// Maximum time between two status requests to the engine.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two looks at least: chunks may come by the hundred a second.
+/// Minimum time between two status requests: hundreds of chunks may arrive per second.
 const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long the engine's status is waited for. An engine that is only slow, because it is busy,
-/// shall not count as away.
+/// Time-out of a status request. Long enough that a busy, slow engine does not count as
+/// unreachable.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Wait before chunks that can't be brought, for a manifest that can't be right, are wanted anew.
+/// Delay before chunks are requested again after a fetch failed, such as for an invalid manifest.
 const FAILED_FETCH_RETRY_DELAY: Duration = Duration::from_secs(15);
 
 /// Time between two samples of the pressure on live answers.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The answer to an order.
+/// The result of a command.
 #[derive(Debug)]
 enum CommandResult {
     Load(Result<Digest, String>),
     Unload(Result<(), PlatformError>),
 }
 
-/// Keeps one engine with its weights.
+/// Keeps the wanted weights loaded in one engine.
 #[derive(Debug)]
 pub(crate) struct EngineWatch<E> {
     hub: Arc<Hub>,
@@ -67,7 +67,7 @@
 where
     E: Engine,
 {
-    /// Makes a watch that has not looked yet. `seed` feeds the jitter of retries.
+    /// Creates a watch that has no status yet. `seed` feeds the jitter of retries.
     pub(crate) fn new(
         hub: Arc<Hub>,
         engine: E,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Keeps the engine for as long as the process runs.
+    /// Runs for as long as the process does.
     pub(crate) async fn run(mut self) {
         loop {
             for epoch in self.hub.take_missing() {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Waits until there is something to look at, and takes in the answer to an order.
+    /// Waits for the next reason to check the engine, and applies the result of a command.
     async fn wait(&mut self) {
         tokio::select! {
             () = tokio::time::sleep(STATUS_INTERVAL) => {}
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Looks at the engine.
+    /// Requests the engine's status and applies it.
     async fn check_engine(&mut self) {
         let status = timeout(STATUS_TIMEOUT, self.engine.status()).await;
         let status = status.ok().and_then(Result::ok);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Has the chunks of the state's epoch fetched.
+    /// Requests the chunks of the state's epoch.
     fn request_chunks(&mut self) {
         if self.peers.has_changed().unwrap_or(false) {
             let peers = self.peers.borrow_and_update().clone();
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Has chunks that could not be brought wanted anew after a while, in case that the weights
-    /// were published again.
+    /// Requests chunks whose fetch failed again after a delay, in case the weights were published
+    /// again.
     fn retry_failed(&mut self, chunks: &ChunksView) {
         let Some(wanted) = &self.wanted else {
             return;
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Says whether the state has weights for this VM.
+    /// Returns whether the state has weights for this VM.
     fn is_wanted(&self, state: &ServiceState) -> bool {
         let facts = &self.hub.facts;
         state.document.as_ref().is_some_and(|document| {
@@ -205,7 +205,7 @@
         })
     }
 
-    /// Has the loader decide, and does what it says.
+    /// Runs the loader and performs its actions.
     fn decide(&mut self) {
         let Some(state) = self.hub.state() else {
             return;
@@ -235,7 +235,7 @@
             .set_trouble(self.loader.trouble().or(chunks.trouble));
     }
 
-    /// Does one thing that the loader decided.
+    /// Performs one action of the loader.
     fn apply(&mut self, action: Action) {
         match action {
             Action::SetPhase {
@@ -290,7 +290,7 @@
             .spawn(async move { CommandResult::Unload(engine.unload(bundle, fence).await) });
     }
 
-    /// Takes in the answer to an order; the next look tells what has become of it.
+    /// Applies the result of a command; the next status shows its effect.
     fn on_command_result(&mut self, result: Result<CommandResult, tokio::task::JoinError>) {
         let now = Instant::now();
         match result {
@@ -304,12 +304,12 @@
                 let result = result.map_err(|err| err.to_string());
                 self.loader.on_unload_result(now, result);
             }
-            // Only a load is ever broken off.
+            // Only loads are aborted, so a join error belongs to a load.
             Err(err) => self.loader.on_load_result(now, Err(err.to_string())),
         }
     }
 
-    /// Has transfers give way if they slow down the agent's own answers.
+    /// Samples the slowdown of live answers, by which transfers are throttled.
     fn sample_pressure(&mut self) {
         if self.sampled_at.elapsed() < SAMPLE_INTERVAL {
             return;
--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -1,4 +1,4 @@
-//! What the agent receives: directives of the entries, and the platform's list of VMs.
+//! Tasks that apply the entries' directives and follow the platform's list of VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,30 +13,30 @@
 use crate::events;
 use crate::hub::Hub;
 
-/// How long the list of VMs is asked to wait for a change.
+/// Time for which a long poll of the list of VMs waits for a change.
 const LIST_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wait before a list that could not be had is asked for again, before jitter.
+/// Delay before the list is requested again after a failure, before jitter.
 const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Start of the name of an entry of which only the address is known.
+/// Prefix of the name given to an entry of which only the address is known.
 const SEED_NAME_PREFIX: &str = "seed-";
 
-/// Takes in directives.
+/// Applies directives.
 #[derive(Debug)]
 pub(crate) struct Follower {
-    /// What the agent shares.
+    /// Shared state of the agent.
     pub(crate) hub: Arc<Hub>,
-    /// Where the state is offered to entries.
+    /// Handle of the control thread, which sends the state to entries.
     pub(crate) control: AgentControl,
     /// The VMs that chunks may be fetched from.
     pub(crate) peers: watch::Sender<Vec<VmEntry>>,
-    /// When the report was sent that was answered last.
+    /// Send time of the last report that was answered.
     pub(crate) last_answered: watch::Sender<Option<Instant>>,
 }
 
 impl Follower {
-    /// Takes in directives until the control thread ends.
+    /// Applies directives until the control thread ends.
     pub(crate) async fn run(self) {
         let mut directives = self.control.directives();
         while let Some(from) = directives.recv().await {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes in one directive.
+    /// Applies one directive.
     fn apply(&self, from: FromEntry) {
         let directive = from.directive;
         let is_newer = directive
@@ -67,13 +67,13 @@
         }
         self.apply_peers(directive.peers);
         self.last_answered
-            .send_modify(|last_answered| *last_answered = (*last_answered).max(Some(from.sent_at)));
+            .send_modify(|at| *at = (*at).max(Some(from.sent_at)));
     }
 
-    /// Takes the VMs of the service.
+    /// Applies the list of the service's VMs.
     ///
-    /// The own VM is among them, so that no VM at all comes from an entry that has not seen the
-    /// list: one that was started while the platform is away. What is known is worth more.
+    /// The list includes this VM. An empty list therefore comes from an entry that has not seen the
+    /// platform's list, such as one started while the platform is unreachable, and is ignored.
     fn apply_peers(&self, known: Vec<VmEntry>) {
         if known.is_empty() {
             return;
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Offers the state that was just taken to entries, and has it acted on.
+    /// Sends the state that was just applied to entries, and requests a check of the upstream.
     fn offer_state(&self) {
         let state = self.hub.state();
         let revision = state.as_ref().map_or(0, |state| state.revision);
@@ -99,13 +99,13 @@
 /// Follows the platform's list of VMs, to know the entries to report to.
 #[derive(Debug)]
 pub(crate) struct ListFollower<V> {
-    /// What the agent shares.
+    /// Shared state of the agent.
     pub(crate) hub: Arc<Hub>,
-    /// Whom to tell the entries.
+    /// Handle of the control thread, which gets the entries.
     pub(crate) control: AgentControl,
-    /// The list.
+    /// Client of the platform's list.
     pub(crate) list: V,
-    /// Entries to report to as long as the list was never seen.
+    /// Entries to report to until the first list arrives.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
@@ -119,7 +119,7 @@
         let mut is_unreachable = false;
         self.report_to_seeds();
         loop {
-            // After a failure the list may have started anew with lower versions.
+            // After a failure the list may have restarted with lower versions.
             let since = version.filter(|_| !is_unreachable);
             match self.list.list(since, LIST_POLL_TIMEOUT).await {
                 Ok(page) => {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Reports to the seeds until the list is there.
+    /// Reports to the seeds until the first list arrives.
     fn report_to_seeds(&self) {
         if self.seeds.is_empty() {
             return;
@@ -152,8 +152,8 @@
         self.control.set_entries(entries.collect());
     }
 
-    /// Takes no new work once the list says that the own VM leaves: the notice to this process may
-    /// be lost, and entries whose list lags know of it only by its reports.
+    /// Stops admission once the list marks this VM as leaving. The notice to this process may be
+    /// lost, and entries with an outdated list learn of it only from this agent's reports.
     fn leave_if_listed(&self, page: &VmListPage) {
         let own = page.vms.iter().find(|entry| entry.vm == self.hub.facts.vm);
         if own.is_some_and(|entry| entry.state == VmState::Leaving) && self.hub.leave() {
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Returns the entries of the agent's data centre, leaving ones too: they finish what they
-    /// began, and need the agent's reports for that.
+    /// Returns the entries of the agent's data centre, including leaving ones: they need the agent's
+    /// reports to finish their running requests.
     fn entries(&self, page: &VmListPage) -> Vec<(VmId, SocketAddr)> {
         page.vms
             .iter()
@@ -177,11 +177,11 @@
     }
 }
 
-/// Sends the agent's reports: one at least every `period`, and one at once after a change.
+/// Sends the agent's reports: at least every `period`, and immediately on request.
 pub(crate) async fn send_reports(hub: Arc<Hub>, control: AgentControl, period: Duration) {
     loop {
         control.set_report(hub.report());
-        // Either way the next report is made from what is true then.
+        // A time-out and a request both lead to a report of the current state.
         let _ = tokio::time::timeout(period, hub.report_requested()).await;
     }
 }
--- a/crates/agent/src/hub.rs
+++ b/crates/agent/src/hub.rs
@@ -1,4 +1,4 @@
-//! What the agent's request handlers and its tasks share.
+//! State shared by the agent's request handlers and tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -23,12 +23,12 @@
 use crate::request_guard::{AdmissionRequest, Refusal, RequestGuard, Requests};
 use crate::requests::CancelState;
 
-/// What stays the same while the process runs.
+/// Properties that do not change while the process runs.
 #[derive(Clone, Debug)]
 pub(crate) struct Facts {
     /// Name of the agent's VM.
     pub(crate) vm: VmId,
-    /// Start of the agent.
+    /// Identifies this run of the agent process.
     pub(crate) incarnation: Incarnation,
     /// Data centre of the agent.
     pub(crate) data_centre: DataCentre,
@@ -44,7 +44,7 @@
     pub(crate) bundles: u32,
 }
 
-/// What the agent's tasks found out last.
+/// Last state reported by the agent's tasks.
 #[derive(Debug, Default)]
 struct LastKnown {
     state: Option<ServiceState>,
@@ -59,15 +59,15 @@
 /// The shared parts of one agent.
 #[derive(Debug)]
 pub(crate) struct Hub {
-    /// What stays the same.
+    /// Properties that do not change.
     pub(crate) facts: Facts,
     /// The ledger of requests.
     pub(crate) requests: Arc<Requests>,
-    /// Gate and counts.
+    /// The gate and the counts of running requests.
     pub(crate) admitter: Arc<Admitter>,
     /// Metrics.
     pub(crate) metrics: Metrics,
-    /// Gaps between tokens of late.
+    /// Recent gaps between tokens.
     pub(crate) token_gaps: TokenGaps,
     known: Mutex<LastKnown>,
     report_now: Notify,
@@ -75,7 +75,7 @@
 }
 
 impl Hub {
-    /// Makes a hub that admits nothing yet.
+    /// Creates a hub whose gate is closed.
     pub(crate) fn new(facts: Facts, capacity: u32, metrics: Metrics) -> Self {
         Self {
             facts,
@@ -89,15 +89,16 @@
         }
     }
 
-    /// Takes a request in, if the ledger, the capacity and the gate let it.
+    /// Admits a request if the ledger, the capacity and the gate permit.
     pub(crate) fn enter(&self, req: AdmissionRequest) -> Result<RequestGuard, Refusal> {
         RequestGuard::enter(&self.requests, &self.admitter, req)
     }
 
-    /// Cancels a request that an entry sent to the start of the agent that `headers` name.
+    /// Cancels a request that an entry sent to the incarnation of the agent named in `headers`.
     ///
-    /// Invariant: only the start that a request was sent to says that it was not run. The ledger
-    /// of an earlier start is gone, and with it what the upstream was given then.
+    /// Invariant: only the incarnation that a request was sent to may answer that the request was
+    /// not run. The ledger of an earlier incarnation is lost, and with it the record of what was
+    /// sent to the upstream.
     pub(crate) fn cancel(&self, request: &str, headers: &HeaderMap) -> CancelState {
         let state = self.requests.cancel(request);
         let sent_to = headers.get(INCARNATION).map(HeaderValue::as_bytes);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Answers a request that does not go on.
+    /// Returns the answer to a refused request.
     pub(crate) fn refuse(&self, refusal: Refusal) -> Response {
         match refusal {
             Refusal::NotRun(reason) => self.metrics.count_not_run(reason),
@@ -118,62 +119,62 @@
         answers::refused(refusal)
     }
 
-    /// Answers a request of which the part `name` can't be read.
+    /// Returns the answer to a request whose part `name` can't be parsed.
     pub(crate) fn refuse_bad(&self, name: &str) -> Response {
         self.metrics.count_not_run(NotRunReason::Refused);
         answers::bad_request(&format!("{name} can't be read"))
     }
 
-    /// Takes note that the engine does not hold the bundle of `epoch` any more.
+    /// Records that the engine no longer holds the bundle of `epoch`.
     pub(crate) fn bundle_missing(&self, epoch: Epoch) {
         events::BUNDLE_MISSING.emit(&[("epoch", &epoch.to_string())]);
-        // Closed for requests at once; the task that watches the engine finds out the rest.
+        // Requests are refused at once; the engine watch determines the actual state.
         self.set_phase(epoch, WeightsPhase::Fetching, None);
         self.lock().missing.insert(epoch);
         self.check_upstream();
     }
 
-    /// Returns the epochs whose bundle turned out to be missing since the last call.
+    /// Takes the epochs whose bundle was found missing since the last call.
     pub(crate) fn take_missing(&self) -> BTreeSet<Epoch> {
         std::mem::take(&mut self.lock().missing)
     }
 
-    /// Has the upstream looked at without delay.
+    /// Requests an immediate check of the upstream.
     pub(crate) fn check_upstream(&self) {
         self.check_now.notify_one();
     }
 
-    /// Waits until the upstream is to be looked at without delay.
+    /// Waits until an immediate check of the upstream is requested.
     pub(crate) async fn check_requested(&self) {
         self.check_now.notified().await;
     }
 
-    /// Has a report sent without delay.
+    /// Requests that a report is sent immediately.
     pub(crate) fn request_report(&self) {
         self.report_now.notify_one();
     }
 
-    /// Waits until a report is to be sent without delay.
+    /// Waits until an immediate report is requested.
     pub(crate) async fn report_requested(&self) {
         self.report_now.notified().await;
     }
 
-    /// Tells the gate how far an epoch is.
+    /// Sets the phase of an epoch in the gate.
     pub(crate) fn set_phase(&self, epoch: Epoch, phase: WeightsPhase, bundle: Option<Digest>) {
         let change = self.admitter.lock().gate.set_phase(epoch, phase, bundle);
         self.on_gate_change(change);
         self.request_report();
     }
 
-    /// Tells the gate how far an epoch is, if that is news to it.
+    /// Sets the phase of an epoch in the gate if it differs from the gate's.
     pub(crate) fn update_phase(&self, epoch: Epoch, phase: WeightsPhase, bundle: Option<Digest>) {
-        let told = self.admitter.lock().gate.phase(epoch);
-        if told != Some(phase) {
+        let current = self.admitter.lock().gate.phase(epoch);
+        if current != Some(phase) {
             self.set_phase(epoch, phase, bundle);
         }
     }
 
-    /// Returns the epochs that the gate lets go and in which no request runs.
+    /// Returns the epochs that the gate permits dropping and in which no request runs.
     pub(crate) fn droppable(&self, target: Epoch) -> Vec<Epoch> {
         let gated = self.admitter.lock();
         let mut epochs = gated.gate.droppable(target);
@@ -181,14 +182,14 @@
         epochs
     }
 
-    /// Has the gate forget an epoch.
+    /// Removes an epoch from the gate.
     pub(crate) fn remove_epoch(&self, epoch: Epoch) {
         let change = self.admitter.lock().gate.remove_epoch(epoch);
         self.on_gate_change(change);
         self.request_report();
     }
 
-    /// Logs a change of the gate and has it reported.
+    /// Logs a change of the gate and requests a report.
     pub(crate) fn on_gate_change(&self, change: GateChange) {
         if let Some(epoch) = change.closed_below {
             events::EPOCH_CLOSED.emit(&[("epoch", &epoch.to_string())]);
@@ -198,14 +199,14 @@
         }
         if change.is_some() {
             self.request_report();
-            // What is closed may be dropped.
+            // The bundle of a closed epoch may be unloaded now.
             self.check_upstream();
         }
     }
 
-    /// Takes a state of the service if its revision is higher; says whether it is.
+    /// Applies a state of the service if its revision is higher; returns whether it was applied.
     ///
-    /// Nothing reverts: a state that is as old or older changes nothing.
+    /// A state of the same or a lower revision is ignored, so the state never reverts.
     pub(crate) fn apply_state(&self, state: &ServiceState) -> bool {
         let mut known = self.lock();
         let revision = known.state.as_ref().map_or(0, |state| state.revision);
@@ -221,13 +222,13 @@
         self.lock().state.clone()
     }
 
-    /// Takes note of a lease that ends at `until`.
+    /// Records a lease that ends at `until`.
     pub(crate) fn record_lease(&self, until: Instant) {
         let mut known = self.lock();
         known.lease_until = known.lease_until.max(Some(until));
     }
 
-    /// Returns how much time of the lease is left.
+    /// Returns the remaining time of the lease.
     pub(crate) fn lease_left(&self) -> Duration {
         let until = self.lock().lease_until;
         until.map_or(Duration::ZERO, |until| {
@@ -235,12 +236,12 @@
         })
     }
 
-    /// Takes note of the engine's load.
+    /// Records the engine's load.
     pub(crate) fn set_load(&self, load: Option<EngineLoad>) {
         self.lock().load = load;
     }
 
-    /// Takes note of how many chunks of the newest epoch are there, and of the bytes of all.
+    /// Records the chunk counts of the newest epoch and the bytes of all verified chunks.
     pub(crate) fn set_chunks(&self, chunks: (u32, u32), staged_bytes: u64) {
         let mut known = self.lock();
         known.chunks = chunks;
@@ -252,7 +253,7 @@
         self.lock().staged_bytes
     }
 
-    /// Takes note of what keeps the agent from going on.
+    /// Records the problem that blocks the agent, and requests a report if it changed.
     pub(crate) fn set_trouble(&self, trouble: Option<String>) {
         let mut known = self.lock();
         if known.trouble != trouble {
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Stops admission for good; returns whether it was not stopped before.
+    /// Stops admission permanently; returns whether this call stopped it.
     pub(crate) fn leave(&self) -> bool {
         let mut gated = self.admitter.lock();
         let is_first = !gated.gate.is_leaving();
@@ -272,7 +273,7 @@
         is_first
     }
 
-    /// Returns the report of this moment; the sequence is filled in where it is sent.
+    /// Returns the current report; the sender fills in the sequence number.
     pub(crate) fn report(&self) -> Report {
         let (facts, known) = (&self.facts, self.lock());
         let mut report = Report {
@@ -305,7 +306,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, LastKnown> {
-        // No code panics while it holds the lock, so that the data is whole in any case.
+        // No code panics while it holds the lock, so the data is consistent even if the lock is poisoned.
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/agent/src/loader.rs
+++ b/crates/agent/src/loader.rs
@@ -1,12 +1,12 @@
-//! Which orders the engine gets for its weights: load, unload, give up. Decided without I/O.
+//! State machine that decides which load, unload and abort commands the engine gets. Does no I/O.
 //!
-//! The loader is asked after each look at the engine's status, and gives at most one order at a
-//! time. Invariants:
+//! The caller runs the loader after each status request to the engine. At most one command is in
+//! flight. Invariants:
 //!
 //! - an epoch is [`WeightsPhase::Loaded`] only if the engine itself reports the digest of the
-//!   epoch's bundle, in an answer to a question asked after the last order was answered;
-//! - an order never carries a lower fencing number than one before it;
-//! - a bundle is dropped only when no request of its epochs runs and none can be admitted.
+//!   epoch's bundle, in an answer to a status request sent after the last command completed;
+//! - a command never carries a lower fencing number than an earlier one;
+//! - a bundle is unloaded only when no request of its epochs runs and none can be admitted.
 
 mod phases;
 mod retry;
@@ -24,10 +24,10 @@
 use retry::Retry;
 pub use view::{Action, EngineView, Staged, View};
 
-/// Questions in a row without an answer after which the engine counts as away.
+/// Consecutive unanswered status requests after which the engine counts as unreachable.
 const UNREACHABLE_AFTER_MISSES: u32 = 3;
 
-/// The order that is under way.
+/// The command in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Command {
     Load {
@@ -46,14 +46,16 @@
     engine: Option<EngineView>,
     missed_statuses: u32,
     command: Option<Command>,
-    /// An order was answered, and the engine has not been looked at since.
+    /// A command completed or a bundle was reported missing, and no status has come since.
     unverified: bool,
     retry: Option<Retry>,
     /// Epochs with chunks here or a bundle in the engine.
     epochs: BTreeMap<Epoch, Staged>,
+    /// Epochs closed for requests so that the engine has capacity for the new bundle.
     admission_stopped: BTreeSet<Epoch>,
-    /// Epochs that are let go of, until their chunks are gone too.
+    /// Removed epochs whose chunks still exist.
     removed: BTreeSet<Epoch>,
+    /// Last phase and bundle of each epoch that the gate was given.
     reported_phases: BTreeMap<Epoch, (WeightsPhase, Option<Digest>)>,
     rng: SmallRng,
 }
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Says what keeps the engine from holding the wanted bundle, with the remedy.
+    /// Returns what keeps the engine from holding the wanted bundle, with the remedy.
     pub fn trouble(&self) -> Option<String> {
         if self.engine.is_none() && self.missed_statuses >= UNREACHABLE_AFTER_MISSES {
             return Some("the engine gives no status: check that it runs at upstream.url".into());
@@ -87,9 +89,9 @@
         self.retry.as_ref().map(|retry| retry.why.clone())
     }
 
-    /// Takes in the answer to a question for the engine's status; none if there was no answer.
+    /// Applies the answer to a status request; `None` if the engine did not answer.
     ///
-    /// The question must have been asked after the last call of [`Loader::on_load_result`] or
+    /// The request must have been sent after the last call of [`Loader::on_load_result`] or
     /// [`Loader::on_unload_result`].
     pub fn on_status(&mut self, engine: Option<EngineView>) {
         match engine {
@@ -107,17 +109,17 @@
         }
     }
 
-    /// Takes note that the engine did not know a bundle that it was thought to hold.
+    /// Records that the engine lacks the bundle of `epoch`, which it last reported to hold.
     ///
-    /// The epoch is told again after the next look at the engine.
+    /// The gate gets the phase of the epoch again after the next status.
     pub fn on_bundle_missing(&mut self, epoch: Epoch) {
         self.reported_phases.remove(&epoch);
         self.unverified = true;
     }
 
-    /// Takes in what the engine answered to the load; an error says why it failed.
+    /// Applies the result of a load; an error says why the load failed.
     ///
-    /// A lost answer is an error here too: the next status tells whether the load took effect.
+    /// A lost answer is an error too: the next status shows whether the load took effect.
     pub fn on_load_result(&mut self, now: Instant, answer: Result<Digest, String>) {
         let Some(Command::Load {
             bundle, aborted, ..
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Takes in what the engine answered to the unload; an error says why it failed.
+    /// Applies the result of an unload; an error says why the unload failed.
     pub fn on_unload_result(&mut self, now: Instant, answer: Result<(), String>) {
         if self
             .command
@@ -157,16 +159,16 @@
         }
     }
 
-    /// Decides what is to be done now.
+    /// Returns the actions that the caller must perform now.
     pub fn decide(&mut self, view: &View<'_>) -> Vec<Action> {
         if view.epoch > self.fence {
-            // What failed for an older epoch does not hold up the new one.
+            // A failure of an older epoch must not delay the new one.
             self.retry = None;
             self.fence = view.epoch;
         }
         self.merge_staged(view);
         if self.is_wanted_loaded(view) {
-            // A load whose answer was lost has taken effect.
+            // A load whose answer was lost took effect.
             self.retry = None;
         }
         let mut actions = Vec::new();
@@ -176,10 +178,10 @@
         all
     }
 
-    /// Takes in how far the chunks are.
+    /// Merges the staging state of the chunks.
     ///
-    /// An epoch whose chunks were replaced by those of a newer one may still have its bundle in
-    /// the engine, and requests that run on it: it stays known until it is forgotten.
+    /// An epoch whose chunks were replaced by those of a newer epoch may still have its bundle in
+    /// the engine and requests that run on the bundle. Its record stays until the epoch is removed.
     fn merge_staged(&mut self, view: &View<'_>) {
         self.removed.retain(|epoch| view.staged.contains_key(epoch));
         for (epoch, known) in &mut self.epochs {
@@ -199,13 +201,13 @@
         }
     }
 
-    /// Says whether the engine itself reports the wanted bundle.
+    /// Returns whether the engine itself reports the wanted bundle.
     fn is_wanted_loaded(&self, view: &View<'_>) -> bool {
         let bundle = self.bundle_of(view.epoch);
         !self.unverified && bundle.is_some_and(|bundle| self.holds(&bundle))
     }
 
-    /// Gives at most one order to the engine, or the notice to the gate that must come before it.
+    /// Adds at most one command to the engine, or the action on the gate that must precede it.
     fn push_next(&mut self, view: &View<'_>, actions: &mut Vec<Action>) {
         if let Some(command) = self.command {
             self.abort_unwanted(view, command, actions);
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Breaks off a load of an epoch that nobody wants any more.
+    /// Aborts a load of an epoch that is no longer needed.
     fn abort_unwanted(&mut self, view: &View<'_>, command: Command, actions: &mut Vec<Action>) {
         let Command::Load {
             epoch,
--- a/crates/agent/src/loader/phases.rs
+++ b/crates/agent/src/loader/phases.rs
@@ -1,11 +1,11 @@
-//! How far the weights of each epoch are, as the gate is told.
+//! Phases of the weights of each epoch, as reported to the gate.
 
 use wagtailreel_core::{Epoch, WeightsPhase};
 
 use super::{Action, Command, Loader, Staged};
 
 impl Loader {
-    /// Returns the phases that the gate has not been told yet.
+    /// Returns the phases that changed since they were last reported to the gate.
     pub(super) fn phases(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         for (epoch, staged) in &self.epochs {
@@ -27,16 +27,13 @@
     /// Returns the phase of one epoch.
     fn phase(&self, epoch: Epoch, staged: &Staged) -> WeightsPhase {
         let is_loading = matches!(self.command, Some(Command::Load { epoch: e, .. }) if e == epoch);
-        let was = self
-            .reported_phases
-            .get(&epoch)
-            .map(|reported_phases| reported_phases.0);
+        let was = self.reported_phases.get(&epoch).map(|reported| reported.0);
         let is_held = staged.bundle.is_some_and(|bundle| self.holds(&bundle));
         if is_loading {
             return WeightsPhase::Loading;
         }
         if self.unverified {
-            // What was true before the order is kept until the engine was looked at again.
+            // The phase from before the command stays until the next status of the engine.
             if let Some(was) = was {
                 return was;
             }
--- a/crates/agent/src/loader/retry.rs
+++ b/crates/agent/src/loader/retry.rs
@@ -1,4 +1,4 @@
-//! When an order that failed is given again.
+//! Backoff of commands that failed.
 
 use std::time::{Duration, Instant};
 
@@ -6,13 +6,13 @@
 
 use super::Loader;
 
-/// Wait before an order is given again, at first.
+/// Delay before the first retry of a command, before jitter.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest wait before an order is given again.
+/// Upper bound of the delay before a retry.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(15);
 
-/// When a failed order may be given again, and why it failed.
+/// When a failed command may be retried, and why it failed.
 #[derive(Clone, Debug)]
 pub(super) struct Retry {
     at: Instant,
@@ -25,7 +25,7 @@
         self.retry.as_ref().is_some_and(|retry| now < retry.at)
     }
 
-    /// Takes note of a failure: the next try comes later each time, with jitter.
+    /// Records a failure. The delay doubles with each failure and carries jitter.
     pub(super) fn record_failure(&mut self, now: Instant, why: String) {
         let failures = self.retry.as_ref().map_or(0, |retry| retry.failures);
         let max_delay = INITIAL_RETRY_DELAY
--- a/crates/agent/src/loader/selection.rs
+++ b/crates/agent/src/loader/selection.rs
@@ -1,4 +1,4 @@
-//! Which bundle goes from the engine, and which comes next.
+//! Selection of the bundle to unload and of the bundle to load next.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use super::{Action, Loader, View};
 
 impl Loader {
-    /// Lets go of the epochs that may go and have no request left; says whether a bundle goes.
+    /// Removes drained epochs that are removable; returns whether a bundle must be unloaded first.
     pub(super) fn unload_drained(&mut self, view: &View<'_>, actions: &mut Vec<Action>) -> bool {
         let removable = self.removable_epochs(view);
         for epoch in removable.iter().filter(|epoch| is_drained(view, **epoch)) {
@@ -22,7 +22,7 @@
         false
     }
 
-    /// Returns the epochs whose bundles and chunks are to go, or have gone.
+    /// Returns the epochs whose bundle and chunks may be dropped or no longer exist.
     fn removable_epochs(&self, view: &View<'_>) -> BTreeSet<Epoch> {
         let has_gone = |epoch: &Epoch| {
             let bundle = self.bundle_of(*epoch);
@@ -38,8 +38,7 @@
         removable
     }
 
-    /// Says whether an epoch that stays needs `bundle`, or a leaving one still runs requests on
-    /// it.
+    /// Returns whether `bundle` is needed by an epoch that stays, or by requests of a removable one.
     fn is_in_use(&self, view: &View<'_>, removable: &BTreeSet<Epoch>, bundle: Digest) -> bool {
         self.epochs
             .iter()
@@ -47,11 +46,11 @@
             .any(|(_, staged)| staged.bundle == Some(bundle))
     }
 
-    /// Returns the epoch to load next: the open one that an engine lost, then the wanted one.
+    /// Returns the epoch to load next: the open one if the engine lost its bundle, then the wanted one.
     pub(super) fn next_load(&self, view: &View<'_>) -> Option<(Epoch, Digest)> {
         let lost_open = Some(view.closed_below)
             .filter(|epoch| *epoch != view.epoch)
-            // With room for one bundle, the new one is loaded rather than the old one again.
+            // An engine that holds one bundle loads the new one instead of the old one again.
             .filter(|_| self.capacity > 1 || !self.is_wanted_staged(view));
         let wanted = Some(view.epoch).filter(|_| view.wanted);
         lost_open
@@ -67,13 +66,13 @@
             })
     }
 
-    /// Says whether the chunks of the wanted epoch are all there.
+    /// Returns whether all chunks of the wanted epoch are staged.
     fn is_wanted_staged(&self, view: &View<'_>) -> bool {
         let staged = self.epochs.get(&view.epoch);
         view.wanted && staged.is_some_and(|staged| staged.complete)
     }
 
-    /// Drops a bundle that no epoch needs, or gives up the open epoch if the gate lets it.
+    /// Unloads a bundle that belongs to no epoch, or closes the open epoch if the gate permits.
     pub(super) fn free_capacity(
         &mut self,
         view: &View<'_>,
@@ -111,7 +110,7 @@
     }
 }
 
-/// Says whether no request of `epoch` runs.
+/// Returns whether no request of `epoch` runs.
 fn is_drained(view: &View<'_>, epoch: Epoch) -> bool {
     view.running.get(&epoch).copied().unwrap_or(0) == 0
 }
--- a/crates/agent/src/loader/view.rs
+++ b/crates/agent/src/loader/view.rs
@@ -1,29 +1,29 @@
-//! What the loader decides by, and what it decides.
+//! Input and output of the loader's decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
 use wagtailreel_core::{Digest, Epoch, WeightsPhase};
 
-/// What the engine says that it holds.
+/// The bundles that the engine reports to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
     /// Digests of the bundles.
     pub bundles: BTreeSet<Digest>,
 }
 
-/// How far the chunks of one epoch are.
+/// Staging state of the chunks of one epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Staged {
-    /// Digest of the bundle, once its manifests are there.
+    /// Digest of the bundle, once its manifests are fetched.
     pub bundle: Option<Digest>,
-    /// All chunks are there and verified.
+    /// All chunks are fetched and verified.
     pub complete: bool,
-    /// The chunks can't be brought.
+    /// The chunks can't be fetched.
     pub failed: bool,
 }
 
-/// What the loader decides by.
+/// Input of a decision.
 #[derive(Clone, Debug)]
 pub struct View<'a> {
     /// The time.
@@ -34,20 +34,20 @@
     pub wanted: bool,
     /// Epochs below this are closed.
     pub closed_below: Epoch,
-    /// How far the chunks of each epoch are. An epoch whose chunks are gone is not in it.
+    /// Staging state of each epoch that has chunks.
     pub staged: &'a BTreeMap<Epoch, Staged>,
-    /// Epochs that the gate lets go.
+    /// Epochs that the gate permits dropping.
     pub droppable: &'a [Epoch],
-    /// The gate lets an engine without room give up the open bundle for `epoch`.
+    /// The gate permits an engine at capacity to replace the open bundle by that of `epoch`.
     pub may_swap: bool,
     /// Requests that run, by epoch.
     pub running: &'a BTreeMap<Epoch, u32>,
 }
 
-/// What is to be done.
+/// An action that the caller performs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tell the gate how far an epoch is.
+    /// Report the phase of an epoch to the gate.
     SetPhase {
         /// The epoch.
         epoch: Epoch,
@@ -56,30 +56,30 @@
         /// Digest of its bundle, if known.
         bundle: Option<Digest>,
     },
-    /// Tell the gate to admit no more requests to an epoch, so that its bundle can go.
+    /// Have the gate admit no more requests to an epoch, so that its bundle can be unloaded.
     StopAdmission {
         /// The epoch.
         epoch: Epoch,
     },
-    /// Order the engine to load an epoch's bundle.
+    /// Send the engine a command to load an epoch's bundle.
     Load {
         /// The epoch.
         epoch: Epoch,
         /// Digest of its bundle.
         bundle: Digest,
-        /// Fencing number of the order.
+        /// Fencing number of the command.
         fence: Epoch,
     },
-    /// Break off the load that is under way: its epoch is no longer wanted.
+    /// Abort the load in flight: its epoch is no longer wanted.
     AbortLoad,
-    /// Order the engine to drop a bundle.
+    /// Send the engine a command to unload a bundle.
     Unload {
         /// Digest of the bundle.
         bundle: Digest,
-        /// Fencing number of the order.
+        /// Fencing number of the command.
         fence: Epoch,
     },
-    /// Drop an epoch's chunks and have the gate forget the epoch.
+    /// Drop an epoch's chunks and remove the epoch from the gate.
     RemoveEpoch {
         /// The epoch.
         epoch: Epoch,
--- a/crates/agent/src/pressure.rs
+++ b/crates/agent/src/pressure.rs
@@ -6,13 +6,13 @@
 /// Weight of a new sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Slowdown up to which there is no pressure: noise.
+/// Slowdown up to which the pressure is 0, because smaller slowdowns are noise.
 const MAX_HARMLESS_SLOWDOWN: f64 = 1.15;
 
-/// Slowdown from which on the pressure is full.
+/// Slowdown from which the pressure is 1.
 const FULL_PRESSURE_SLOWDOWN: f64 = 2.0;
 
-/// Gaps that make a sample; fewer say nothing.
+/// Minimum number of gaps in a sample; the mean of fewer is not meaningful.
 const MIN_SAMPLE_GAPS: u64 = 10;
 
 /// Sums up the gaps between tokens, over all streams.
@@ -26,12 +26,12 @@
     /// Adds the gap before one token.
     pub(crate) fn add(&self, gap: Duration) {
         let micros = u64::try_from(gap.as_micros()).unwrap_or(u64::MAX);
-        // The two sums may be read a gap apart, which a mean over many does not show.
+        // A reader may see the two sums one gap apart, which has no visible effect on the mean.
         self.micros.fetch_add(micros, Ordering::Relaxed);
         self.count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the mean gap since the last call, if there were enough.
+    /// Returns the mean gap since the last call, or `None` if there were too few gaps.
     pub(crate) fn take_mean(&self) -> Option<Duration> {
         if self.count.load(Ordering::Relaxed) < MIN_SAMPLE_GAPS {
             return None;
@@ -42,20 +42,20 @@
     }
 }
 
-/// Compares the gaps during transfers with those before.
+/// Compares the gaps between tokens during transfers with those before.
 ///
-/// Without I/O: the caller gives the samples in order.
+/// Does no I/O: the caller passes the samples in order.
 #[derive(Clone, Debug)]
 pub struct PressureGauge {
     objective: Duration,
-    /// Mean gap in seconds without transfers.
+    /// Moving average of the gap in seconds without transfers.
     baseline: Option<f64>,
-    /// Mean gap in seconds of late.
+    /// Moving average of the gap in seconds during the current transfer.
     recent: Option<f64>,
 }
 
 impl PressureGauge {
-    /// Makes a gauge; without a sample from before a transfer it compares with `objective`.
+    /// Creates a gauge that uses `objective` as the baseline until a sample without transfers comes.
     pub const fn new(objective: Duration) -> Self {
         Self {
             objective,
@@ -64,16 +64,16 @@
         }
     }
 
-    /// Sets the gap that is compared with as long as there is no sample without a transfer.
+    /// Sets the baseline to use until a sample without transfers comes.
     pub fn set_objective(&mut self, objective: Duration) {
         self.objective = objective;
     }
 
-    /// Takes in the mean gap of a period, none if there were few tokens, and returns the pressure
-    /// from 0 (no slowdown) to 1 (answers take twice as long or worse).
+    /// Adds the mean gap of a period, `None` if there were too few tokens, and returns the pressure
+    /// from 0 (no slowdown) to 1 (answers take at least twice as long).
     pub fn sample(&mut self, gap: Option<Duration>, is_transferring: bool) -> f64 {
         let Some(gap) = gap.map(|gap| gap.as_secs_f64()) else {
-            // Nothing runs, so that nothing is slowed down.
+            // Too few answers run to be slowed down.
             self.recent = None;
             return 0.0;
         };
--- a/crates/agent/src/request_guard.rs
+++ b/crates/agent/src/request_guard.rs
@@ -1,4 +1,4 @@
-//! One request's way through the agent: remembered, admitted, started, ended.
+//! Life cycle of a request in the agent: recorded, admitted, started, ended.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,9 +14,9 @@
 /// Shards of the ledger, each under its own lock.
 const SHARDS: usize = 64;
 
-/// Requests that one shard remembers; over all shards about two million, which is 3,500 requests
-/// a second for as long as they are kept. An id takes 96 bytes (measured), so that this much load
-/// takes 200 MB, and 100 requests a second take 6 MB.
+/// Capacity of one shard in requests. All shards hold about two million, which is 3,500 requests a
+/// second over the retention. A record takes 96 bytes, so a full ledger takes 200 MB, and 100
+/// requests a second take 6 MB.
 const MAX_SHARD_REQUESTS: usize = 32_768;
 
 /// The ledger of all requests, in shards.
@@ -55,19 +55,19 @@
         }
     }
 
-    /// Locks the shard of `key`, under which a cancel and a start are told apart.
+    /// Locks the shard of `key`; the lock orders a cancel and a start of the request.
     fn lock(&self, key: RequestKey) -> MutexGuard<'_, Ledger> {
         let shard = &self.shards[key.shard(SHARDS)];
         shard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Why a request does not go on.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// This attempt was not run.
     NotRun(NotRunReason),
-    /// The request is or was running: nothing is known of its outcome here.
+    /// The request is running or ran before: its outcome is unknown here.
     Duplicate,
 }
 
@@ -77,20 +77,20 @@
     }
 }
 
-/// What a request asks of the gate.
+/// What the gate and the ledger check of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Stands for the request's id.
+    /// Key of the request's id.
     pub key: RequestKey,
-    /// From the beginning or resumed.
+    /// Fresh or resumed.
     pub mode: StartMode,
-    /// The bundle that must answer, if the caller wants a certain one.
+    /// The bundle that must answer, if the caller requires a specific one.
     pub pin: Option<Digest>,
-    /// When the request is no longer worth starting.
+    /// Time from which the request must not be started any more.
     pub deadline: Option<Instant>,
 }
 
-/// Where a passage is, so that its drop tells the ledger the truth.
+/// Progress of a request, which decides what the drop of its guard records in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Accepted,
@@ -98,10 +98,10 @@
     Undone,
 }
 
-/// A request that was admitted and is counted until this is dropped.
+/// Guard of an admitted request, which counts as running until the guard is dropped.
 ///
-/// Invariant: dropped before [`RequestGuard::start`] the request is forgotten, after it remembered as
-/// done, unless [`RequestGuard::undo_start`] says that the upstream started nothing.
+/// Invariant: a drop before [`RequestGuard::start`] withdraws the request from the ledger. A drop
+/// after it records the request as done, unless [`RequestGuard::undo_start`] was called.
 #[derive(Debug)]
 pub struct RequestGuard {
     requests: Arc<Requests>,
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the request does not go on.
+    /// Returns why the request is refused.
     pub fn enter(
         requests: &Arc<Requests>,
         admitter: &Arc<Admitter>,
@@ -156,13 +156,13 @@
 
     /// Marks the request as started; the caller sends it to the upstream right after.
     ///
-    /// The ledger alone decides between the start and a cancel. The gate is asked again as the
-    /// very last thing, with a fresh time: a process that was frozen since the request entered
-    /// finds its lease lapsed here.
+    /// The ledger alone decides between the start and a cancel. The last step checks the gate
+    /// again with the current time: a process that was suspended after admission detects here that
+    /// its lease has expired.
     ///
     /// # Errors
     ///
-    /// Returns why the request does not go on; nothing was sent then.
+    /// Returns why the request is refused; nothing was sent then.
     pub fn start(&mut self) -> Result<(), Refusal> {
         let key = self.req.key;
         if self.req.deadline.is_some_and(|at| Instant::now() >= at) {
@@ -181,7 +181,7 @@
         confirmed.map_err(Refusal::from)
     }
 
-    /// Takes the start back: the upstream says for certain that it started nothing.
+    /// Reverts the start: the upstream reported definitely that it started nothing.
     pub fn undo_start(&mut self) {
         self.stage = Stage::Undone;
     }
--- a/crates/agent/src/requests.rs
+++ b/crates/agent/src/requests.rs
@@ -1,11 +1,11 @@
-//! Which requests were started, cancelled or finished: one shard's ledger, without I/O.
+//! Ledger of one shard: which requests were started, cancelled or finished. Does no I/O.
 //!
-//! Two invariants hold as long as an id is remembered, which is at least [`RETENTION`]:
+//! Two invariants hold while the ledger has a record of an id, which is at least [`RETENTION`]:
 //!
-//! - a request is started at most once, but for a resume that the caller asks for, and
+//! - a request is started at most once, except for a resume that the caller asks for, and
 //! - once a cancel was answered with [`CancelState::NotRun`], the request never starts.
 //!
-//! A full ledger refuses new ids rather than forget one early.
+//! A full ledger refuses new ids instead of evicting a record early.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 use serde::{Deserialize, Serialize};
 use wagtailreel_core::Digest;
 
-/// How long a cancelled or finished request is remembered at least.
+/// Minimum time for which the record of a cancelled or finished request is kept.
 pub const RETENTION: Duration = Duration::from_mins(10);
 
-/// Bytes of an id's digest that stand for it; long enough that no two ids share them.
+/// Bytes of an id's digest that form its key; enough that collisions do not occur in practice.
 const KEY_BYTES: usize = 16;
 
-/// What stands for a request's id, of the same size for ids of any length.
+/// Key of a request: a prefix of the digest of its id, so that its size is fixed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey([u8; KEY_BYTES]);
 
@@ -33,16 +33,16 @@
         Self(key)
     }
 
-    /// Returns the shard of `shards` that keeps the request.
+    /// Returns the index of the shard, of `shards`, that holds the record of the request.
     pub fn shard(&self, shards: usize) -> usize {
         usize::from(self.0[0]) % shards
     }
 }
 
-/// How a request enters.
+/// How a request starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// From the beginning.
+    /// From the first token.
     Fresh,
     /// From a token that the caller names, after its stream was cut.
     Resume,
@@ -51,16 +51,16 @@
 /// Answer to [`Ledger::accept`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Accepted {
-    /// The request is pending: the caller goes on to [`Ledger::start`] or [`Ledger::withdraw`].
+    /// The request is pending: the caller must call [`Ledger::start`] or [`Ledger::withdraw`].
     #[display("pending")]
     Pending,
     /// The request was cancelled before it was started; it was not run.
     #[display("cancelled")]
     Cancelled,
-    /// The request is or was running, so that nothing can be said of its outcome here.
+    /// The request is running or ran before, so its outcome is unknown here.
     #[display("duplicate")]
     Duplicate,
-    /// The ledger has no room to remember the request.
+    /// The ledger has no capacity for another record.
     #[display("full")]
     Full,
 }
@@ -68,10 +68,10 @@
 /// Answer to [`Ledger::start`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Started {
-    /// The request may go to the upstream now.
+    /// The request may be sent to the upstream now.
     #[display("go")]
     Go,
-    /// A cancel came first and was told that the request is not run.
+    /// A cancel came first and was answered that the request is not run.
     #[display("cancelled")]
     Cancelled,
     /// The request ran before, and a cancel came before it was resumed.
@@ -94,21 +94,21 @@
     Done,
 }
 
-/// What is known of one request.
+/// State of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Accepted, and not yet given to the upstream. `ran` tells that an earlier attempt was.
+    /// Accepted and not yet sent to the upstream. `ran` is set if an earlier attempt was sent.
     Pending { ran: bool },
-    /// With the upstream, by as many attempts; `cancelled` refuses to resume it.
+    /// Sent to the upstream by this many running attempts; a cancelled request can't be resumed.
     Running { attempts: u32, cancelled: bool },
-    /// Ended at the instant.
+    /// Ended at `at`.
     Done { at: Instant, cancelled: bool },
-    /// Cancelled at the instant before it was started.
+    /// Cancelled at `at`, before it was started.
     Tombstone { at: Instant },
 }
 
 impl State {
-    /// Returns when the state became final, if it is.
+    /// Returns when the state became final, or `None` if it is not final.
     fn final_since(&self) -> Option<Instant> {
         match self {
             Self::Pending { .. } | Self::Running { .. } => None,
@@ -122,12 +122,12 @@
 pub struct Ledger {
     limit: usize,
     states: BTreeMap<RequestKey, State>,
-    /// Requests in the order in which they settled; one that was resumed since is passed over.
+    /// Requests in the order in which they settled. Eviction skips a request that was resumed since.
     settled: VecDeque<(Instant, RequestKey)>,
 }
 
 impl Ledger {
-    /// Makes an empty ledger that remembers at most `limit` requests.
+    /// Creates an empty ledger with capacity for `limit` requests.
     pub const fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -136,17 +136,17 @@
         }
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Says whether no request is remembered.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Takes note of a request that wants to run.
+    /// Records a request that is to run.
     pub fn accept(&mut self, key: RequestKey, mode: StartMode, now: Instant) -> Accepted {
         self.evict_expired(now);
         let Some(state) = self.states.get(&key) else {
@@ -158,7 +158,7 @@
         };
         match (state, mode) {
             (State::Tombstone { .. }, _) => Accepted::Cancelled,
-            // Resumes of one request over and over would grow the queue, not the map.
+            // Repeated resumes of one request grow the queue but not the map.
             (State::Done { .. }, StartMode::Resume) if self.settled.len() >= self.limit => {
                 Accepted::Full
             }
@@ -171,7 +171,7 @@
                 self.states.insert(key, State::Pending { ran: true });
                 Accepted::Pending
             }
-            // The stream of the first attempt may be cut where the agent does not see it yet.
+            // The stream of the first attempt may be cut without the agent having noticed.
             (
                 State::Running {
                     cancelled: false, ..
@@ -184,9 +184,9 @@
 
     /// Starts a request that was accepted, unless a cancel came first.
     ///
-    /// The caller holds the shard's lock for this call, and sends the request after it; a cancel
-    /// that takes the lock first leaves a tombstone here, one that takes it later sees the
-    /// request as started.
+    /// The caller holds the shard's lock during this call and sends the request after it. A cancel
+    /// that takes the lock earlier leaves a tombstone; one that takes it later finds the request
+    /// started.
     pub fn start(&mut self, key: RequestKey, mode: StartMode) -> Started {
         let Some(state) = self.states.get_mut(&key) else {
             return Started::Duplicate;
@@ -194,7 +194,7 @@
         match (&mut *state, mode) {
             (State::Tombstone { .. }, _) => return Started::Cancelled,
             (State::Pending { .. }, _) => {}
-            // The attempt that is resumed has ended since the resume was accepted.
+            // The previous attempt ended after the resume was accepted.
             (
                 State::Done {
                     cancelled: false, ..
@@ -220,7 +220,7 @@
         Started::Go
     }
 
-    /// Takes back an accepted request that was refused before it was started.
+    /// Withdraws an accepted request that was refused before it was started.
     pub fn withdraw(&mut self, key: RequestKey, now: Instant) {
         match self.states.get(&key) {
             Some(State::Pending { ran: false }) => {
@@ -235,14 +235,14 @@
                     },
                 );
             }
-            // Another attempt runs, or a cancel has the last word.
+            // Another attempt runs, or the request was cancelled.
             _ => {}
         }
     }
 
-    /// Takes back a started request of which the upstream says that nothing was started.
+    /// Reverts the start of a request after the upstream reported that it started nothing.
     ///
-    /// A resumed request is not forgotten: it ran before, here or elsewhere.
+    /// The record of a resumed request stays: the request ran before, here or elsewhere.
     pub fn undo_start(&mut self, key: RequestKey, mode: StartMode, now: Instant) {
         let Some(State::Running {
             attempts,
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Takes note that one attempt of a started request has ended, however it did.
+    /// Records that one attempt of a started request ended, with any outcome.
     pub fn finish(&mut self, key: RequestKey, now: Instant) {
         let Some(State::Running {
             attempts,
@@ -282,12 +282,12 @@
         self.settle(key, State::Done { at: now, cancelled });
     }
 
-    /// Cancels a request: one that was not started never will be.
+    /// Cancels a request. A request that was not started never starts afterwards.
     pub fn cancel(&mut self, key: RequestKey, now: Instant) -> CancelState {
         self.evict_expired(now);
         let has_capacity = self.states.len() < self.limit;
         match self.states.get_mut(&key) {
-            // Without room for a tombstone nothing can be promised.
+            // Without capacity for a tombstone, a later start can't be ruled out.
             None if !has_capacity => CancelState::Started,
             None | Some(State::Pending { ran: false }) => {
                 self.settle(key, State::Tombstone { at: now });
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Gives a request its final state, from which its time to be remembered runs.
+    /// Sets the final state of a request, from which its retention is counted.
     fn settle(&mut self, key: RequestKey, state: State) {
         if let Some(at) = state.final_since() {
             self.settled.push_back((at, key));
@@ -323,7 +323,7 @@
         self.states.insert(key, state);
     }
 
-    /// Forgets what settled longer ago than [`RETENTION`].
+    /// Evicts records that settled at least [`RETENTION`] ago.
     fn evict_expired(&mut self, now: Instant) {
         while let Some(&(at, key)) = self.settled.front() {
             if now.saturating_duration_since(at) < RETENTION {
@@ -331,7 +331,7 @@
             }
             self.settled.pop_front();
             let final_since = self.states.get(&key).and_then(State::final_since);
-            // A request that was resumed has settled again, later.
+            // A resumed request has a later entry, or none until it settles again.
             if final_since == Some(at) {
                 self.states.remove(&key);
             }
