--- a/crates/agent/src/engine_app.rs
+++ b/crates/agent/src/engine_app.rs
@@ -23,7 +23,7 @@
 use crate::answers::{self, Cancelled};
 use crate::headers::RequestHeaders;
 use crate::hub::Hub;
-use crate::passage::{Passage, Refusal};
+use crate::request_guard::{Refusal, RequestGuard};
 use crate::requests::CancelState;
 use crate::tokens::TokenBody;
 
@@ -110,8 +110,8 @@
 where
     E: Engine + Unpin,
 {
-    let mut passage = app.hub.enter(req_headers.wish)?;
-    let admission = passage.admission();
+    let mut guard = app.hub.enter(req_headers.req)?;
+    let admission = guard.admission();
     let req = GenerateRequest {
         request: request.clone(),
         bundle: admission.weights,
@@ -120,9 +120,9 @@
         priority: req_headers.priority,
         resume_from: req_headers.resume_from,
     };
-    passage.start()?;
+    guard.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
-    let mut run = Run::new(app, request, passage);
+    let mut run = Run::new(app, request, guard);
     match app.engine.generate(&req).await {
         Ok(tokens) => {
             run.tokens = Some(tokens);
@@ -189,14 +189,14 @@
     admission: Admission,
     counted: bool,
     /// `None` once the request has ended.
-    passage: Option<Passage>,
+    guard: Option<RequestGuard>,
 }
 
 impl<E> Run<E>
 where
     E: Engine,
 {
-    fn new(app: &EngineApp<E>, request: RequestId, passage: Passage) -> Self {
+    fn new(app: &EngineApp<E>, request: RequestId, guard: RequestGuard) -> Self {
         Self {
             hub: Arc::clone(&app.hub),
             engine: app.engine.clone(),
@@ -205,9 +205,9 @@
             last_token: None,
             forwarded: 0,
             tokens: None,
-            admission: passage.admission(),
+            admission: guard.admission(),
             counted: false,
-            passage: Some(passage),
+            guard: Some(guard),
         }
     }
 
@@ -235,7 +235,7 @@
     /// Records the time at which one or several tokens were forwarded together.
     pub(crate) fn record_token_time(&mut self, now: Instant) {
         match self.last_token.replace(now) {
-            Some(last) => self.hub.gaps.add(now.saturating_duration_since(last)),
+            Some(last) => self.hub.token_gaps.add(now.saturating_duration_since(last)),
             None => {
                 let delay = now.saturating_duration_since(self.started);
                 self.hub.metrics.observe_first_token(delay);
@@ -246,13 +246,13 @@
     /// Ends the request as answered completely.
     pub(crate) fn end_answered(&mut self) {
         self.hub.metrics.count_answered();
-        self.passage = None;
+        self.guard = None;
     }
 
     /// Ends the request with an unknown outcome, for an answer that must not be trusted.
     pub(crate) fn end_unknown(&mut self, reason: &str) {
         self.count_unknown(reason);
-        self.passage = None;
+        self.guard = None;
     }
 
     /// Counts the request as cut. The drop of this run cancels the request at the engine.
@@ -278,8 +278,8 @@
                 answers::ANSWER_LOST,
             ));
         }
-        if let Some(mut passage) = self.passage.take() {
-            passage.void();
+        if let Some(mut guard) = self.guard.take() {
+            guard.undo_start();
         }
         let reason = match err.status() {
             Some(StatusCode::NOT_FOUND) => {
@@ -289,7 +289,7 @@
             Some(StatusCode::TOO_MANY_REQUESTS) => NotRunReason::Full,
             Some(_) => NotRunReason::Refused,
             None => {
-                self.hub.look_at_upstream();
+                self.hub.check_upstream();
                 NotRunReason::Refused
             }
         };
@@ -303,7 +303,7 @@
 {
     fn drop(&mut self) {
         self.hub.metrics.count_tokens(self.forwarded);
-        let Some(passage) = self.passage.take() else {
+        let Some(guard) = self.guard.take() else {
             return;
         };
         if !self.counted {
@@ -320,7 +320,7 @@
             // nothing to cancel.
             let _ = engine.cancel(&request).await;
             drop(tokens);
-            drop(passage);
+            drop(guard);
         });
     }
 }
--- a/crates/agent/src/follow.rs
+++ b/crates/agent/src/follow.rs
@@ -1,4 +1,4 @@
-//! What the agent receives: directives of the entries, and the platform's list of VMs.
+//! Tasks that apply the entries' directives and follow the platform's list of VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,44 +13,44 @@
 use crate::events;
 use crate::hub::Hub;
 
-/// How long the list of VMs is asked to wait for a change.
-const LIST_WAIT: Duration = Duration::from_secs(5);
+/// Time for which a long poll of the list of VMs waits for a change.
+const LIST_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wait before a list that could not be had is asked for again, before jitter.
-const LIST_RETRY: Duration = Duration::from_secs(1);
+/// Delay before the list is requested again after a failure, before jitter.
+const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Start of the name of an entry of which only the address is known.
-const SEED_NAME: &str = "seed-";
+/// Prefix of the name given to an entry of which only the address is known.
+const SEED_NAME_PREFIX: &str = "seed-";
 
-/// Takes in directives.
+/// Applies directives.
 #[derive(Debug)]
 pub(crate) struct Follower {
-    /// What the agent shares.
+    /// Shared state of the agent.
     pub(crate) hub: Arc<Hub>,
-    /// Where the state is offered to entries.
+    /// Handle of the control thread, which sends the state to entries.
     pub(crate) control: AgentControl,
     /// The VMs that chunks may be fetched from.
     pub(crate) peers: watch::Sender<Vec<VmEntry>>,
-    /// When the report was sent that was answered last.
-    pub(crate) heard: watch::Sender<Option<Instant>>,
+    /// Send time of the last report that was answered.
+    pub(crate) last_answered: watch::Sender<Option<Instant>>,
 }
 
 impl Follower {
-    /// Takes in directives until the control thread ends.
+    /// Applies directives until the control thread ends.
     pub(crate) async fn run(self) {
         let mut directives = self.control.directives();
         while let Some(from) = directives.recv().await {
-            self.take(from);
+            self.apply(from);
         }
     }
 
-    /// Takes in one directive.
-    fn take(&self, from: FromEntry) {
+    /// Applies one directive.
+    fn apply(&self, from: FromEntry) {
         let directive = from.directive;
         let is_newer = directive
             .state
             .as_ref()
-            .is_some_and(|state| self.hub.take_state(state));
+            .is_some_and(|state| self.hub.apply_state(state));
         if is_newer {
             self.offer_state();
         }
@@ -61,20 +61,20 @@
                 .lock()
                 .gate
                 .on_directive(now, from.sent_at, &from.entry, &directive);
-        self.hub.note_change(change);
+        self.hub.on_gate_change(change);
         if directive.open.is_some() {
-            self.hub.note_lease(from.sent_at + directive.lease);
+            self.hub.record_lease(from.sent_at + directive.lease);
         }
-        self.take_peers(directive.peers);
-        self.heard
-            .send_modify(|heard| *heard = (*heard).max(Some(from.sent_at)));
+        self.apply_peers(directive.peers);
+        self.last_answered
+            .send_modify(|at| *at = (*at).max(Some(from.sent_at)));
     }
 
-    /// Takes the VMs of the service.
+    /// Applies the list of the service's VMs.
     ///
-    /// The own VM is among them, so that no VM at all comes from an entry that has not seen the
-    /// list: one that was started while the platform is away. What is known is worth more.
-    fn take_peers(&self, known: Vec<VmEntry>) {
+    /// The list includes this VM. An empty list therefore comes from an entry that has not seen the
+    /// platform's list, such as one started while the platform is unreachable, and is ignored.
+    fn apply_peers(&self, known: Vec<VmEntry>) {
         if known.is_empty() {
             return;
         }
@@ -85,27 +85,27 @@
         });
     }
 
-    /// Offers the state that was just taken to entries, and has it acted on.
+    /// Sends the state that was just applied to entries, and requests a check of the upstream.
     fn offer_state(&self) {
         let state = self.hub.state();
         let revision = state.as_ref().map_or(0, |state| state.revision);
         events::STATE_TAKEN.emit(&[("revision", &revision.to_string())]);
         self.control.set_state(state);
-        self.hub.report_at_once();
-        self.hub.look_at_upstream();
+        self.hub.request_report();
+        self.hub.check_upstream();
     }
 }
 
 /// Follows the platform's list of VMs, to know the entries to report to.
 #[derive(Debug)]
 pub(crate) struct ListFollower<V> {
-    /// What the agent shares.
+    /// Shared state of the agent.
     pub(crate) hub: Arc<Hub>,
-    /// Whom to tell the entries.
+    /// Handle of the control thread, which gets the entries.
     pub(crate) control: AgentControl,
-    /// The list.
+    /// Client of the platform's list.
     pub(crate) list: V,
-    /// Entries to report to as long as the list was never seen.
+    /// Entries to report to until the first list arrives.
     pub(crate) seeds: Vec<SocketAddr>,
 }
 
@@ -115,45 +115,45 @@
 {
     /// Follows the list for as long as the process runs.
     pub(crate) async fn run(self) {
-        let mut seen = None;
-        let mut is_away = false;
+        let mut version = None;
+        let mut is_unreachable = false;
         self.report_to_seeds();
         loop {
-            // After a failure the list may have started anew with lower versions.
-            let since = seen.filter(|_| !is_away);
-            match self.list.list(since, LIST_WAIT).await {
+            // After a failure the list may have restarted with lower versions.
+            let since = version.filter(|_| !is_unreachable);
+            match self.list.list(since, LIST_POLL_TIMEOUT).await {
                 Ok(page) => {
-                    is_away = false;
+                    is_unreachable = false;
                     if let Some(page) = page {
-                        seen = Some(page.version);
+                        version = Some(page.version);
                         self.leave_if_listed(&page);
                         self.control.set_entries(self.entries(&page));
                     }
                 }
                 Err(err) => {
-                    if !is_away {
-                        self.warn(&err);
+                    if !is_unreachable {
+                        self.log_unreachable(&err);
                     }
-                    is_away = true;
-                    let wait = LIST_RETRY.mul_f64(rand::rng().random_range(0.5..1.5));
+                    is_unreachable = true;
+                    let wait = LIST_RETRY_DELAY.mul_f64(rand::rng().random_range(0.5..1.5));
                     tokio::time::sleep(wait).await;
                 }
             }
         }
     }
 
-    /// Reports to the seeds until the list is there.
+    /// Reports to the seeds until the first list arrives.
     fn report_to_seeds(&self) {
         if self.seeds.is_empty() {
             return;
         }
         let seeds = self.seeds.iter();
-        let entries = seeds.map(|addr| (format!("{SEED_NAME}{addr}"), *addr));
+        let entries = seeds.map(|addr| (format!("{SEED_NAME_PREFIX}{addr}"), *addr));
         self.control.set_entries(entries.collect());
     }
 
-    /// Takes no new work once the list says that the own VM leaves: the notice to this process may
-    /// be lost, and entries whose list lags know of it only by its reports.
+    /// Stops admission once the list marks this VM as leaving. The notice to this process may be
+    /// lost, and entries with an outdated list learn of it only from this agent's reports.
     fn leave_if_listed(&self, page: &VmListPage) {
         let own = page.vms.iter().find(|entry| entry.vm == self.hub.facts.vm);
         if own.is_some_and(|entry| entry.state == VmState::Leaving) && self.hub.leave() {
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Returns the entries of the agent's data centre, leaving ones too: they finish what they
-    /// began, and need the agent's reports for that.
+    /// Returns the entries of the agent's data centre, including leaving ones: they need the agent's
+    /// reports to finish their running requests.
     fn entries(&self, page: &VmListPage) -> Vec<(VmId, SocketAddr)> {
         page.vms
             .iter()
@@ -172,16 +172,16 @@
             .collect()
     }
 
-    fn warn(&self, err: &PlatformError) {
+    fn log_unreachable(&self, err: &PlatformError) {
         events::VM_LIST_AWAY.emit(&[("why", &err.to_string())]);
     }
 }
 
-/// Sends the agent's reports: one at least every `period`, and one at once after a change.
+/// Sends the agent's reports: at least every `period`, and immediately on request.
 pub(crate) async fn send_reports(hub: Arc<Hub>, control: AgentControl, period: Duration) {
     loop {
         control.set_report(hub.report());
-        // Either way the next report is made from what is true then.
-        let _ = tokio::time::timeout(period, hub.report_wanted()).await;
+        // A time-out and a request both lead to a report of the current state.
+        let _ = tokio::time::timeout(period, hub.report_requested()).await;
     }
 }
--- a/crates/agent/src/headers.rs
+++ b/crates/agent/src/headers.rs
@@ -7,14 +7,14 @@
 use wagtailreel_core::headers::{DEADLINE_MS, PIN, PRIORITY, RESUME_FROM};
 use wagtailreel_core::{Digest, Priority};
 
-use crate::passage::Wish;
-use crate::requests::{Entrance, RequestKey};
+use crate::request_guard::AdmissionRequest;
+use crate::requests::{RequestKey, StartMode};
 
 /// The parsed headers of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestHeaders {
     /// What the request requires of the gate.
-    pub(crate) wish: Wish,
+    pub(crate) req: AdmissionRequest,
     /// Index of the first token that the caller still needs.
     pub(crate) resume_from: u32,
     /// Priority in the engine's queue.
@@ -35,15 +35,15 @@
     ) -> Result<Self, &'static str> {
         let resume_from: Option<u32> = read_header(headers, RESUME_FROM)?;
         let left_ms: Option<u64> = read_header(headers, DEADLINE_MS)?;
-        let entrance = match resume_from {
-            Some(_) => Entrance::Resume,
-            None => Entrance::Fresh,
+        let mode = match resume_from {
+            Some(_) => StartMode::Resume,
+            None => StartMode::Fresh,
         };
         let left = left_ms.map(Duration::from_millis);
         Ok(Self {
-            wish: Wish {
+            req: AdmissionRequest {
                 key: RequestKey::new(request),
-                entrance,
+                mode,
                 pin: read_header::<Digest>(headers, PIN)?,
                 deadline: left.and_then(|left| now.checked_add(left)),
             },
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -19,11 +19,11 @@
 pub mod loader;
 mod metrics;
 mod ops;
-pub mod passage;
 mod plain_app;
 mod plain_watch;
 mod pressure;
 mod process;
+pub mod request_guard;
 pub mod requests;
 mod tokens;
 
--- a/crates/agent/src/plain_app.rs
+++ b/crates/agent/src/plain_app.rs
@@ -26,7 +26,7 @@
 use crate::engine_app::{BODY_LIMIT, CALLER_GONE};
 use crate::headers::RequestHeaders;
 use crate::hub::Hub;
-use crate::passage::{Passage, Refusal};
+use crate::request_guard::{Refusal, RequestGuard};
 
 /// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP_HEADERS: &[HeaderName] = &[
@@ -119,12 +119,12 @@
 where
     P: PlainService,
 {
-    let mut passage = app.hub.enter(req_headers.wish)?;
-    passage.start()?;
+    let mut guard = app.hub.enter(req_headers.req)?;
+    guard.start()?;
     app.hub.metrics.observe_admit(arrived.elapsed());
     let mut run = CallRun {
         hub: Arc::clone(&app.hub),
-        passage,
+        guard,
         is_counted: false,
     };
     match app.service.call(req).await {
@@ -194,7 +194,7 @@
 #[derive(Debug)]
 struct CallRun {
     hub: Arc<Hub>,
-    passage: Passage,
+    guard: RequestGuard,
     is_counted: bool,
 }
 
@@ -204,9 +204,9 @@
     /// The outcome is unknown if the service may have executed the call, else not run.
     fn fail(&mut self, err: &PlatformError) -> Result<Response, Refusal> {
         self.is_counted = true;
-        self.hub.look_at_upstream();
+        self.hub.check_upstream();
         if err.took_effect() == Effect::No {
-            self.passage.void();
+            self.guard.undo_start();
             return Err(NotRunReason::Refused.into());
         }
         self.hub.metrics.count_unknown(answers::ANSWER_LOST);
--- a/crates/agent/src/plain_watch.rs
+++ b/crates/agent/src/plain_watch.rs
@@ -51,7 +51,7 @@
             }
             self.update_gate();
             // The next check starts after the interval, or earlier if a check is requested.
-            let _ = tokio::time::timeout(CHECK_INTERVAL, self.hub.look_wanted()).await;
+            let _ = tokio::time::timeout(CHECK_INTERVAL, self.hub.check_requested()).await;
         }
     }
 
@@ -68,7 +68,7 @@
         }
         for epoch in self.hub.droppable(state.epoch) {
             self.held.remove(&epoch);
-            self.hub.forget(epoch);
+            self.hub.remove_epoch(epoch);
         }
         let phase = match is_healthy {
             true => WeightsPhase::Loaded,
--- a/crates/agent/src/pressure.rs
+++ b/crates/agent/src/pressure.rs
@@ -6,34 +6,34 @@
 /// Weight of a new sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Slowdown up to which there is no pressure: noise.
-const NO_PRESSURE: f64 = 1.15;
+/// Slowdown up to which the pressure is 0, because smaller slowdowns are noise.
+const MAX_HARMLESS_SLOWDOWN: f64 = 1.15;
 
-/// Slowdown from which on the pressure is full.
-const FULL_PRESSURE: f64 = 2.0;
+/// Slowdown from which the pressure is 1.
+const FULL_PRESSURE_SLOWDOWN: f64 = 2.0;
 
-/// Gaps that make a sample; fewer say nothing.
-const ENOUGH_GAPS: u64 = 10;
+/// Minimum number of gaps in a sample; the mean of fewer is not meaningful.
+const MIN_SAMPLE_GAPS: u64 = 10;
 
 /// Sums up the gaps between tokens, over all streams.
 #[derive(Debug, Default)]
-pub(crate) struct Gaps {
+pub(crate) struct TokenGaps {
     micros: AtomicU64,
     count: AtomicU64,
 }
 
-impl Gaps {
+impl TokenGaps {
     /// Adds the gap before one token.
     pub(crate) fn add(&self, gap: Duration) {
         let micros = u64::try_from(gap.as_micros()).unwrap_or(u64::MAX);
-        // The two sums may be read a gap apart, which a mean over many does not show.
+        // A reader may see the two sums one gap apart, which has no visible effect on the mean.
         self.micros.fetch_add(micros, Ordering::Relaxed);
         self.count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the mean gap since the last call, if there were enough.
+    /// Returns the mean gap since the last call, or `None` if there were too few gaps.
     pub(crate) fn take_mean(&self) -> Option<Duration> {
-        if self.count.load(Ordering::Relaxed) < ENOUGH_GAPS {
+        if self.count.load(Ordering::Relaxed) < MIN_SAMPLE_GAPS {
             return None;
         }
         let count = self.count.swap(0, Ordering::Relaxed);
@@ -42,20 +42,20 @@
     }
 }
 
-/// Compares the gaps during transfers with those before.
+/// Compares the gaps between tokens during transfers with those before.
 ///
-/// Without I/O: the caller gives the samples in order.
+/// Does no I/O: the caller passes the samples in order.
 #[derive(Clone, Debug)]
 pub struct PressureGauge {
     objective: Duration,
-    /// Mean gap in seconds without transfers.
+    /// Moving average of the gap in seconds without transfers.
     baseline: Option<f64>,
-    /// Mean gap in seconds of late.
+    /// Moving average of the gap in seconds during the current transfer.
     recent: Option<f64>,
 }
 
 impl PressureGauge {
-    /// Makes a gauge; without a sample from before a transfer it compares with `objective`.
+    /// Creates a gauge that uses `objective` as the baseline until a sample without transfers comes.
     pub const fn new(objective: Duration) -> Self {
         Self {
             objective,
@@ -64,16 +64,16 @@
         }
     }
 
-    /// Sets the gap that is compared with as long as there is no sample without a transfer.
+    /// Sets the baseline to use until a sample without transfers comes.
     pub fn set_objective(&mut self, objective: Duration) {
         self.objective = objective;
     }
 
-    /// Takes in the mean gap of a period, none if there were few tokens, and returns the pressure
-    /// from 0 (no slowdown) to 1 (answers take twice as long or worse).
+    /// Adds the mean gap of a period, `None` if there were too few tokens, and returns the pressure
+    /// from 0 (no slowdown) to 1 (answers take at least twice as long).
     pub fn sample(&mut self, gap: Option<Duration>, is_transferring: bool) -> f64 {
         let Some(gap) = gap.map(|gap| gap.as_secs_f64()) else {
-            // Nothing runs, so that nothing is slowed down.
+            // Too few answers run to be slowed down.
             self.recent = None;
             return 0.0;
         };
@@ -89,7 +89,8 @@
             return 0.0;
         }
         let slowdown = recent / baseline;
-        ((slowdown - NO_PRESSURE) / (FULL_PRESSURE - NO_PRESSURE)).clamp(0.0, 1.0)
+        ((slowdown - MAX_HARMLESS_SLOWDOWN) / (FULL_PRESSURE_SLOWDOWN - MAX_HARMLESS_SLOWDOWN))
+            .clamp(0.0, 1.0)
     }
 }
 
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -82,7 +82,7 @@
             hub: Arc::clone(&hub),
             control: control.clone(),
             peers: peers_tx,
-            heard: acked_tx,
+            last_answered: acked_tx,
         };
         tasks.push(tokio::spawn(follower.run()));
         tasks.push(follow_list(&settings, &hub, &control)?);
@@ -140,7 +140,8 @@
 
     /// Waits until an entry has answered a report that says that the agent is leaving.
     async fn wait_leaving_acked(&mut self, left_at: Instant) {
-        let acked = self.acked.wait_for(|sent_at| *sent_at > Some(left_at));
+        let acked = self
+            .acked.wait_for(|sent_at| *sent_at > Some(left_at));
         // The wait times out if no entry is connected; the shutdown goes on all the same.
         let _ = tokio::time::timeout(LEAVING_REPORT_TIMEOUT, acked).await;
     }
--- a/crates/agent/src/passage.rs
+++ b/crates/agent/src/request_guard.rs
@@ -1,4 +1,4 @@
-//! One request's way through the agent: remembered, admitted, started, ended.
+//! Life cycle of a request in the agent: recorded, admitted, started, ended.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,15 +9,15 @@
 
 use crate::admitter::Admitter;
 use crate::events;
-use crate::requests::{Accepted, CancelState, Entrance, Ledger, RequestKey, Started};
+use crate::requests::{Accepted, CancelState, Ledger, RequestKey, StartMode, Started};
 
 /// Shards of the ledger, each under its own lock.
 const SHARDS: usize = 64;
 
-/// Requests that one shard remembers; over all shards about two million, which is 3,500 requests
-/// a second for as long as they are kept. An id takes 96 bytes (measured), so that this much load
-/// takes 200 MB, and 100 requests a second take 6 MB.
-const SHARD_LIMIT: usize = 32_768;
+/// Capacity of one shard in requests. All shards hold about two million, which is 3,500 requests a
+/// second over the retention. A record takes 96 bytes, so a full ledger takes 200 MB, and 100
+/// requests a second take 6 MB.
+const MAX_SHARD_REQUESTS: usize = 32_768;
 
 /// The ledger of all requests, in shards.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
 impl Requests {
     /// Makes an empty ledger.
     pub fn new() -> Self {
-        let shards = (0..SHARDS).map(|_| Mutex::new(Ledger::new(SHARD_LIMIT)));
+        let shards = (0..SHARDS).map(|_| Mutex::new(Ledger::new(MAX_SHARD_REQUESTS)));
         Self {
             shards: shards.collect(),
             was_full: AtomicBool::new(false),
@@ -55,19 +55,19 @@
         }
     }
 
-    /// Locks the shard of `key`, under which a cancel and a start are told apart.
+    /// Locks the shard of `key`; the lock orders a cancel and a start of the request.
     fn lock(&self, key: RequestKey) -> MutexGuard<'_, Ledger> {
         let shard = &self.shards[key.shard(SHARDS)];
         shard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Why a request does not go on.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// This attempt was not run.
     NotRun(NotRunReason),
-    /// The request is or was running: nothing is known of its outcome here.
+    /// The request is running or ran before: its outcome is unknown here.
     Duplicate,
 }
 
@@ -77,54 +77,54 @@
     }
 }
 
-/// What a request asks of the gate.
+/// What the gate and the ledger check of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
-    /// Stands for the request's id.
+pub struct AdmissionRequest {
+    /// Key of the request's id.
     pub key: RequestKey,
-    /// From the beginning or resumed.
-    pub entrance: Entrance,
-    /// The bundle that must answer, if the caller wants a certain one.
+    /// Fresh or resumed.
+    pub mode: StartMode,
+    /// The bundle that must answer, if the caller requires a specific one.
     pub pin: Option<Digest>,
-    /// When the request is no longer worth starting.
+    /// Time from which the request must not be started any more.
     pub deadline: Option<Instant>,
 }
 
-/// Where a passage is, so that its drop tells the ledger the truth.
+/// Progress of a request, which decides what the drop of its guard records in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Accepted,
     Started,
-    Void,
+    Undone,
 }
 
-/// A request that was admitted and is counted until this is dropped.
+/// Guard of an admitted request, which counts as running until the guard is dropped.
 ///
-/// Invariant: dropped before [`Passage::start`] the request is forgotten, after it remembered as
-/// done, unless [`Passage::void`] says that the upstream started nothing.
+/// Invariant: a drop before [`RequestGuard::start`] withdraws the request from the ledger. A drop
+/// after it records the request as done, unless [`RequestGuard::undo_start`] was called.
 #[derive(Debug)]
-pub struct Passage {
+pub struct RequestGuard {
     requests: Arc<Requests>,
     admitter: Arc<Admitter>,
-    wish: Wish,
+    req: AdmissionRequest,
     admission: Admission,
     stage: Stage,
 }
 
-impl Passage {
+impl RequestGuard {
     /// Checks a request against the ledger, the capacity and the gate, in this order, and counts
     /// it.
     ///
     /// # Errors
     ///
-    /// Returns why the request does not go on.
+    /// Returns why the request is refused.
     pub fn enter(
         requests: &Arc<Requests>,
         admitter: &Arc<Admitter>,
-        wish: Wish,
+        req: AdmissionRequest,
     ) -> Result<Self, Refusal> {
         let now = Instant::now();
-        let accepted = requests.lock(wish.key).accept(wish.key, wish.entrance, now);
+        let accepted = requests.lock(req.key).accept(req.key, req.mode, now);
         match accepted {
             Accepted::Pending => {}
             Accepted::Cancelled => return Err(NotRunReason::Cancelled.into()),
@@ -134,16 +134,16 @@
             }
             Accepted::Duplicate => return Err(Refusal::Duplicate),
         }
-        match admitter.enter(now, wish.pin) {
+        match admitter.enter(now, req.pin) {
             Ok(admission) => Ok(Self {
                 requests: Arc::clone(requests),
                 admitter: Arc::clone(admitter),
-                wish,
+                req,
                 admission,
                 stage: Stage::Accepted,
             }),
             Err(reason) => {
-                requests.lock(wish.key).withdraw(wish.key, now);
+                requests.lock(req.key).withdraw(req.key, now);
                 Err(reason.into())
             }
         }
@@ -156,19 +156,19 @@
 
     /// Marks the request as started; the caller sends it to the upstream right after.
     ///
-    /// The ledger alone decides between the start and a cancel. The gate is asked again as the
-    /// very last thing, with a fresh time: a process that was frozen since the request entered
-    /// finds its lease lapsed here.
+    /// The ledger alone decides between the start and a cancel. The last step checks the gate
+    /// again with the current time: a process that was suspended after admission detects here that
+    /// its lease has expired.
     ///
     /// # Errors
     ///
-    /// Returns why the request does not go on; nothing was sent then.
+    /// Returns why the request is refused; nothing was sent then.
     pub fn start(&mut self) -> Result<(), Refusal> {
-        let key = self.wish.key;
-        if self.wish.deadline.is_some_and(|at| Instant::now() >= at) {
+        let key = self.req.key;
+        if self.req.deadline.is_some_and(|at| Instant::now() >= at) {
             return Err(NotRunReason::Deadline.into());
         }
-        let started = self.requests.lock(key).start(key, self.wish.entrance);
+        let started = self.requests.lock(key).start(key, self.req.mode);
         match started {
             Started::Go => self.stage = Stage::Started,
             Started::Cancelled => return Err(NotRunReason::Cancelled.into()),
@@ -176,25 +176,25 @@
         }
         let confirmed = self.admitter.confirm(Instant::now(), self.admission);
         if confirmed.is_err() {
-            self.void();
+            self.undo_start();
         }
         confirmed.map_err(Refusal::from)
     }
 
-    /// Takes the start back: the upstream says for certain that it started nothing.
-    pub fn void(&mut self) {
-        self.stage = Stage::Void;
+    /// Reverts the start: the upstream reported definitely that it started nothing.
+    pub fn undo_start(&mut self) {
+        self.stage = Stage::Undone;
     }
 }
 
-impl Drop for Passage {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let (key, now) = (self.wish.key, Instant::now());
+        let (key, now) = (self.req.key, Instant::now());
         let mut ledger = self.requests.lock(key);
         match self.stage {
             Stage::Accepted => ledger.withdraw(key, now),
             Stage::Started => ledger.finish(key, now),
-            Stage::Void => ledger.void(key, self.wish.entrance, now),
+            Stage::Undone => ledger.undo_start(key, self.req.mode, now),
         }
         drop(ledger);
         self.admitter.leave(self.admission.epoch);
--- a/crates/agent/tests/loader.rs
+++ b/crates/agent/tests/loader.rs
@@ -78,11 +78,11 @@
             "running" => drop(self.running.insert(number(1), number(2) as u32)),
             "loaded" => {
                 let digest = self.digest(words[1]);
-                self.loader.load_answered(now, Ok(digest));
+                self.loader.on_load_result(now, Ok(digest));
             }
-            "load-failed" => self.loader.load_answered(now, Err(words[1..].join(" "))),
-            "unloaded" => self.loader.unload_answered(now, Ok(())),
-            "missing" => self.loader.on_missing(number(1)),
+            "load-failed" => self.loader.on_load_result(now, Err(words[1..].join(" "))),
+            "unloaded" => self.loader.on_unload_result(now, Ok(())),
+            "missing" => self.loader.on_bundle_missing(number(1)),
             verb => panic!("no such verb: {verb}"),
         }
     }
@@ -99,7 +99,7 @@
             running: &self.running,
         });
         for action in &actions {
-            if let Action::Forget { epoch } = action {
+            if let Action::RemoveEpoch { epoch } = action {
                 self.staged.remove(epoch);
                 self.droppable.retain(|e| e != epoch);
             }
@@ -111,7 +111,7 @@
         let name = |digest: &Digest| self.names[digest].clone();
         match action {
             Action::SetPhase { epoch, phase, .. } => format!("epoch {epoch} is {phase:?}"),
-            Action::GiveUp { epoch } => format!("give up epoch {epoch}"),
+            Action::StopAdmission { epoch } => format!("give up epoch {epoch}"),
             Action::Load {
                 epoch,
                 bundle,
@@ -119,7 +119,7 @@
             } => format!("load {} for epoch {epoch}, fence {fence}", name(bundle)),
             Action::AbortLoad => "break off the load".to_owned(),
             Action::Unload { bundle, fence } => format!("unload {}, fence {fence}", name(bundle)),
-            Action::Forget { epoch } => format!("forget epoch {epoch}"),
+            Action::RemoveEpoch { epoch } => format!("forget epoch {epoch}"),
         }
     }
 }
