--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -140,8 +140,7 @@
 
     /// Waits until an entry has answered a report that says that the agent is leaving.
     async fn wait_leaving_acked(&mut self, left_at: Instant) {
-        let acked = self
-            .acked.wait_for(|sent_at| *sent_at > Some(left_at));
+        let acked = self.acked.wait_for(|sent_at| *sent_at > Some(left_at));
         // The wait times out if no entry is connected; the shutdown goes on all the same.
         let _ = tokio::time::timeout(LEAVING_REPORT_TIMEOUT, acked).await;
     }
