--- a/crates/agent/src/chunks.rs
+++ b/crates/agent/src/chunks.rs
@@ -11,7 +11,7 @@
 
 /// Error of a load whose chunks were dropped between the loader's decision and the order to the engine.
 const CHUNKS_DROPPED: &str =
-    "the chunks were dropped before the load: no action needed, the agent decides again";
+    "the chunks were dropped before the load: nothing to do, it is decided anew";
 
 /// Progress of the chunks of all epochs.
 #[derive(Clone, Debug, Default)]
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -53,19 +53,16 @@
                 ),
                 &["outcome", "reason"],
             )?,
-            tokens: IntCounter::new(
-                "wagtailreel_agent_tokens_total",
-                "Tokens forwarded to entries",
-            )?,
+            tokens: IntCounter::new("wagtailreel_agent_tokens_total", "Tokens passed on")?,
             cut: IntCounter::new(
                 "wagtailreel_agent_streams_cut_total",
                 "Streams of the engine that broke off",
             )?,
-            in_flight: IntGauge::new("wagtailreel_agent_in_flight", "Requests that are running")?,
+            in_flight: IntGauge::new("wagtailreel_agent_in_flight", "Requests that run")?,
             engine_load: IntGaugeVec::new(
                 Opts::new(
                     "wagtailreel_agent_engine_load",
-                    "Load as last reported by the engine",
+                    "Load as the engine last said",
                 ),
                 &["kind"],
             )?,
@@ -78,7 +75,7 @@
             )?,
             lease_ms: IntGauge::new(
                 "wagtailreel_agent_lease_milliseconds",
-                "Remaining time of the lease",
+                "Time that is left of the lease",
             )?,
             admit_delay: histogram(
                 "wagtailreel_agent_admit_seconds",
--- a/crates/agent/src/plain_watch.rs
+++ b/crates/agent/src/plain_watch.rs
@@ -17,7 +17,7 @@
 
 /// Trouble that the agent reports while the service is unhealthy.
 const UNHEALTHY: &str =
-    "the plain service does not report that it is healthy: check that it runs at upstream.url";
+    "the plain service does not say it is well: check that it runs at upstream.url";
 
 /// Checks a plain service and updates the gate.
 #[derive(Debug)]
