--- a/crates/fold/src/applied.rs
+++ b/crates/fold/src/applied.rs
@@ -78,16 +78,13 @@
                 edit_id,
                 refusal,
             } => write!(f, "refused {edit_id} of {service}: {refusal}"),
-            Self::Repeated { service, first } => write!(f, "re-sent: {service}: {first}"),
+            Self::Repeated { service, first } => write!(f, "sent again: {service}: {first}"),
             Self::Known { service, offset } => {
-                write!(
-                    f,
-                    "record {offset} of {service} was already in a peer's state"
-                )
+                write!(f, "record {offset} of {service} was in a peer's state")
             }
-            Self::SnapshotTaken { at } => write!(f, "loaded the snapshot at {at}"),
+            Self::SnapshotTaken { at } => write!(f, "took the snapshot at {at}"),
             Self::SnapshotIgnored { at, contradicts } => {
-                write!(f, "skipped the snapshot at {at}")?;
+                write!(f, "passed over the snapshot at {at}")?;
                 if contradicts.is_empty() {
                     return Ok(());
                 }
--- a/crates/fold/src/codec.rs
+++ b/crates/fold/src/codec.rs
@@ -21,14 +21,14 @@
         source: serde_json::Error,
     },
     /// Decoding the encoded record fails or gives another record. Every fold would stop at it.
-    #[snafu(display("the record does not decode to the same record ({why}): check its numbers"))]
+    #[snafu(display("the record would not be read back as it is ({why}): check its numbers"))]
     NotReadBack {
         /// What fails or differs.
         why: String,
     },
     /// The record is longer than the log accepts.
     #[snafu(display(
-        "the record has {length} bytes, the log accepts {MAX_RECORD_BYTES}: shorten the record"
+        "the record has {length} bytes, the log takes {MAX_RECORD_BYTES}: put less into it"
     ))]
     TooLong {
         /// Length in bytes.
@@ -39,9 +39,9 @@
 /// Why a record can't be read.
 #[derive(Debug, Snafu)]
 pub(crate) enum DecodeError {
-    #[snafu(display("it has no format number"))]
+    #[snafu(display("it carries no format number"))]
     NoFormat,
-    #[snafu(display("its format is {format}, but only {RECORD_FORMAT} is supported"))]
+    #[snafu(display("its format is {format}, known is {RECORD_FORMAT}"))]
     Format { format: u64 },
     #[snafu(display("{source}"))]
     Content { source: serde_json::Error },
@@ -93,7 +93,7 @@
         Err(e) => return NotReadBackSnafu { why: e.to_string() }.fail(),
     };
     let again = serde_json::to_value(&record).context(JsonSnafu)?;
-    let why = "a value changes in the encoding";
+    let why = "a value changes on the way";
     ensure!(again == *plain, NotReadBackSnafu { why });
     Ok(())
 }
--- a/crates/fold/src/keys.rs
+++ b/crates/fold/src/keys.rs
@@ -32,7 +32,7 @@
     ))]
     Expired,
     /// The key lies in the future.
-    #[snafu(display("the key lies in the future: correct the clock that makes the keys"))]
+    #[snafu(display("the key lies in the future: set the clock that makes the keys"))]
     FromFuture,
     /// The key may have been claimed in records that the log dropped before this fold read them.
     #[snafu(display(
--- a/crates/fold/src/order_applied.rs
+++ b/crates/fold/src/order_applied.rs
@@ -96,7 +96,7 @@
                 ..
             } => write!(f, "{claimant} void, {key}: {problem}"),
             Self::GivenUp { key, claimant, .. } => {
-                write!(f, "{claimant} void, {key}: was released before")
+                write!(f, "{claimant} void, {key}: was given up")
             }
             Self::Released { key, claimant, .. } => write!(f, "{claimant} released {key}"),
             Self::ReleaseIgnored { claimant } => write!(f, "{claimant} held nothing"),
--- a/crates/fold/src/rules.rs
+++ b/crates/fold/src/rules.rs
@@ -52,7 +52,7 @@
 }
 
 fn winner_suffix(winner: Option<&Winner>) -> String {
-    winner.map_or_else(String::new, |winner| format!(" [current: {winner}]"))
+    winner.map_or_else(String::new, |winner| format!(" [stands: {winner}]"))
 }
 
 /// One edit, as recorded in the log.
--- a/crates/fold/src/stop.rs
+++ b/crates/fold/src/stop.rs
@@ -14,7 +14,7 @@
 pub enum FoldStop {
     /// Records are missing.
     #[snafu(display(
-        "record {got} arrived where {expected} was expected: the log has a gap; restore the missing \
+        "record {got} came where {expected} was expected: the log has a gap; restore the missing \
          records, or replace this VM once the log is whole"
     ))]
     Gap {
@@ -25,7 +25,7 @@
     },
     /// The log ends before the last record applied.
     #[snafu(display(
-        "the log ends before record {next} but {applied} was applied: the log was truncated; \
+        "the log ends before record {next} but {applied} was applied: it came back shorter; \
          restore the lost records, or publish the documents again and replace this VM"
     ))]
     Shorter {
@@ -36,7 +36,7 @@
     },
     /// A record that was applied now has other content.
     #[snafu(display(
-        "record {offset} is not the one that was applied: the log was rewritten; restore it, \
+        "record {offset} is not the one that was applied: the log was written anew; restore it, \
          or publish the documents again and replace this VM"
     ))]
     Rewritten {
