--- a/crates/entry/src/admin/auth.rs
+++ b/crates/entry/src/admin/auth.rs
@@ -28,7 +28,7 @@
             ),
             Self::NotOwner => (
                 StatusCode::FORBIDDEN,
-                "the service does not belong to the team: check the name and the settings",
+                "the service is not among the team's: check its name and the settings",
             ),
         };
         (status, Json(json!({ "error": error }))).into_response()
--- a/crates/entry/src/admin/submit.rs
+++ b/crates/entry/src/admin/submit.rs
@@ -201,8 +201,7 @@
         Some(submitted) => submitted,
         None => {
             report_unread(book, service, edit, appended);
-            let reason =
-                "the edit was not read back from the log in time: send it again with the same id";
+            let reason = "the edit was not read back: send it again with the same id";
             Submitted::Failed(Outcome::Unknown, reason.to_owned())
         }
     }
@@ -236,8 +235,7 @@
     if let Some(state) = state.filter(|state| state.revision == appended) {
         return Some(accepted(state.revision, state.epoch, edit, &state.team));
     }
-    let reason =
-        "a peer's state includes the edit, but not its result: send it again with the same id";
+    let reason = "the edit was read by a peer: send it again with the same id";
     Some(Submitted::Failed(Outcome::Unknown, reason.to_owned()))
 }
 
@@ -295,7 +293,7 @@
         ),
         Submitted::BadEdit => (
             StatusCode::BAD_REQUEST,
-            json!({ "error": "`edit` is not a valid name: use lower case letters, digits and hyphens" }),
+            json!({ "error": "`edit` is no name: use lower case letters, digits and hyphens" }),
         ),
         Submitted::Failed(outcome, reason) => (
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/entry/src/front/answer.rs
+++ b/crates/entry/src/front/answer.rs
@@ -78,7 +78,7 @@
                 StatusCode::BAD_GATEWAY,
                 outcome,
                 Some(reason.to_string()),
-                "the request may have run: check before you send it again".to_owned(),
+                "the request may have run: find out before it is sent again".to_owned(),
                 None,
             ),
         }
@@ -155,14 +155,12 @@
         NotRunReason::Deadline => "the deadline passed before the request started",
         NotRunReason::NoUpstream => "no upstream can be reached: send the request again later",
         NotRunReason::Claimed => {
-            "another request holds the order's key: check its outcome, do not send the order again"
+            "another request holds the order's key: ask what became of it, do not send it again"
         }
         NotRunReason::Expired => {
             "the order's key is too old: make sure that the order did not run, then take a new key"
         }
         NotRunReason::LogAway => "orders can't be claimed now: send the order again later",
-        NotRunReason::Refused => {
-            "the upstream refused the request: correct it, or send it again later"
-        }
+        NotRunReason::Refused => "the upstream refused the request: mend it, or send it later",
     }
 }
--- a/crates/entry/src/front/head.rs
+++ b/crates/entry/src/front/head.rs
@@ -132,7 +132,7 @@
     }
     let read = tokio::time::timeout(BODY_TIMEOUT, to_bytes(body, limit)).await;
     let Ok(read) = read else {
-        let message = "the body did not arrive within 30 s: send it again";
+        let message = "the body did not come within 30 s: send it again";
         return Err(Denial::Bad(StatusCode::REQUEST_TIMEOUT, message.to_owned()));
     };
     read.map_err(|err| {
@@ -141,7 +141,7 @@
         if is_limit {
             too_long(limit)
         } else {
-            Denial::bad("the body ended early: send it again")
+            Denial::bad("the body broke off: send it again")
         }
     })
 }
@@ -180,7 +180,7 @@
     // The limit of one day keeps the arithmetic on instants from overflowing.
     let millis = value.parse::<u64>().ok().filter(|ms| *ms <= 86_400_000);
     let millis = millis.ok_or_else(|| {
-        Denial::bad("`wagtailreel-deadline-ms` is not a whole number up to 86400000: correct it")
+        Denial::bad("`wagtailreel-deadline-ms` is no whole number up to 86400000: correct it")
     })?;
     Ok(Some(Duration::from_millis(millis)))
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -96,37 +96,37 @@
             admission_wait: histograms(
                 registry,
                 "wagtailreel_admission_wait_seconds",
-                "Time that admitted requests waited for capacity.",
+                "Time that admitted requests waited for room.",
                 BUCKETS,
                 &["service"],
             )?,
             attempts: counters(
                 registry,
                 "wagtailreel_attempts_total",
-                "Attempts by their result.",
+                "Attempts by how they ended.",
                 &["service", "ended"],
             )?,
             resumes: counters(
                 registry,
                 "wagtailreel_resumes_total",
-                "Streams that were resumed at a replica.",
+                "Streams that went on at a replica.",
                 &["service"],
             )?,
             callers_gone: counters(
                 registry,
                 "wagtailreel_callers_gone_total",
-                "Requests whose callers disconnected before the answer was complete.",
+                "Requests whose callers went away before the answer was whole.",
                 &["service"],
             )?,
             in_flight: gauges(
                 registry,
                 "wagtailreel_requests_in_flight",
-                "Admitted requests that have not ended.",
+                "Admitted requests that are not over.",
             )?,
             waiting: gauges(
                 registry,
                 "wagtailreel_requests_waiting",
-                "Requests that wait for capacity.",
+                "Requests that wait for room.",
             )?,
             claims: counters(
                 registry,
@@ -137,7 +137,7 @@
             claim_wait: histogram(
                 registry,
                 "wagtailreel_claim_seconds",
-                "Time until a claim is read back from the log.",
+                "Time from a claim to its reading back.",
             )?,
             config_offset: gauge(
                 registry,
@@ -157,15 +157,15 @@
             in_force_lag: histograms(
                 registry,
                 "wagtailreel_config_in_force_seconds",
-                "Time from a document's record until the document is in force at this entry.",
+                "Time from a document's record to its being in force at this entry.",
                 BUCKETS,
                 &["service"],
             )?,
             time_to_live: histograms(
                 registry,
                 "wagtailreel_time_to_live_seconds",
-                "Time from when a new epoch is in force at this entry until it is open at the \
-                 required VMs of every data centre.",
+                "Time from a new epoch's being in force at this entry to its being open at the \
+                 wanted VMs of every data centre.",
                 LIVE_BUCKETS,
                 &["service"],
             )?,
